--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,7 +15,7 @@
 
 def front_end(workers=4, seed=1, now=0, since=0, **changes):
     it = Dispatcher(seed, deployment(**changes), now)
-    it.roster(now, [ready(f"w{n}", since=since) for n in range(workers)], full=True)
+    it.update_workers(now, [ready(f"w{n}", since=since) for n in range(workers)], full=True)
     return it
 
 
@@ -25,7 +25,7 @@
 
 def call(it, ivk="a", now=0, fn="f", effect=Effect.REPEATABLE, left=2500 * MS, **facts):
     """The handle of an activation just started, and the steps that this brought."""
-    act = it.take(now, ivk, effect.value, fn, left, **facts)
+    act = it.admit(now, ivk, effect.value, fn, left, **facts)
     return act, act.start(now)
 
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -13,14 +13,14 @@
 def serve(it, fn="f", now=0, ivk="a", took=10 * MS, copy=Copy.FOUND, **facts):
     """One call asked for and completed at once; where it went."""
     act, steps = call(it, ivk, now, fn, **facts)
-    act.returned(now + took, 0, Outcome.COMPLETED, took, copy=copy, final=True)
+    act.on_send_ended(now + took, 0, Outcome.COMPLETED, took, copy=copy, final=True)
     return sent(steps)[0]
 
 
 class Mechanism(unittest.TestCase):
     def test_homes_agree_and_move_minimally(self):
         one, other, third = front_end(8, seed=1), front_end(8, seed=2), front_end(8)
-        third.roster(0, [ready("w3", State.DRAINING)], full=False)
+        third.update_workers(0, [ready("w3", State.DRAINING)], full=False)
         for fn in [f"fn{n}" for n in range(60)]:
             homes = [serve(it, fn) for it in (one, other, third)]
             self.assertEqual(homes[0], homes[1])
@@ -51,7 +51,7 @@
             it = front_end(4, seed=seed)
             it.spread = lambda fn, kind, now: setattr(fn, "width", 2)
             act, _ = call(it, now=SECOND)
-            act.returned(SECOND, 0, Outcome.COMPLETED, 0, final=True)
+            act.on_send_ended(SECOND, 0, Outcome.COMPLETED, 0, final=True)
             home, *others = it.walk(act.fn)
             for worker in others:
                 worker.limit = 0.0
@@ -86,7 +86,7 @@
                                           (70, 40, 6, 16), (70, 400, 60, 37)):
             it = front_end(workers, front_ends=3 if workers < 20 else 100)
             for n in range(seen):
-                it.take(n * MS, str(n), AGAIN.value, "f" if n < own else f"other{n}", SECOND)
+                it.admit(n * MS, str(n), AGAIN.value, "f" if n < own else f"other{n}", SECOND)
             it.spread(it.functions["f"], it.kinds[AGAIN.value], SECOND)
             self.assertEqual(it.functions["f"].width, stops, (workers, seen, own))
 
@@ -99,23 +99,23 @@
         _, steps = call(it, now=2 * SECOND)
         self.assertEqual(sent(steps), [other.name])
         self.assertEqual([step.worker for step in steps if step.do is Do.HOLD], [home.name])
-        it.held(3 * SECOND, home.name, "f", Outcome.COMPLETED, 1)
+        it.on_load_ended(3 * SECOND, home.name, "f", Outcome.COMPLETED, 1)
         self.assertEqual(serve(it, now=3 * SECOND), home.name)
 
     def test_calls_wait_for_one_load(self):
         it = front_end(4)
         acts = [call(it, f"c{n}", lanes=2) for n in range(5)]
         self.assertEqual([len(sent(steps)) for _, steps in acts], [1, 0, 0, 0, 0])
-        steps = acts[0][0].returned(SECOND, 0, Outcome.COMPLETED, SECOND, copy=Copy.BEGAN, final=True)
+        steps = acts[0][0].on_send_ended(SECOND, 0, Outcome.COMPLETED, SECOND, copy=Copy.BEGAN, final=True)
         self.assertEqual(len(sent(steps)), 2)
 
     def test_miss_orders_a_copy_and_sends_again(self):
         it = front_end(4, loads_on_miss=False)
         act, steps = call(it)
         home = sent(steps)[0]
-        steps = act.returned(5 * MS, 0, Outcome.MISS, 5 * MS)
+        steps = act.on_send_ended(5 * MS, 0, Outcome.MISS, 5 * MS)
         self.assertEqual([(step.do, step.worker, step.amount) for step in steps], [(Do.HOLD, home, 1)])
-        self.assertEqual(sent(it.held(SECOND, home, "f", Outcome.COMPLETED, 1)), [home])
+        self.assertEqual(sent(it.on_load_ended(SECOND, home, "f", Outcome.COMPLETED, 1)), [home])
 
 
 class Rules(unittest.TestCase):
@@ -125,7 +125,7 @@
             for effect in Effect:
                 it = front_end()
                 act, _ = call(it, effect=effect)
-                steps = act.returned(10 * MS, 0, outcome, 10 * MS)
+                steps = act.on_send_ended(10 * MS, 0, outcome, 10 * MS)
                 # workers here share one zone, so a deduplicated activation may go to any of them
                 again = effect is not ONCE or outcome in unrun
                 self.assertEqual(does(steps), [Do.SEND if again else Do.ABORT], (outcome, effect))
@@ -135,10 +135,10 @@
         for zone, when, again in (("z", SECOND, True), ("y", SECOND, False), ("z", 1990 * MS, True),
                                   ("z", 1993 * MS, False)):
             it = front_end(0)
-            it.roster(0, [ready("w0", zone="z"), ready("w1", zone=zone)], full=True)
+            it.update_workers(0, [ready("w0", zone="z"), ready("w1", zone=zone)], full=True)
             act, steps = call(it, effect=MARKED)
             it.workers[sent(steps)[0]].until = 10 * SECOND
-            steps = act.returned(when, 0, Outcome.TIMEOUT, when)
+            steps = act.on_send_ended(when, 0, Outcome.TIMEOUT, when)
             self.assertEqual(does(steps), [Do.SEND if again else Do.ABORT], (zone, when))
 
     def test_answered_in_time_and_once(self):
@@ -152,13 +152,13 @@
                 steps += it.tick(now)
             final = [do for do in does(steps) if do in (Do.ABORT, Do.REJECT)]
             self.assertEqual(final, [Do.REJECT if effect is AGAIN else Do.ABORT])
-            self.assertEqual(act.returned(99 * MS, 0, Outcome.FULL, 99 * MS), [])
+            self.assertEqual(act.on_send_ended(99 * MS, 0, Outcome.FULL, 99 * MS), [])
 
     def test_nothing_new_to_draining_gone_or_unlisted(self):
         listings = ([ready("w0", State.DRAINING)], [ready("w0", State.GONE)])
         for changes, full in ((listings[0], False), (listings[1], False), ([ready("w1")], True)):
             it = front_end(2)
-            it.roster(0, changes, full=full)
+            it.update_workers(0, changes, full=full)
             for n in range(20):
                 fn = f"fn{n}"
                 self.assertEqual(serve(it, fn), "w1")
@@ -181,7 +181,7 @@
                     it.done, it.done_at, it.budget = budget, now, 10.0
                     act, steps = call(it, f"c{n}", now, fn=f"fn{n}")
                     sends += [now - start - age] * len(sent(steps))
-                    act.returned(now, 0, Outcome.FULL, 0) if sent(steps) else None
+                    act.on_send_ended(now, 0, Outcome.FULL, 0) if sent(steps) else None
                     worker.until, worker.limit = 0, 100.0
             counts = [sum(0 <= it - at < SECOND for it in sends) for at in range(0, 2 * SECOND, MS * 125)]
             self.assertLessEqual(max(counts), most, (fronts, age, rate))
@@ -190,10 +190,10 @@
     def test_told_tables_of_workers_new_and_gone(self):
         it = front_end(3)
         homes = [serve(it, f"fn{n}", ivk=str(n)) for n in range(30)]
-        it.roster(0, [ready("new1"), ready("new2")], full=False)
-        it.roster(0, [ready("new1", State.GONE), ready("new2", State.DRAINING)], full=False)
+        it.update_workers(0, [ready("new1"), ready("new2")], full=False)
+        it.update_workers(0, [ready("new1", State.GONE), ready("new2", State.DRAINING)], full=False)
         self.assertEqual([serve(it, f"fn{n}", ivk=f"b{n}") for n in range(30)], homes)
-        it.roster(0, [ready(f"later{n}") for n in range(5)], full=True)
+        it.update_workers(0, [ready(f"later{n}") for n in range(5)], full=True)
         self.assertEqual({serve(it, f"fn{n}", ivk=f"c{n}")[:5] for n in range(30)}, {"later"})
 
     def test_calls_withdrawn_by_their_clients_earn_no_load_orders(self):
@@ -201,11 +201,11 @@
         for withdrawn, answered, allowed in ((0, 0, 22), (300, 0, 7), (300, 300, 22), (400, 0, 2)):
             it = front_end(40, load_window=5 * SECOND, load_free=2, load_ratio=0.05)
             it.load_limit = 1000.0
-            acts = [it.take(SECOND + n, str(n), AGAIN.value, "f", 3 * SECOND) for n in range(400)]
+            acts = [it.admit(SECOND + n, str(n), AGAIN.value, "f", 3 * SECOND) for n in range(400)]
             for act in acts[:answered]:
                 it.close(act, Do.REJECT)        # those that have their answer were calls like any other
             for act in acts[:withdrawn]:
-                act.left(2 * SECOND)
+                act.on_client_gone(2 * SECOND)
             given = 0
             for worker in it.fleet:
                 it.functions["f"].pause = 0
@@ -218,8 +218,8 @@
             it = front_end(40, load_window=5 * SECOND, load_free=free, load_ratio=ratio)
             it.load_limit = 1000.0
             for n in range(taken):
-                act = it.take(SECOND, f"c{n}", AGAIN.value, "f", SECOND)
-                act.left(SECOND)
+                act = it.admit(SECOND, f"c{n}", AGAIN.value, "f", SECOND)
+                act.on_client_gone(SECOND)
             call(it, fn="g")
             it.took.clear()
             it.took.extend([SECOND] * taken)
@@ -237,7 +237,7 @@
             for n in range(400):
                 now += chance.randrange(40) * MS
                 if chance.random() < 0.05:
-                    it.roster(now, [ready(f"w{n % 5}", chance.choice(list(State)), since=now)], full=False)
+                    it.update_workers(now, [ready(f"w{n % 5}", chance.choice(list(State)), since=now)], full=False)
                 steps = it.tick(now)
                 if chance.random() < 0.5:
                     act, more = call(it, str(n), now, f"fn{n % 7}", chance.choice(list(Effect)),
@@ -250,7 +250,7 @@
                     outcome = chance.choice(list(Outcome))
                     done = outcome is Outcome.COMPLETED and not send.act.answered
                     finals[send.act.ivk] = finals.get(send.act.ivk, 0) + done
-                    steps += send.act.returned(now, send.number, outcome, now - send.at, final=done)
+                    steps += send.act.on_send_ended(now, send.number, outcome, now - send.at, final=done)
                 for step in steps:
                     if step.do in (Do.REJECT, Do.ABORT):
                         finals[step.act.ivk] = finals.get(step.act.ivk, 0) + 1
@@ -272,10 +272,10 @@
         it = front_end(20, front_ends=100, may_probe=True, **changes)
         it.pressed = pressed
         for n in range(40):
-            it.take(n * MS, f"early{n}", AGAIN.value, f"fn{n}", SECOND).left(n * MS)
+            it.admit(n * MS, f"early{n}", AGAIN.value, f"fn{n}", SECOND).on_client_gone(n * MS)
         for fn in fns:
-            early = it.take(MS, f"early-{fn}", AGAIN.value, fn, SECOND)
-            early.left(MS)
+            early = it.admit(MS, f"early-{fn}", AGAIN.value, fn, SECOND)
+            early.on_client_gone(MS)
             for worker in islice(it.walk(early.fn), copies):
                 worker.warm[fn] = 3600 * SECOND
         return it
@@ -308,7 +308,7 @@
                 if sent(steps):
                     begun += 1
                     it.load_base = float(SECOND)
-                    act.returned(now + SECOND, 0, Outcome.COMPLETED, SECOND // 2, copy=Copy.UNTOLD)
+                    act.on_send_ended(now + SECOND, 0, Outcome.COMPLETED, SECOND // 2, copy=Copy.UNTOLD)
                     now += SECOND - 100 * MS
                 now += 100 * MS
                 it.tick(now)
@@ -322,7 +322,7 @@
         for fronts, price, zone, used in ((100, 0.03, "a", {"a"}), (100, 0.0, "a", {"a", "b"}),
                                           (3, 0.03, "a", {"a", "b"}), (100, 0.03, "c", {"a", "b"})):
             it = front_end(6, front_ends=fronts, crossing=price, zone=zone)
-            it.roster(0, [ready(f"w{n}", zone="ab"[n % 2]) for n in range(6)], full=True)
+            it.update_workers(0, [ready(f"w{n}", zone="ab"[n % 2]) for n in range(6)], full=True)
             it.spread = lambda fn, kind, now: setattr(fn, "width", 6)
             for worker in it.fleet:
                 worker.warm["f"] = 9 * SECOND
@@ -340,7 +340,7 @@
             it = self.front_end(0.25)
             for n in range(40):
                 it.mean_held = 2.0
-                it.told(SECOND + n, "w0", Outcome.COMPLETED, Report(held=held))
+                it.on_report(SECOND + n, "w0", Outcome.COMPLETED, Report(held=held))
             self.assertTrue(low <= it.pressed <= high, (held, it.pressed))
 
     def test_asks_first_and_walks_past_what_is_pressed(self):
@@ -358,7 +358,7 @@
             asked = [step.worker for step in steps if step.do is Do.ASK]
             self.assertEqual((len(asked), sent(steps)), (1, []))
             if report:
-                steps = it.told(SECOND + MS, asked[0], Outcome.COMPLETED, report)
+                steps = it.on_report(SECOND + MS, asked[0], Outcome.COMPLETED, report)
             else:
                 steps = it.tick(SECOND + 31 * MS)
             on = sent(steps) or [step.worker for step in steps if step.do is Do.ASK]
@@ -371,8 +371,8 @@
             asked = [step.worker for step in steps if step.do is Do.ASK]
             self.assertEqual(len(asked), n < 40, n)
             for name in asked:
-                it.told(SECOND + n * SECOND, name, Outcome.COMPLETED, None)
-            act.returned(SECOND + n * SECOND, 0, Outcome.COMPLETED, MS, final=True)
+                it.on_report(SECOND + n * SECOND, name, Outcome.COMPLETED, None)
+            act.on_send_ended(SECOND + n * SECOND, 0, Outcome.COMPLETED, MS, final=True)
         self.assertEqual(does(call(front_end(may_probe=True, front_ends=3))[1]), [Do.SEND])
 
     def test_answered_while_it_waits_for_a_report(self):
@@ -383,7 +383,7 @@
             steps += it.tick(max(SECOND, it.due()))
         self.assertEqual([do for do in does(steps) if do is not Do.ASK], [Do.REJECT])
         asked = act.asked
-        self.assertEqual(it.told(2 * SECOND, asked.name, Outcome.COMPLETED, Report(waiting=0.0)), [])
+        self.assertEqual(it.on_report(2 * SECOND, asked.name, Outcome.COMPLETED, Report(waiting=0.0)), [])
 
     def test_loads_at_once_are_bounded_over_all(self):
         # front ends, loads that each may have out on twenty workers
@@ -400,12 +400,12 @@
                 it.workers[home].warm["f"] = 10 * SECOND
                 act, steps = call(it, f"x{n}")
                 self.assertEqual(sent(steps), [home])
-                act.returned(MS, 0, outcome, MS)
+                act.on_send_ended(MS, 0, outcome, MS)
             self.assertNotEqual(sent(call(it, "y", 2 * MS)[1]), [home], outcome)
             later = 5 * SECOND
             worker = it.workers[home]
             for effect, fits in ((AGAIN, True), (ONCE, False)):
-                self.assertEqual(it.fit(worker, it.take(later, "z", effect.value, "f", SECOND), later), fits)
+                self.assertEqual(it.fit(worker, it.admit(later, "z", effect.value, "f", SECOND), later), fits)
 
     def test_silent_worker_is_left_and_its_repeatable_calls_are_moved(self):
         it = front_end(4)
@@ -414,7 +414,7 @@
         self.assertEqual(sent(steps), [home])
         steps = [step for _ in range(20) for step in it.tick(it.due())]
         self.assertIn((Do.CANCEL, act), [(step.do, step.act) for step in steps])
-        again = act.returned(SECOND, 0, Outcome.CANCELLED, SECOND)
+        again = act.on_send_ended(SECOND, 0, Outcome.CANCELLED, SECOND)
         self.assertEqual(len(sent(again)), 1)
         self.assertNotEqual(sent(again), [home])
 
@@ -436,7 +436,7 @@
                     if step.do is Do.ASK:
                         asked.append(step.worker)
                         if outcome:
-                            it.told(now + MS, home, outcome, report)
+                            it.on_report(now + MS, home, outcome, report)
             self.assertEqual(asked, [home], (outcome, report))      # once a send, not again and again
             self.assertEqual(bool(it.workers[home].until), suspended, (outcome, report))
 
@@ -455,7 +455,7 @@
                 now += 20 * MS
                 steps = it.tick(now)
                 if Do.ASK in does(steps) and outcome:
-                    it.told(now + MS, home, outcome, None)
+                    it.on_report(now + MS, home, outcome, None)
             self.assertTrue(soonest * MS <= now - SECOND <= latest * MS, (fronts, outcome, now))
 
     def test_a_hall_that_three_workers_failed_of_is_left_until_one_of_it_answers(self):
@@ -463,27 +463,27 @@
         for fronts, halls, fails, left in ((100, 2, 3, True), (100, 2, 2, False), (100, 1, 3, False),
                                            (3, 2, 3, False)):
             it = front_end(12, front_ends=fronts)
-            it.roster(0, [ready(f"w{n}", zone="ab"[n % halls]) for n in range(12)], full=True)
+            it.update_workers(0, [ready(f"w{n}", zone="ab"[n % halls]) for n in range(12)], full=True)
             del it.halls[""]                # of the list that front_end() gave
             here = [worker for worker in it.fleet if worker.zone == "a"]
             for n, worker in enumerate(here[:fails]):
-                act = it.take(SECOND + n, f"a{n}", ONCE.value, f"f{n}", 2 * SECOND)
+                act = it.admit(SECOND + n, f"a{n}", ONCE.value, f"f{n}", 2 * SECOND)
                 self.assertTrue(it.send(act, worker, SECOND + n))
-                act.returned(SECOND + MS, 0, Outcome.TIMEOUT, MS)
-            act = it.take(SECOND + 2 * MS, "x", AGAIN.value, "f", SECOND)
+                act.on_send_ended(SECOND + MS, 0, Outcome.TIMEOUT, MS)
+            act = it.admit(SECOND + 2 * MS, "x", AGAIN.value, "f", SECOND)
             self.assertEqual(it.fit(here[-1], act, SECOND + 2 * MS), not left, (fronts, halls, fails))
             if not left:
                 continue
             # Later one repeatable send is let go there, alone; its answer ends the doubt, its loss doubles it.
             for outcome, free in ((Outcome.TIMEOUT, False), (Outcome.COMPLETED, True)):
                 now = it.halls["a"].until
-                once = it.take(now, "o", ONCE.value, "f", SECOND)
+                once = it.admit(now, "o", ONCE.value, "f", SECOND)
                 self.assertFalse(it.fit(here[-1], once, now))
-                trial = it.take(now, f"t{outcome}", AGAIN.value, "f", SECOND)
+                trial = it.admit(now, f"t{outcome}", AGAIN.value, "f", SECOND)
                 self.assertTrue(it.fit(here[-1], trial, now) and it.send(trial, here[-1], now))
                 here[-2].until = 0
                 self.assertFalse(it.fit(here[-2], act, now))
-                trial.returned(now + MS, 0, outcome, MS)
+                trial.on_send_ended(now + MS, 0, outcome, MS)
                 self.assertEqual(it.fit(here[-2], once, now + MS), free, outcome)
 
     def test_a_worker_is_not_forgotten_while_a_question_to_it_is_out(self):
@@ -495,20 +495,20 @@
         while Do.ASK not in does(steps):
             now += 20 * MS
             steps = it.tick(now)
-        act.returned(now, 0, Outcome.RESET, now)
-        it.roster(now, [ready(f"new{n}") for n in range(3)], full=True)
+        act.on_send_ended(now, 0, Outcome.RESET, now)
+        it.update_workers(now, [ready(f"new{n}") for n in range(3)], full=True)
         self.assertIn(home, it.workers)
         self.assertLess(len(it.workers), 8)             # the others are forgotten, but for one it was moved to
-        it.told(now, home, Outcome.RESET, None)
+        it.on_report(now, home, Outcome.RESET, None)
         for life in "abc":                              # nor kept for good
-            it.roster(now, [ready(f"{life}{n}") for n in range(20)], full=True)
+            it.update_workers(now, [ready(f"{life}{n}") for n in range(20)], full=True)
         self.assertNotIn(home, it.workers)
 
     def test_full_answers_shrink_the_limit_once_a_while(self):
         it = front_end(1)
         for n, limit in ((0, 0.85), (1, 0.85)):
             act, _ = call(it, f"c{n}", SECOND + n * MS, fn=f"fn{n}")
-            act.returned(SECOND + n * MS, 0, Outcome.FULL, 0)
+            act.on_send_ended(SECOND + n * MS, 0, Outcome.FULL, 0)
             self.assertAlmostEqual(it.workers["w0"].limit, max(1.0, limit), 2)
 
     def test_lengthening_loads_mean_fewer_at_once(self):
@@ -543,7 +543,7 @@
             it = front_end(1, types=kinds)
             home = it.workers["w0"]
             home.pace, home.limit, it.load_limit, home.warm["f"] = pace, 9.0, 0.0, 10 * SECOND
-            act = it.take(SECOND, "a", name, "f", SECOND)
+            act = it.admit(SECOND, "a", name, "f", SECOND)
             self.assertEqual(does(act.start(SECOND)), [Do.SEND if taken else Do.REJECT], (pace, name))
 
     def test_a_rarely_heard_slow_worker_does_not_look_fast(self):
@@ -555,29 +555,29 @@
             act, _ = call(it, f"c{n}", now, left=500 * MS)
             while not act.answered:
                 it.tick(it.due())
-            act.returned(now + 500 * MS, 0, Outcome.CANCELLED, 500 * MS)
+            act.on_send_ended(now + 500 * MS, 0, Outcome.CANCELLED, 500 * MS)
         self.assertGreater(home.pace, 0.3)     # 0.18 with a fade of half in 0.7 s
 
     def test_calls_beyond_a_share_get_less_room(self):
         it = front_end(2, front_ends=1, tenants=(Tenant("t", 1.0, 10.0),))
-        spare = [it.take(n * MS, str(n), AGAIN.value, "f", SECOND, tenant="t").spare for n in range(20)]
+        spare = [it.admit(n * MS, str(n), AGAIN.value, "f", SECOND, tenant="t").spare for n in range(20)]
         self.assertEqual(spare, [False] * 13 + [True] * 7)
-        self.assertFalse(it.take(5 * SECOND, "later", AGAIN.value, "f", SECOND, tenant="t").spare)
+        self.assertFalse(it.admit(5 * SECOND, "later", AGAIN.value, "f", SECOND, tenant="t").spare)
 
     def test_same_events_same_steps(self):
         def run():
             it = front_end(6, seed=7)
             return [step[:1] + step[2:] for n in range(200)
                     for act, steps in [call(it, str(n), n * MS, f"fn{n % 9}")]
-                    for step in steps + act.returned(n * MS, 0, Outcome.RESET, MS) if act.sends]
+                    for step in steps + act.on_send_ended(n * MS, 0, Outcome.RESET, MS) if act.sends]
         self.assertEqual(run(), run())
 
     def test_streaming_answers_are_not_cut_at_the_deadline(self):
         kind = NamespaceType("s", 600 * MS, SECOND, 1.0, 0.0, AGAIN)
         it = front_end(types=(kind,))
-        act = it.take(0, "a", "s", "f", 100 * MS)
+        act = it.admit(0, "a", "s", "f", 100 * MS)
         act.start(0)
-        act.streaming(MS, 0)
+        act.on_answer_started(MS, 0)
         it.tick(SECOND)
         self.assertFalse(act.answered)
 
@@ -594,14 +594,14 @@
             act, steps = call(it, f"c{n}", now)
             for step in steps:
                 if step.do is Do.SEND:
-                    act.returned(now, 0, Outcome.MISS, 0)
+                    act.on_send_ended(now, 0, Outcome.MISS, 0)
             now += 2 * SECOND
             it.tick(now)
         out = sum(len(worker.loads) for worker in it.workers.values())
         self.assertEqual(it.orders, out)
         for worker in it.workers.values():
             for fn in list(worker.loads):
-                it.held(now, worker.name, fn, Outcome.COMPLETED, 1)
+                it.on_load_ended(now, worker.name, fn, Outcome.COMPLETED, 1)
         self.assertEqual(it.orders, 0)
 
     def test_who_waits_for_a_load_at_a_suspended_worker_goes_on(self):
@@ -633,14 +633,14 @@
 
     def test_a_load_that_was_ordered_is_coming_until_it_ended(self):
         it = front_end(2)
-        act = it.take(0, "c", Effect.REPEATABLE.value, "f", SECOND)
+        act = it.admit(0, "c", Effect.REPEATABLE.value, "f", SECOND)
         worker = it.fleet[0]
         self.assertTrue(it.hold(worker, act.fn, 0))
         self.assertEqual(it.coming(0), {"f"})
         worker.until = SECOND       # suspended: what it was to load may never come
         self.assertEqual(it.coming(0), set())
         worker.until = 0
-        it.held(MS, worker.name, "f", Outcome.COMPLETED, 1)
+        it.on_load_ended(MS, worker.name, "f", Outcome.COMPLETED, 1)
         self.assertEqual(it.coming(MS), set())
 
     def test_calls_that_ended_while_they_waited_take_no_place(self):
@@ -649,10 +649,10 @@
         gone = [call(it, f"b{n}", 0)[0] for n in range(PARKED)]
         self.assertEqual(len(it.functions["f"].parked), PARKED)
         for act in gone:
-            act.left(MS)
+            act.on_client_gone(MS)
         act, steps = call(it, "c", 2 * MS)
         self.assertEqual((does(steps), act.answered), ([], False))
-        steps = first.returned(3 * MS, 0, Outcome.COMPLETED, 3 * MS, copy=Copy.BEGAN, final=True)
+        steps = first.on_send_ended(3 * MS, 0, Outcome.COMPLETED, 3 * MS, copy=Copy.BEGAN, final=True)
         self.assertEqual([step.act for step in steps if step.do is Do.SEND], [act])
 
     def test_refusals_do_not_all_say_the_same_time(self):
@@ -671,7 +671,7 @@
         self.assertEqual(len(it.paid), 0)
         for n in range(NAMES + 500):
             act, _ = call(it, f"d{n}", 300 * SECOND, f"g{n}")
-            act.left(300 * SECOND)
+            act.on_client_gone(300 * SECOND)
         self.assertLessEqual(len(it.functions), NAMES)
 
     def test_calls_of_nobody_are_beyond_every_share(self):
@@ -684,7 +684,7 @@
     def test_workers_long_gone_leave_the_ring_and_the_memory(self):
         it = front_end(4)
         for n in range(200):
-            it.roster(n * SECOND, [ready(f"n{n}"), *([ready(f"n{n - 1}", State.GONE)] if n else [])], full=False)
+            it.update_workers(n * SECOND, [ready(f"n{n}"), *([ready(f"n{n - 1}", State.GONE)] if n else [])], full=False)
         self.assertLess(len(it.workers), 20)
         self.assertEqual(len(it.ring), sum(map(len, it.ring.sections)))
         self.assertLess(len(it.ring), 20 * POINTS)
@@ -696,10 +696,10 @@
         act, steps = call(it)
         busy = sent(steps)[0]
         for n in range(100):
-            it.roster(n, [ready(busy, State.GONE), ready(f"n{n}"),
+            it.update_workers(n, [ready(busy, State.GONE), ready(f"n{n}"),
                           *([ready(f"n{n - 1}", State.GONE)] if n else [])], full=False)
         self.assertIn(busy, it.workers)
-        act.returned(SECOND, 0, Outcome.RESET, SECOND)
+        act.on_send_ended(SECOND, 0, Outcome.RESET, SECOND)
         self.assertLess(len(it.workers), 60)
 
     def test_a_function_that_always_fails_suspends_no_worker(self):
@@ -709,7 +709,7 @@
             act, steps = call(it, f"c{n}", n * MS, "poison")
             number = 0
             while places := sent(steps):
-                steps = act.returned(n * MS, number, Outcome.ERROR, MS)
+                steps = act.on_send_ended(n * MS, number, Outcome.ERROR, MS)
                 number += len(places)
         self.assertEqual([worker.name for worker in it.fleet if worker.until > 8 * MS], [])
 
@@ -722,7 +722,7 @@
             act, steps = call(it, fn, fn=fn, now=SECOND)
             it.budget = 10.0
             while sent(steps):
-                steps = act.returned(SECOND, len(act.sends) - 1, Outcome.ERROR, MS)
+                steps = act.on_send_ended(SECOND, len(act.sends) - 1, Outcome.ERROR, MS)
             self.assertEqual((len(act.sends), does(steps)[-1]), (sends, Do.REJECT))
 
     def test_a_worker_that_fails_what_others_serve_is_suspended(self):
@@ -734,7 +734,7 @@
         for n in range(40):
             act, steps = call(it, f"c{n}", (11 + n) * MS, f"f{n % 6}")
             if sent(steps) == [bad.name]:
-                act.returned((11 + n) * MS, 0, Outcome.ERROR, MS)
+                act.on_send_ended((11 + n) * MS, 0, Outcome.ERROR, MS)
                 struck += 1
                 if struck == 2:
                     break
@@ -759,7 +759,7 @@
             it.functions.clear()
             it.pressed = 1.0
             for n in range(held):
-                act = it.take(SECOND, f"h{n}", "repeatable", f"h{n}", SECOND)
+                act = it.admit(SECOND, f"h{n}", "repeatable", f"h{n}", SECOND)
                 it.send(act, it.fleet[n], SECOND)
             it.out.clear()
             for worker in it.fleet:
@@ -771,8 +771,8 @@
         it = front_end(1, since=SECOND, now=SECOND, front_ends=1)
         it.done = 5.0
         for n in range(50):
-            it.take(SECOND, f"t{n}", "repeatable", "f", SECOND, work=10 * MS)
-        act = it.take(SECOND, "heavy", "repeatable", "f", 2 * SECOND, work=900 * MS)
+            it.admit(SECOND, f"t{n}", "repeatable", "f", SECOND, work=10 * MS)
+        act = it.admit(SECOND, "heavy", "repeatable", "f", 2 * SECOND, work=900 * MS)
         worker = it.fleet[0]
         worker.credit, worker.earned = 0.2, SECOND
         self.assertFalse(it.cold_room(worker, act, SECOND))
@@ -787,8 +787,8 @@
         for seed in range(20):
             it = front_end(1, since=SECOND, now=SECOND, seed=seed, front_ends=200)
             for n in range(50):
-                it.take(SECOND, f"t{n}", "repeatable", "f", SECOND, work=10 * MS)
-            heavy = it.take(SECOND, "heavy", "repeatable", "f", 2 * SECOND, work=900 * MS)
+                it.admit(SECOND, f"t{n}", "repeatable", "f", SECOND, work=10 * MS)
+            heavy = it.admit(SECOND, "heavy", "repeatable", "f", 2 * SECOND, work=900 * MS)
             self.assertFalse(it.cold_room(it.fleet[0], heavy, SECOND))
             self.assertLessEqual(it.fleet[0].credit, heavy.kind.units)
 
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -287,10 +287,10 @@
         for now, most in ((SECOND, 0), (5 * SECOND, 0), (6 * SECOND, 6)):
             it = Dispatcher(1, told, SECOND)
             earlier.assume(it, told, SECOND)
-            it.roster(SECOND, [Listing("w", State.READY)], True)
+            it.update_workers(SECOND, [Listing("w", State.READY)], True)
             given = 0
             for n in range(9):
-                fn = it.take(now, str(n), "a", f"f{n}", SECOND).fn
+                fn = it.admit(now, str(n), "a", f"f{n}", SECOND).fn
                 it.orders, it.load_limit = 0, 99.0      # not its own pacing, the rule's limit
                 given += it.hold(it.workers["w"], fn, now)
             # Nine calls were taken too, which earn one and four fifths of an order.
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -146,13 +146,13 @@
 
     def test_a_tenants_calls_are_its_own_and_not_nobodys(self):
         with self.played() as it:
-            taken, take = [], it.node.desk.dispatcher.take
+            taken, take = [], it.node.desk.dispatcher.admit
 
             def note(*words, **facts):
                 act = take(*words, **facts)
                 taken.append((facts["tenant"], act.spare))
                 return act
-            it.node.desk.dispatcher.take = note
+            it.node.desk.dispatcher.admit = note
             it.call(HTTP_X_TEAM="one")
             it.call(id_="00000000000000a2")
             self.assertEqual(taken, [("one", False), ("", True)])
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -34,7 +34,7 @@
         self.settings, self.late, self.restarted = settings, late, restarted
         self.fronts = [self.front_end(self.begin) for _ in range(front_ends)]
         for each in self.fronts:
-            each.roster(self.begin, [ready(name) for name in self.names], True)
+            each.update_workers(self.begin, [ready(name) for name in self.names], True)
         self.shares = [1 / (1 + n % 20) for n in range(front_ends)]
         self.popular = [1 / (3 + n) ** 1.25 for n in range(60)]
         self.type_of = self.chance.choices(range(len(kinds)), [part for part, _ in kinds], k=60)
@@ -62,13 +62,13 @@
         if self.restarted:      # all front ends, too: they know nothing but the list
             self.fronts = [self.front_end(now) for _ in self.fronts]
             for front in self.fronts:
-                front.roster(now, [ready(name) for name in self.names], True)
+                front.update_workers(now, [ready(name) for name in self.names], True)
         for number, front in enumerate(self.fronts):
             self.at(now + (self.late if number % 4 == 3 else 0), self.hear, front, now)
 
     def hear(self, now, front, since):
         """A front end hears that the workers have started: one in four late, where any is."""
-        self.carry(front, front.roster(now, [ready(name, since=since) for name in self.starts], False), now)
+        self.carry(front, front.update_workers(now, [ready(name, since=since) for name in self.starts], False), now)
 
     def call(self, now):
         self.at(now + int(self.chance.expovariate(self.rate) * SECOND), self.call)
@@ -78,7 +78,7 @@
         fn = self.chance.choices(range(60), self.popular)[0]
         kind = self.type_of[fn]
         work = int(self.kinds[kind][1] * MS * self.chance.uniform(0.5, 1.6))
-        act = front.take(now, f"a{self.serial()}", f"k{kind}", f"f{fn}", 2500 * MS, work=work, lanes=2)
+        act = front.admit(now, f"a{self.serial()}", f"k{kind}", f"f{fn}", 2500 * MS, work=work, lanes=2)
         self.carry(front, act.start(now), now)
 
     def carry(self, front, steps, now):
@@ -96,14 +96,14 @@
                 self.at(now + 2 * MS, self.told, front, step.worker)
 
     def answered(self, now, front, act, number, loads):
-        self.carry(front, act.returned(now, number, Outcome.COMPLETED, ANSWER * MS,
+        self.carry(front, act.on_send_ended(now, number, Outcome.COMPLETED, ANSWER * MS,
                                        copy=Copy.BEGAN if loads else Copy.FOUND, final=True), now)
 
     def held(self, now, front, worker, fn):
-        self.carry(front, front.held(now, worker, fn, Outcome.COMPLETED, 1), now)
+        self.carry(front, front.on_load_ended(now, worker, fn, Outcome.COMPLETED, 1), now)
 
     def told(self, now, front, worker):
-        self.carry(front, front.told(now, worker, Outcome.COMPLETED, None), now)
+        self.carry(front, front.on_report(now, worker, Outcome.COMPLETED, None), now)
 
     def nearest(self):
         """The largest share, over all windows of all started workers, of what may be sent: N + 2 x root of N + 2."""
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -248,11 +248,11 @@
             cold_share=0.2, cold_time=17 * SECOND, fall_multiple=2.0, longest_advice=SECOND)
         now = 100 * SECOND
         dispatcher = Dispatcher(1, told, now)
-        dispatcher.roster(now, [Listing(f"s-{n}", State.READY, since=now) for n in range(self.WORKERS)], full=True)
+        dispatcher.update_workers(now, [Listing(f"s-{n}", State.READY, since=now) for n in range(self.WORKERS)], full=True)
         longest = 0.0
         for number in range(self.CALLS):
             since = time.process_time()
-            act = dispatcher.take(now, f"c{number}", "check", f"f{number % self.FUNCTIONS}", 2_500 * MS)
+            act = dispatcher.admit(now, f"c{number}", "check", f"f{number % self.FUNCTIONS}", 2_500 * MS)
             act.start(now)
             longest = max(longest, time.process_time() - since)
         self.assertLess(longest, 0.05)
@@ -274,8 +274,8 @@
     def one_call(self, workers):
         dispatcher = Dispatcher(1, Deployment((NamespaceType(
             "check", 100 * MS, 2_500 * MS, 1.0, 0.3, Effect.REPEATABLE),)), 0)
-        dispatcher.roster(0, [Listing(f"s-{n}", State.READY) for n in range(workers)], full=True)
-        return dispatcher, dispatcher.take(0, "c", "check", "f", SECOND)
+        dispatcher.update_workers(0, [Listing(f"s-{n}", State.READY) for n in range(workers)], full=True)
+        return dispatcher, dispatcher.admit(0, "c", "check", "f", SECOND)
 
 
 class ConnectionsOfManyWorkers(unittest.TestCase):
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -241,8 +241,8 @@
 class Deaf(Dispatcher):
     """Does not heed that workers drain."""
 
-    def roster(self, now, listings, full):
-        return super().roster(now, [each for each in listings if each.state is State.READY], full)
+    def update_workers(self, now, listings, full):
+        return super().update_workers(now, [each for each in listings if each.state is State.READY], full)
 
 
 class Greedy(Dispatcher):
--- a/threadshift/adapter/host.py
+++ b/threadshift/adapter/host.py
@@ -53,17 +53,17 @@
             return self.dispatcher.tick(now)
         if word == "VANISHED":
             act = self.acts.get(event.text("id"))
-            return self.closed(act, act.left(now)) if act else []
+            return self.closed(act, act.on_client_gone(now)) if act else []
         if word == "STANDS":
-            return self.dispatcher.held(
+            return self.dispatcher.on_load_ended(
                 now, event.text("worker"), event.text("fn"), outcome(event),
                 event.whole("instances", 0))
         if word == "STATUS_BACK":
-            return self.dispatcher.told(
+            return self.dispatcher.on_report(
                 now, event.text("worker"), outcome(event), report(event.text("usage", ""), ","))
         if word == "HEADERS":
             act = self.acts.get(event.text("id"))
-            return act.streaming(now, event.whole("go")) if act else []
+            return act.on_answer_started(now, event.whole("go")) if act else []
         if word == "MEMBERS":
             scope = event.whole("scope")
             if scope == FAILED_LIST:
@@ -71,12 +71,12 @@
             number = event.whole("list")
             if number not in tables:
                 raise Malformed(f"line {event.line}: MEMBERS names list {number}, which no TABLE has set")
-            return self.dispatcher.roster(now, tables[number], full=scope != 0)
+            return self.dispatcher.update_workers(now, tables[number], full=scope != 0)
         return []
 
     def request(self, event: Fields, now: int) -> list[Step]:
         name = event.text("id")
-        act = self.dispatcher.take(
+        act = self.dispatcher.admit(
             now, name, event.text("type"), event.text("fn"), event.ns("timeLeft"),
             tenant=event.text("realm", ""), work=event.ns("predicted", 0), lanes=event.whole("atOnce", 1),
             load_time=event.ns("loadTimeMs", 0), again=event.flag("againByClient", False))
@@ -87,14 +87,14 @@
         act = self.acts.get(event.text("id"))
         if act is None:
             return []
-        return self.closed(act, act.returned(
+        return self.closed(act, act.on_send_ended(
             now, event.whole("go"), outcome(event), event.ns("waitTime", 0),
             copy=COPIES.get(event.whole("info", 0) % 8, Copy.UNTOLD), final=event.flag("final", False),
             report=report(event.text("usage", ""), ",")))
 
     def closed(self, act, steps: list[Step]) -> list[Step]:
         """The steps, with the handle let go once nothing more can come for it."""
-        if act.over:
+        if act.is_finished:
             self.acts.pop(act.ivk, None)
         return steps
 
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -100,17 +100,17 @@
 
     def tick(self, now: int) -> list[Step]:
         while self.heap and self.heap[0][0] <= now:
-            self.lapse(heapq.heappop(self.heap)[2], now)
-        return self.steps(self.round, now)
+            self.on_timeout(heapq.heappop(self.heap)[2], now)
+        return self.steps(self.run_health_round, now)
 
-    def hasten(self, last: int) -> None:
+    def shorten_deadlines(self, last: int) -> None:
         """This front end ends: none may be owed an answer past `last`, as nobody would give it."""
         for _, _, act in self.heap:
             act.due = min(act.due, last - self.margin)
         self.heap = [(min(at, act.due), number, act) for at, number, act in self.heap]
         heapq.heapify(self.heap)
 
-    def lapse(self, act: Activation, now: int) -> None:
+    def on_timeout(self, act: Activation, now: int) -> None:
         """Its own time is up, or it waited long enough for a worker's report, which tells that it is busy."""
         if now >= act.due and not act.begun:
             self.give_up(act, now)
@@ -118,7 +118,7 @@
             act.asked.load, act.asked.told = SILENT, now
             self.go_on(act, now)
 
-    def roster(self, now: int, listings: list[Listing], full: bool) -> list[Step]:
+    def update_workers(self, now: int, listings: list[Listing], full: bool) -> list[Step]:
         for worker in self.workers.values() if full else ():
             worker.ready, worker.gone = False, True
         for told in listings:
@@ -180,7 +180,7 @@
                 if worker.ready:
                     yield worker
 
-    def take(self, now: int, ivk: str, type_name: str, fn_name: str, left: int, *, tenant: str = "",
+    def admit(self, now: int, ivk: str, type_name: str, fn_name: str, left: int, *, tenant: str = "",
              work: int = 0, lanes: int = 1, load_time: int = 0, again: bool = False) -> Activation:
         fn = self.functions.pop(fn_name, None)
         if fn is None:
@@ -392,7 +392,7 @@
         self.out.append(Step(Do.HOLD, worker=worker.name, fn=fn.name, amount=1))
         return True
 
-    def held(self, now: int, name: str, fn_name: str, outcome: Outcome, copies: int) -> list[Step]:
+    def on_load_ended(self, now: int, name: str, fn_name: str, outcome: Outcome, copies: int) -> list[Step]:
         worker = self.workers[name]
         self.orders -= fn_name in worker.loads
         worker.loads.discard(fn_name)
@@ -460,7 +460,7 @@
             act.kind.group == "all")
         self.close(act, Do.REJECT if safe or not (act.risky or act.out) else Do.ABORT)
 
-    def quit(self, act: Activation) -> None:
+    def on_client_gone(self, act: Activation) -> None:
         """Its client is gone. It earns no load orders: hundreds withdrawn at once would widen the ration."""
         if not act.answered and act.taken in self.took:
             self.took.remove(act.taken)
@@ -478,14 +478,14 @@
             if send.out:
                 self.out.append(Step(Do.CANCEL, act, send.worker.name, amount=send.number))
 
-    def judge(self, send: Send, now: int, outcome: Outcome, waited: int, copy: Copy, final: bool,
+    def on_send_ended(self, send: Send, now: int, outcome: Outcome, waited: int, copy: Copy, final: bool,
               report: Report | None) -> None:
         act, worker, fn = send.act, send.worker, send.act.fn
         if not send.out:
             return
         send.out, act.out, self.cold_out = False, act.out - 1, self.cold_out - (not send.warm)
         del worker.sends[send], self.flying[send]
-        self.hear(worker, now, report)
+        self.record_report(worker, now, report)
         self.learn(send, now, outcome, waited, copy)
         if outcome not in NEVER_RAN:
             act.risky.append(send)
@@ -539,7 +539,7 @@
                 outcome is Outcome.ERROR and (act.risky or not fn.served)):
             self.strike(worker, now)
 
-    def hear(self, worker: Worker, now: int, report: Report | None) -> None:
+    def record_report(self, worker: Worker, now: int, report: Report | None) -> None:
         """Load: calls that wait, or are held, but for loads, over the usual; less as answers lengthen."""
         told = (report.held, report.pinned and PINNED * report.pinned, report.waiting) if report else ()
         if (held := next((each for each in told if each is not None), None)) is None:
@@ -570,11 +570,11 @@
         heapq.heappush(self.heap, (worker.asked + ASK_WAIT, self.number(), act))
         return True
 
-    def told(self, now: int, name: str, outcome: Outcome, report: Report | None) -> list[Step]:
+    def on_report(self, now: int, name: str, outcome: Outcome, report: Report | None) -> list[Step]:
         worker = self.workers[name]
         worker.asking -= 1
         worker.there = now if outcome is Outcome.COMPLETED else worker.there
-        self.hear(worker, now, report)
+        self.record_report(worker, now, report)
         if outcome is not Outcome.COMPLETED:    # turned away or lost, it tells as much as a long queue
             worker.load, worker.told = SILENT, now
         elif report and report.loading and report.busy is not None and report.busy < IDLE:
@@ -626,7 +626,7 @@
         load = 0 if send.warm and not send.act.fn.kept else 2 * CROWDED * (send.act.fn.load or self.load_base)
         return usual + (0 if self.may_probe and self.many else load), usual + load
 
-    def round(self, now: int) -> None:
+    def run_health_round(self, now: int) -> None:
         """Looks for workers that answer nothing and moves what may be moved away from them."""
         if now < self.next_round:
             return
--- a/threadshift/desk/desk.py
+++ b/threadshift/desk/desk.py
@@ -164,7 +164,7 @@
         if self.last is not None:
             call = call._replace(left=min(call.left, self.last - now))
         held = Held(self, ivk, call, now, now + max(0, call.left), client=client)
-        held.act = self.dispatcher.take(
+        held.act = self.dispatcher.admit(
             now, ivk, call.type, call.function, call.left, tenant=call.tenant, work=call.work, lanes=call.lanes,
             load_time=call.load_time, again=call.again)
         self.held[ivk] = held
@@ -181,11 +181,11 @@
             if held.deadline > last:
                 held.deadline = last
                 heapq.heappush(self.times, (last, self.serial(), held))
-        self.dispatcher.hasten(last)
+        self.dispatcher.shorten_deadlines(last)
 
     def roster(self, now: int, listings: list[Listing], full: bool) -> None:
         now = self.clock(now)
-        self.carry(now, self.dispatcher.roster(now, listings, full))
+        self.carry(now, self.dispatcher.update_workers(now, listings, full))
 
     def due(self) -> int:
         while self.times and self.past(self.times[0][2]):
@@ -219,7 +219,7 @@
         final = outcome is Outcome.COMPLETED and not held.settled and now <= held.deadline
         if final:
             self.finish(held, now, Answer(Final.COMPLETED, "completed", body, error))
-        self.carry(now, held.act.returned(now, number, outcome, sent.waited, copy=copy, final=final,
+        self.carry(now, held.act.on_send_ended(now, number, outcome, sent.waited, copy=copy, final=final,
                                           report=report))
         self.let_go(held)
 
@@ -229,15 +229,15 @@
         now, held.gone = self.clock(now), True
         self.owed -= 1
         self.counts["left"] += 1
-        self.carry(now, held.act.left(now))
+        self.carry(now, held.act.on_client_gone(now))
         self.let_go(held)
 
     def replied(self, asked: Asked, now: int, outcome: Outcome, copies: int, report: Report | None) -> None:
         if asked.over:
             return
         now, asked.over = self.clock(now), True
-        self.carry(now, self.dispatcher.held(now, asked.worker, asked.fn, outcome, copies) if asked.fn
-                   else self.dispatcher.told(now, asked.worker, outcome, report))
+        self.carry(now, self.dispatcher.on_load_ended(now, asked.worker, asked.fn, outcome, copies) if asked.fn
+                   else self.dispatcher.on_report(now, asked.worker, outcome, report))
 
     # What goes out.
 
@@ -306,7 +306,7 @@
             # The dispatcher answers two ticks earlier; this stands against a fault there, loudly in the counts.
             self.counts["overdue"] += 1
             self.finish(held, now, Answer(Final.ABORTED, "overdue", may_have_run=may_have_run(held)))
-            self.carry(now, held.act.left(now))
+            self.carry(now, held.act.on_client_gone(now))
         self.let_go(held)
 
     def finish(self, held: Held, now: int, answer: Answer) -> None:
@@ -320,7 +320,7 @@
         # What still waits to leave does not, whether or not cancels are allowed: its client is answered, or gone.
         for number in range(len(held.sends) if held.settled else 0):
             self.take_back(held, number, self.now)
-        if held.settled and held.act.over and held.ivk in self.held:
+        if held.settled and held.act.is_finished and held.ivk in self.held:
             del self.held[held.ivk]
             self.clients.over(held)
             # Left as a ring, each call would wait for the collector, which then stands still for tens of ms.
@@ -338,7 +338,7 @@
     def past(what: Held | Asked | Leaving) -> bool:
         if isinstance(what, Leaving):
             return what.held.sends[what.number].outcome is not None
-        return what.over if isinstance(what, Asked) else what.settled and what.act.over
+        return what.over if isinstance(what, Asked) else what.settled and what.act.is_finished
 
 
 def may_have_run(held: Held) -> bool:
--- a/threadshift/interface.py
+++ b/threadshift/interface.py
@@ -176,22 +176,22 @@
     begun: bool = False          # a streamed answer has begun
 
     @property
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         """Nothing more can come for it."""
         return self.answered and not self.out
 
     def start(self, now: int) -> list[Step]:
         return self.dispatcher.steps(self.dispatcher.go_on, self, now)
 
-    def returned(self, now: int, number: int, outcome: Outcome, waited: int, *, copy: Copy = Copy.UNTOLD,
+    def on_send_ended(self, now: int, number: int, outcome: Outcome, waited: int, *, copy: Copy = Copy.UNTOLD,
                  final: bool = False, report: Report | None = None) -> list[Step]:
         send = self.sends[number]
-        return self.dispatcher.steps(self.dispatcher.judge, send, now, outcome, waited, copy, final, report)
+        return self.dispatcher.steps(self.dispatcher.on_send_ended, send, now, outcome, waited, copy, final, report)
 
-    def streaming(self, now: int, number: int) -> list[Step]:
+    def on_answer_started(self, now: int, number: int) -> list[Step]:
         self.begun = True
         return []
 
-    def left(self, now: int) -> list[Step]:
-        return self.dispatcher.steps(self.dispatcher.quit, self)
+    def on_client_gone(self, now: int) -> list[Step]:
+        return self.dispatcher.steps(self.dispatcher.on_client_gone, self)
 
