--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -29,7 +29,7 @@
     def test_a_worker_stands_once_in_a_walk(self):
         it = front_end(5)
         act, _ = call(it)
-        names = [worker.name for worker in it.walk(act.fn)]
+        names = [worker.name for worker in it.walk(act.function)]
         self.assertEqual(sorted(names), [f"w{n}" for n in range(5)])
 
     def test_cap_and_walk(self):
@@ -52,7 +52,7 @@
             it.spread = lambda fn, kind, now: setattr(fn, "width", 2)
             act, _ = call(it, now=SECOND)
             act.on_send_ended(SECOND, 0, Outcome.COMPLETED, 0, final=True)
-            home, *others = it.walk(act.fn)
+            home, *others = it.walk(act.function)
             for worker in others:
                 worker.limit = 0.0
             for worker in (home, *others):
@@ -244,22 +244,22 @@
                                      chance.randrange(1, 2000) * MS)
                     acts.append((act, now))
                     steps += more
-                waiting = [send for act, _ in acts for send in act.sends if send.out]
+                waiting = [send for act, _ in acts for send in act.sends if send.is_open]
                 if waiting and chance.random() < 0.6:
                     send = chance.choice(waiting)
                     outcome = chance.choice(list(Outcome))
-                    done = outcome is Outcome.COMPLETED and not send.act.answered
-                    finals[send.act.ivk] = finals.get(send.act.ivk, 0) + done
-                    steps += send.act.on_send_ended(now, send.number, outcome, now - send.at, final=done)
+                    done = outcome is Outcome.COMPLETED and not send.activation.answered
+                    finals[send.activation.id] = finals.get(send.activation.id, 0) + done
+                    steps += send.activation.on_send_ended(now, send.number, outcome, now - send.sent_at, final=done)
                 for step in steps:
                     if step.do in (Do.REJECT, Do.ABORT):
-                        finals[step.act.ivk] = finals.get(step.act.ivk, 0) + 1
+                        finals[step.act.id] = finals.get(step.act.id, 0) + 1
                     if step.do is Do.SEND:
                         self.assertTrue(it.workers[step.worker].ready)
             while any(not act.answered for act, _ in acts):
                 for step in it.tick(it.due()):
                     if step.do in (Do.REJECT, Do.ABORT):
-                        finals[step.act.ivk] = finals.get(step.act.ivk, 0) + 1
+                        finals[step.act.id] = finals.get(step.act.id, 0) + 1
             self.assertEqual(set(finals.values()), {1}, seed)
             self.assertEqual(len(finals), len(acts))
 
@@ -276,7 +276,7 @@
         for fn in fns:
             early = it.admit(MS, f"early-{fn}", AGAIN.value, fn, SECOND)
             early.on_client_gone(MS)
-            for worker in islice(it.walk(early.fn), copies):
+            for worker in islice(it.walk(early.function), copies):
                 worker.warm[fn] = 3600 * SECOND
         return it
 
@@ -382,7 +382,7 @@
             self.assertLess(it.due(), SECOND + 20 * MS)
             steps += it.tick(max(SECOND, it.due()))
         self.assertEqual([do for do in does(steps) if do is not Do.ASK], [Do.REJECT])
-        asked = act.asked
+        asked = act.awaited_worker
         self.assertEqual(it.on_report(2 * SECOND, asked.name, Outcome.COMPLETED, Report(waiting=0.0)), [])
 
     def test_loads_at_once_are_bounded_over_all(self):
@@ -530,9 +530,9 @@
         # cost hint over the usual, pace of the one warm stop, whether a call is sent there all the same
         for weight, pace, taken in ((1, 0.5, True), (4, 0.5, False), (4, 0.3, True)):
             it = front_end(1, front_ends=1)
-            home = it.workers[serve(it, work=100 * MS)]
+            home = it.workers[serve(it, cost_hint=100 * MS)]
             home.pace, home.limit, home.settled, it.load_limit = pace, 9.0, SECOND, 0.0
-            steps = call(it, "b", SECOND, lanes=2, work=weight * 100 * MS)[1]
+            steps = call(it, "b", SECOND, lanes=2, cost_hint=weight * 100 * MS)[1]
             self.assertEqual(does(steps), [Do.SEND if taken else Do.REJECT], (weight, pace))
 
     def test_under_pressure_less_utility_needs_a_calmer_worker(self):
@@ -560,9 +560,9 @@
 
     def test_calls_beyond_a_share_get_less_room(self):
         it = front_end(2, front_ends=1, tenants=(Tenant("t", 1.0, 10.0),))
-        spare = [it.admit(n * MS, str(n), AGAIN.value, "f", SECOND, tenant="t").spare for n in range(20)]
+        spare = [it.admit(n * MS, str(n), AGAIN.value, "f", SECOND, tenant="t").low_priority for n in range(20)]
         self.assertEqual(spare, [False] * 13 + [True] * 7)
-        self.assertFalse(it.admit(5 * SECOND, "later", AGAIN.value, "f", SECOND, tenant="t").spare)
+        self.assertFalse(it.admit(5 * SECOND, "later", AGAIN.value, "f", SECOND, tenant="t").low_priority)
 
     def test_same_events_same_steps(self):
         def run():
@@ -610,7 +610,7 @@
             first, steps = call(it, "a", 0, lanes=1)
             home = it.workers[sent(steps)[0]]
             if by == "order":
-                it.hold(home, first.fn, 0)
+                it.hold(home, first.function, 0)
             second, steps = call(it, "b", MS)
             self.assertEqual(sent(steps), [])
             home.until = 9 * SECOND         # it answers nothing
@@ -635,7 +635,7 @@
         it = front_end(2)
         act = it.admit(0, "c", Effect.REPEATABLE.value, "f", SECOND)
         worker = it.fleet[0]
-        self.assertTrue(it.hold(worker, act.fn, 0))
+        self.assertTrue(it.hold(worker, act.function, 0))
         self.assertEqual(it.coming(0), {"f"})
         worker.until = SECOND       # suspended: what it was to load may never come
         self.assertEqual(it.coming(0), set())
@@ -678,8 +678,8 @@
         tenants = (Tenant("a", 0.5, 10.0),)
         it = front_end(4, tenants=tenants)
         for tenant, spare in (("a", False), ("", True), ("made-up", True)):
-            self.assertEqual(call(it, f"c{tenant}", tenant=tenant)[0].spare, spare, tenant)
-        self.assertFalse(call(front_end(4), tenant="any")[0].spare)     # no tenants: no shares
+            self.assertEqual(call(it, f"c{tenant}", tenant=tenant)[0].low_priority, spare, tenant)
+        self.assertFalse(call(front_end(4), tenant="any")[0].low_priority)     # no tenants: no shares
 
     def test_workers_long_gone_leave_the_ring_and_the_memory(self):
         it = front_end(4)
@@ -689,7 +689,7 @@
         self.assertEqual(len(it.ring), sum(map(len, it.ring.sections)))
         self.assertLess(len(it.ring), 20 * POINTS)
         act, _ = call(it, now=200 * SECOND)
-        self.assertEqual({worker.name for worker in it.walk(act.fn)}, {"w0", "w1", "w2", "w3", "n199"})
+        self.assertEqual({worker.name for worker in it.walk(act.function)}, {"w0", "w1", "w2", "w3", "n199"})
 
     def test_a_worker_gone_with_something_out_is_kept_until_it_ended(self):
         it = front_end(2)
@@ -771,8 +771,8 @@
         it = front_end(1, since=SECOND, now=SECOND, front_ends=1)
         it.done = 5.0
         for n in range(50):
-            it.admit(SECOND, f"t{n}", "repeatable", "f", SECOND, work=10 * MS)
-        act = it.admit(SECOND, "heavy", "repeatable", "f", 2 * SECOND, work=900 * MS)
+            it.admit(SECOND, f"t{n}", "repeatable", "f", SECOND, cost_hint=10 * MS)
+        act = it.admit(SECOND, "heavy", "repeatable", "f", 2 * SECOND, cost_hint=900 * MS)
         worker = it.fleet[0]
         worker.credit, worker.earned = 0.2, SECOND
         self.assertFalse(it.cold_room(worker, act, SECOND))
@@ -787,10 +787,10 @@
         for seed in range(20):
             it = front_end(1, since=SECOND, now=SECOND, seed=seed, front_ends=200)
             for n in range(50):
-                it.admit(SECOND, f"t{n}", "repeatable", "f", SECOND, work=10 * MS)
-            heavy = it.admit(SECOND, "heavy", "repeatable", "f", 2 * SECOND, work=900 * MS)
+                it.admit(SECOND, f"t{n}", "repeatable", "f", SECOND, cost_hint=10 * MS)
+            heavy = it.admit(SECOND, "heavy", "repeatable", "f", 2 * SECOND, cost_hint=900 * MS)
             self.assertFalse(it.cold_room(it.fleet[0], heavy, SECOND))
-            self.assertLessEqual(it.fleet[0].credit, heavy.kind.units)
+            self.assertLessEqual(it.fleet[0].credit, heavy.type_stats.units)
 
 
 if __name__ == "__main__":
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -290,7 +290,7 @@
             it.update_workers(SECOND, [Listing("w", State.READY)], True)
             given = 0
             for n in range(9):
-                fn = it.admit(now, str(n), "a", f"f{n}", SECOND).fn
+                fn = it.admit(now, str(n), "a", f"f{n}", SECOND).function
                 it.orders, it.load_limit = 0, 99.0      # not its own pacing, the rule's limit
                 given += it.hold(it.workers["w"], fn, now)
             # Nine calls were taken too, which earn one and four fifths of an order.
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -115,7 +115,7 @@
     def test_a_broken_policy_is_caught(self):
         """Once-only sent again, drains not heeded, cold workers flooded, load orders without end: in one day each."""
         def resend(self, act, worker, now):
-            return not act.answered and worker.ready and act.due > now and len(act.sends) < 4
+            return not act.answered and worker.ready and act.answer_due > now and len(act.sends) < 4
 
         def deaf(self, listings):
             listings = [each for each in listings if each.state is State.READY]
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -19,7 +19,7 @@
 
     def test_a_found_day_is_shrunk_to_what_shows_it(self):
         def resend(self, act, worker, now):
-            return not act.answered and worker.ready and act.due > now and len(act.sends) < 4
+            return not act.answered and worker.ready and act.answer_due > now and len(act.sends) < 4
         text = DAY + "trouble shift\ntrouble break_after_run at 2s for 8s workers 6\ntrouble burst\n"
         kept, Dispatcher.may_send = Dispatcher.may_send, resend
         try:
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -94,7 +94,7 @@
             self.assertLessEqual(held.answered_at, leaving.answered)
             ran = [sent for sent in held.sends if sent.outcome not in (
                 Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT, Outcome.MISS)]
-            if held.act.kind.effect is Effect.ONCE_ONLY:
+            if held.act.type_stats.effect is Effect.ONCE_ONLY:
                 self.assertLessEqual(len(ran), 1)
                 self.assertFalse(ran and answers and answers[0].final is Final.REJECTED)
             self.assertLessEqual(len(held.sends), it.deployment.max_sends)
@@ -150,7 +150,7 @@
 
             def note(*words, **facts):
                 act = take(*words, **facts)
-                taken.append((facts["tenant"], act.spare))
+                taken.append((facts["tenant"], act.low_priority))
                 return act
             it.node.desk.dispatcher.admit = note
             it.call(HTTP_X_TEAM="one")
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -78,20 +78,20 @@
         fn = self.chance.choices(range(60), self.popular)[0]
         kind = self.type_of[fn]
         work = int(self.kinds[kind][1] * MS * self.chance.uniform(0.5, 1.6))
-        act = front.admit(now, f"a{self.serial()}", f"k{kind}", f"f{fn}", 2500 * MS, work=work, lanes=2)
+        act = front.admit(now, f"a{self.serial()}", f"k{kind}", f"f{fn}", 2500 * MS, cost_hint=work, lanes=2)
         self.carry(front, act.start(now), now)
 
     def carry(self, front, steps, now):
         for step in steps:
             if step.do is Do.SEND:
-                send, fn = step.act.sends[-1], step.act.fn.name
+                send, fn = step.activation.sends[-1], step.activation.function.name
                 self.sent[step.worker].append((now, self.kinds[self.type_of[int(fn[1:])]][1] / self.mean))
                 loads = fn not in self.copies[step.worker]
                 self.copies[step.worker].add(fn)
-                self.at(now + (ANSWER + LOAD * loads) * MS, self.answered, front, step.act, send.number, loads)
+                self.at(now + (ANSWER + LOAD * loads) * MS, self.answered, front, step.activation, send.number, loads)
             elif step.do is Do.HOLD:
-                self.copies[step.worker].add(step.fn)
-                self.at(now + LOAD * MS, self.held, front, step.worker, step.fn)
+                self.copies[step.worker].add(step.function)
+                self.at(now + LOAD * MS, self.held, front, step.worker, step.function)
             elif step.do is Do.ASK:
                 self.at(now + 2 * MS, self.told, front, step.worker)
 
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -267,7 +267,7 @@
     def test_a_walk_comes_to_every_worker_once_and_ends(self):
         dispatcher, act = self.one_call(50)
         with mock.patch.object(dispatcher.ring, "next", wraps=dispatcher.ring.next) as steps:
-            self.assertEqual(sorted(worker.name for worker in dispatcher.walk(act.fn)),
+            self.assertEqual(sorted(worker.name for worker in dispatcher.walk(act.function)),
                              sorted(f"s-{n}" for n in range(50)))
         self.assertLess(steps.call_count, 50 * POINTS // 4)
 
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -232,10 +232,10 @@
     """Once-only calls are sent again whatever may have run."""
 
     def may_send(self, act, worker, now):
-        return not act.answered and worker.ready and act.due > now and len(act.sends) < 4
+        return not act.answered and worker.ready and act.answer_due > now and len(act.sends) < 4
 
     def give_up(self, act, now):
-        self.close(act, Do.REJECT if act.kind.effect is not Effect.ONCE_ONLY else Do.ABORT)
+        self.close(act, Do.REJECT if act.type_stats.effect is not Effect.ONCE_ONLY else Do.ABORT)
 
 
 class Deaf(Dispatcher):
--- a/threadshift/adapter/host.py
+++ b/threadshift/adapter/host.py
@@ -78,8 +78,8 @@
         name = event.text("id")
         act = self.dispatcher.admit(
             now, name, event.text("type"), event.text("fn"), event.ns("timeLeft"),
-            tenant=event.text("realm", ""), work=event.ns("predicted", 0), lanes=event.whole("atOnce", 1),
-            load_time=event.ns("loadTimeMs", 0), again=event.flag("againByClient", False))
+            tenant=event.text("realm", ""), cost_hint=event.ns("predicted", 0), lanes=event.whole("atOnce", 1),
+            load_time=event.ns("loadTimeMs", 0), is_client_retry=event.flag("againByClient", False))
         self.acts[name] = act
         return self.closed(act, act.start(now))
 
@@ -95,7 +95,7 @@
     def closed(self, act, steps: list[Step]) -> list[Step]:
         """The steps, with the handle let go once nothing more can come for it."""
         if act.is_finished:
-            self.acts.pop(act.ivk, None)
+            self.acts.pop(act.id, None)
         return steps
 
     def encode(self, step: Step) -> str:
@@ -103,14 +103,14 @@
         if step.do in (Do.REJECT, Do.ABORT):
             self.closed(act, [])
         if step.do is Do.SEND:
-            return line("DISPATCH", i=i, id=act.ivk, worker=step.worker)    # here it leaves at once
+            return line("DISPATCH", i=i, id=act.id, worker=step.worker)    # here it leaves at once
         if step.do is Do.CANCEL:
-            return line("ABANDON", i=i, id=act.ivk, go=step.amount)
+            return line("ABANDON", i=i, id=act.id, go=step.amount)
         if step.do is Do.REJECT:
-            return line("OVERLOAD_REPLY", i=i, id=act.ivk,
+            return line("OVERLOAD_REPLY", i=i, id=act.id,
                         stayAway=to_ms(step.amount) if step.amount else None)
         if step.do is Do.ABORT:
-            return line("DROP_REQUEST", i=i, id=act.ivk)
+            return line("DROP_REQUEST", i=i, id=act.id)
         if step.do is Do.ASK:
             return line("PING", i=i, worker=step.worker)
         return line("MOUNT", i=i, worker=step.worker, fn=step.fn, instances=step.amount)
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -106,16 +106,16 @@
     def shorten_deadlines(self, last: int) -> None:
         """This front end ends: none may be owed an answer past `last`, as nobody would give it."""
         for _, _, act in self.heap:
-            act.due = min(act.due, last - self.margin)
-        self.heap = [(min(at, act.due), number, act) for at, number, act in self.heap]
+            act.answer_due = min(act.answer_due, last - self.margin)
+        self.heap = [(min(at, act.answer_due), number, act) for at, number, act in self.heap]
         heapq.heapify(self.heap)
 
     def on_timeout(self, act: Activation, now: int) -> None:
         """Its own time is up, or it waited long enough for a worker's report, which tells that it is busy."""
-        if now >= act.due and not act.begun:
+        if now >= act.answer_due and not act.answer_started:
             self.give_up(act, now)
-        elif act.asked is not None and not act.answered and now - act.asked.asked >= ASK_WAIT:
-            act.asked.load, act.asked.told = SILENT, now
+        elif act.awaited_worker is not None and not act.answered and now - act.awaited_worker.asked >= ASK_WAIT:
+            act.awaited_worker.load, act.awaited_worker.told = SILENT, now
             self.go_on(act, now)
 
     def update_workers(self, now: int, listings: list[Listing], full: bool) -> list[Step]:
@@ -181,7 +181,7 @@
                     yield worker
 
     def admit(self, now: int, ivk: str, type_name: str, fn_name: str, left: int, *, tenant: str = "",
-             work: int = 0, lanes: int = 1, load_time: int = 0, again: bool = False) -> Activation:
+             cost_hint: int = 0, lanes: int = 1, load_time: int = 0, is_client_retry: bool = False) -> Activation:
         fn = self.functions.pop(fn_name, None)
         if fn is None:
             at, spread = pair_of_points(fn_name)
@@ -201,14 +201,14 @@
         self.took.append(now)
         self.recent(self.took, now)     # orders may be rare: without this the times would pile up
         kind = self.kinds[type_name]
-        if work:
-            kind.work += TREND * (work - kind.work) if kind.work else work
+        if cost_hint:
+            kind.work += TREND * (cost_hint - kind.work) if kind.work else cost_hint
             kind.units = kind.work / SECOND
         self.units += TREND * (kind.units - self.units) if self.units else kind.units
         self.spread(fn, kind, now)
-        act = Activation(self, ivk, kind, fn, now, now + max(0, left - self.margin), work,
-                         again or self.beyond_share(tenant, now), fn.turn)
-        heapq.heappush(self.heap, (act.due, self.number(), act))
+        act = Activation(self, ivk, kind, fn, now, now + max(0, left - self.margin), cost_hint,
+                         is_client_retry or self.beyond_share(tenant, now), fn.turn)
+        heapq.heappush(self.heap, (act.answer_due, self.number(), act))
         return act
 
     def beyond_share(self, tenant: str, now: int) -> bool:
@@ -235,8 +235,8 @@
         fn.kept = ours <= 1 and ours * (self.front_ends - 1) >= KEPT
 
     def expected(self, act: Activation) -> float:
-        hint = act.work / act.kind.work if act.work and act.kind.work else 1.0
-        return act.kind.typical * (0.5 + 0.5 * hint)
+        hint = act.cost_hint / act.type_stats.work if act.cost_hint and act.type_stats.work else 1.0
+        return act.type_stats.typical * (0.5 + 0.5 * hint)
 
     def cap(self, worker: Worker, now: int) -> float:
         """The design's cap, by told size; from one upwards for a worker that has just started."""
@@ -249,7 +249,7 @@
     def cold_room(self, worker: Worker, act: Activation, now: int) -> bool:
         """Our part of what a just started worker can surely take is earned over time, from a point drawn by
         chance: one send at once from each front end would push it over. Unknown: one a stretch by all."""
-        age, mean, units = self.age(worker, now), act.kind.units, self.weight(act)
+        age, mean, units = self.age(worker, now), act.type_stats.units, self.weight(act)
         if age >= 1:
             return True
         able = (self.cold_share + (1 - self.cold_share) * age) * min(1.0, worker.size / self.mean_size)
@@ -261,7 +261,7 @@
         return worker.credit >= units
 
     def weight(self, act: Activation) -> float:     # on a cold worker; by its own hint where that says more
-        return max(act.kind.units, act.work / SECOND)
+        return max(act.type_stats.units, act.cost_hint / SECOND)
 
     def settle(self, worker: Worker, now: int) -> None:
         """What time alone does: limits recover, and a pace not heard of for a while fades."""
@@ -272,7 +272,7 @@
 
     def fit(self, worker: Worker, act: Activation, now: int) -> bool:
         self.settle(worker, now)
-        hall, trial = self.halls[worker.zone], act.kind.effect is not Effect.ONCE_ONLY
+        hall, trial = self.halls[worker.zone], act.type_stats.effect is not Effect.ONCE_ONLY
         return worker.until <= now and hall.until <= now and self.cold_room(worker, act, now) and (
             # Suspended before, it is on trial: one repeatable send at a time until an answer. So is its hall.
             not worker.suspensions or not worker.sends and trial) and (
@@ -304,7 +304,7 @@
         return len(list(islice(standing, 2))) == 2
 
     def place(self, act: Activation, now: int) -> Worker | None:
-        fn, stops, chosen = act.fn, [], None
+        fn, stops, chosen = act.function, [], None
         ready = list(self.reach(fn))
         group = ready[:fn.width]
         fn.group = dict.fromkeys(group)
@@ -314,8 +314,8 @@
         shift = min(bisect.bisect(sizes, act.turn * GOLDEN % 1.0 * sizes[-1]), len(sizes) - 1)
         on = act.turn % max(1, len(far))
         # Heard of a copy since, as by our order after a 'miss', a worker is worth trying again.
-        tried = [send.worker for send in act.sends if not send.worker.holds(fn, send.at + self.keep)]
-        heft = max(1.0, self.expected(act) / act.kind.typical) / (SPARE if act.spare else 1.0)
+        tried = [send.worker for send in act.sends if not send.worker.holds(fn, send.sent_at + self.keep)]
+        heft = max(1.0, self.expected(act) / act.type_stats.typical) / (SPARE if act.low_priority else 1.0)
         turned = (one for one in chain(
             near[shift:], near[:shift], far[on:], far[:on], ready[fn.width:]) if one not in tried)
         fit = (one for one in chain(turned, tried) if one.ready and self.fit(one, act, now))
@@ -325,7 +325,7 @@
             stops.append(worker)
             home = group[0] if fn.width > 1 else stops[0]
             if self.stands(worker, fn, now) and worker.calls(fn) < fn.part and (
-                    not act.spare or len(worker.sends) < SPARE * worker.limit) and (
+                    not act.low_priority or len(worker.sends) < SPARE * worker.limit) and (
                     self.room(worker, now, heft) or worker is home and self.age(home, now) >= 1
                     and self.press(home, now) * heft <= 1 and len(worker.sends) < worker.limit):
                 chosen = worker
@@ -344,15 +344,15 @@
                 return None
             if coming is not None and coming.calls(fn) < fn.part:
                 return coming
-            if len(self.waiting(fn)) < PARKED * fn.lanes and not act.spare:
+            if len(self.waiting(fn)) < PARKED * fn.lanes and not act.low_priority:
                 fn.parked.append(act)   # more waiting there than lanes would bring copy after copy
             return None
         if chosen is None:
-            if act.spare:
+            if act.low_priority:
                 return None
             first = next((worker for worker in stops if worker not in warm and self.room(worker, now)), first)
-            able = [one for one in warm if len(one.sends) < one.limit * (SPARE if act.spare else 1.0) and (
-                self.press(one, now) * heft * EASE <= (1.0 if self.blind else act.kind.grade))]
+            able = [one for one in warm if len(one.sends) < one.limit * (SPARE if act.low_priority else 1.0) and (
+                self.press(one, now) * heft * EASE <= (1.0 if self.blind else act.type_stats.grade))]
             able.sort(key=lambda one: (self.blind and self.press(one, now), len(one.sends) / one.limit))
             chosen = able[0] if able else next(
                 (worker for worker in stops if self.room(worker, now) and self.may_load(now, WIDEN)), None)
@@ -365,7 +365,7 @@
 
     def hopeless(self, act: Activation, now: int) -> bool:
         """Whether it could only wait for its time to end: no load is under way, and none could be in time."""
-        return act.due - now < SOON * (act.fn.load or self.load_base)
+        return act.answer_due - now < SOON * (act.function.load or self.load_base)
 
     def may_load(self, now: int, part: float = 1.0) -> bool:
         room, out = self.load_limit * part, self.orders + self.cold_out
@@ -404,42 +404,42 @@
 
     def may_send(self, act: Activation, worker: Worker, now: int) -> bool:
         """Rules 1 to 3 for one send; true only where nothing can happen twice that must not."""
-        kind, maybe = act.kind, self.maybe(act)
-        if act.answered or act.begun or not worker.ready or act.due <= now or (
-                len(act.sends) >= self.max_sends) or (act.out and not self.may_twice):
+        kind, maybe = act.type_stats, self.maybe(act)
+        if act.answered or act.answer_started or not worker.ready or act.answer_due <= now or (
+                len(act.sends) >= self.max_sends) or (act.open_send_count and not self.may_twice):
             return False
         return not maybe or kind.effect is Effect.REPEATABLE or kind.effect is Effect.DEDUPLICATED and all(
             (kind.group == "all" or getattr(send.worker, kind.group) == getattr(worker, kind.group))
-            and now + self.margin < send.at + kind.span for send in maybe)
+            and now + self.margin < send.sent_at + kind.span for send in maybe)
 
     def maybe(self, act: Activation) -> list[Send]:     # sends that may have run, or may run yet
-        return act.risky + [send for send in act.sends if send.out]
+        return act.possible_runs + [send for send in act.sends if send.is_open]
 
     def send(self, act: Activation, worker: Worker, now: int) -> bool:   # every send passes here
         if not self.may_send(act, worker, now):
             return False
         # A repeat that waits for its connection must have left while the earlier ones are remembered.
-        spans = [one.at + act.kind.span - self.margin - now for one in self.maybe(act)]
-        wait = min(spans, default=0) if act.kind.effect is Effect.DEDUPLICATED else 0
-        send = Send(act, len(act.sends), worker, now, self.stands(worker, act.fn, now))
+        spans = [one.sent_at + act.type_stats.span - self.margin - now for one in self.maybe(act)]
+        wait = min(spans, default=0) if act.type_stats.effect is Effect.DEDUPLICATED else 0
+        send = Send(act, len(act.sends), worker, now, self.stands(worker, act.function, now))
         act.sends.append(send)
         worker.sends[send] = self.flying[send] = None
-        act.out, self.cold_out = act.out + 1, self.cold_out + (not send.warm)
+        act.open_send_count, self.cold_out = act.open_send_count + 1, self.cold_out + (not send.warm)
         self.load_at = self.load_at if send.warm else now
         worker.credit = max(0.0, worker.credit - self.weight(act))
         self.out.append(Step(Do.SEND, act, worker.name, amount=wait))
         return True
 
     def go_on(self, act: Activation, now: int) -> None:
-        act.asked, fn = None, act.fn
+        act.awaited_worker, fn = None, act.function
         worker = None if act.answered else self.place(act, now)
         if act.answered or fn.parked and fn.parked[-1] is act or worker and self.ask(worker, act, now):
             return
         # Work done again, and load after load begun on one walk, would feed a storm: both are budgeted.
-        cost = bool(act.risky) + (not self.stands(worker, fn, now)) if worker and act.sends else 0
+        cost = bool(act.possible_runs) + (not self.stands(worker, fn, now)) if worker and act.sends else 0
         if worker is not None and self.budget >= cost and self.send(act, worker, now):
             self.budget -= cost
-        elif not act.out:
+        elif not act.open_send_count:
             self.give_up(act, now)
 
     def wake(self, fn: Function | None, now: int) -> None:
@@ -456,14 +456,14 @@
 
     def give_up(self, act: Activation, now: int) -> None:
         """A rejection says that trying again is harmless, so it must be; else abort."""
-        safe = act.kind.effect is Effect.REPEATABLE or act.kind.effect is Effect.DEDUPLICATED and (
-            act.kind.group == "all")
-        self.close(act, Do.REJECT if safe or not (act.risky or act.out) else Do.ABORT)
+        safe = act.type_stats.effect is Effect.REPEATABLE or act.type_stats.effect is Effect.DEDUPLICATED and (
+            act.type_stats.group == "all")
+        self.close(act, Do.REJECT if safe or not (act.possible_runs or act.open_send_count) else Do.ABORT)
 
     def on_client_gone(self, act: Activation) -> None:
         """Its client is gone. It earns no load orders: hundreds withdrawn at once would widen the ration."""
-        if not act.answered and act.taken in self.took:
-            self.took.remove(act.taken)
+        if not act.answered and act.admitted_at in self.took:
+            self.took.remove(act.admitted_at)
         self.close(act, None)
 
     def close(self, act: Activation, how: Do | None) -> None:
@@ -474,27 +474,27 @@
         if how:
             told = self.advice * (1 - ADVICE * self.chance()) if how is Do.REJECT else 0
             self.out.append(Step(how, act, amount=int(told)))
-        for send in act.sends if self.may_cancel and not act.begun else ():
-            if send.out:
+        for send in act.sends if self.may_cancel and not act.answer_started else ():
+            if send.is_open:
                 self.out.append(Step(Do.CANCEL, act, send.worker.name, amount=send.number))
 
     def on_send_ended(self, send: Send, now: int, outcome: Outcome, waited: int, copy: Copy, final: bool,
               report: Report | None) -> None:
-        act, worker, fn = send.act, send.worker, send.act.fn
-        if not send.out:
+        act, worker, fn = send.activation, send.worker, send.activation.function
+        if not send.is_open:
             return
-        send.out, act.out, self.cold_out = False, act.out - 1, self.cold_out - (not send.warm)
+        send.is_open, act.open_send_count, self.cold_out = False, act.open_send_count - 1, self.cold_out - (not send.warm)
         del worker.sends[send], self.flying[send]
         self.record_report(worker, now, report)
         self.learn(send, now, outcome, waited, copy)
         if outcome not in NEVER_RAN:
-            act.risky.append(send)
+            act.possible_runs.append(send)
         self.wake(fn, now)
         if final:
             self.close(act, None)
-        elif act.answered or act.out or act.begun:
+        elif act.answered or act.open_send_count or act.answer_started:
             return
-        elif outcome is Outcome.ERROR and len(act.risky) > 1 and not fn.served:
+        elif outcome is Outcome.ERROR and len(act.possible_runs) > 1 and not fn.served:
             # Never completed, failed by two workers: names made up would use up what may be sent again.
             self.give_up(act, now)
         elif outcome is Outcome.MISS and not self.loads_itself and copy is not Copy.LOAD_FAILED and (
@@ -504,7 +504,7 @@
             self.go_on(act, now)
 
     def learn(self, send: Send, now: int, outcome: Outcome, waited: int, copy: Copy) -> None:
-        worker, act, fn = send.worker, send.act, send.act.fn
+        worker, act, fn = send.worker, send.activation, send.activation.function
         self.settle(worker, now)
         if outcome in (Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL, Outcome.MISS):
             worker.heard, hall = now, self.halls[worker.zone]
@@ -515,10 +515,10 @@
             worker.warm[fn.name], fn.served = now + self.keep, now
             self.budget = min(BUDGET_MOST, self.budget + BUDGET_SHARE)
             self.done *= max(0.0, 1 - (now - self.done_at) / RATE_MEMORY)
-            self.done, self.done_at = self.done + act.kind.units, now
+            self.done, self.done_at = self.done + act.type_stats.units, now
             if copy is Copy.FOUND or (copy is Copy.UNTOLD and send.warm):
                 ratio = self.pace(send, waited, now)
-                act.kind.typical *= 1 + TREND * (min(ratio, PATIENCE) - 1)
+                act.type_stats.typical *= 1 + TREND * (min(ratio, PATIENCE) - 1)
                 if worker.pace <= EASE and len(worker.sends) + 1 >= worker.limit:
                     worker.limit += 1 / worker.limit if worker.cut else 1
             elif copy is Copy.BEGAN:
@@ -536,7 +536,7 @@
             worker.warm.pop(fn.name, None)
         elif copy is not Copy.LOAD_FAILED and outcome in FAILED and not (
                 # A function that nobody serves, or a call that failed before, would suspend the whole fleet.
-                outcome is Outcome.ERROR and (act.risky or not fn.served)):
+                outcome is Outcome.ERROR and (act.possible_runs or not fn.served)):
             self.strike(worker, now)
 
     def record_report(self, worker: Worker, now: int, report: Report | None) -> None:
@@ -556,14 +556,14 @@
 
     def ask(self, worker: Worker, act: Activation, now: int) -> bool:
         """Whether the activation waits a moment for a report, where the last one is too old to go by."""
-        if not self.blind or min(self.may_ask, ASKS - act.asks) <= 0 or (
+        if not self.blind or min(self.may_ask, ASKS - act.probe_count) <= 0 or (
                 now - max(worker.told, worker.asked) < FRESH_FOR) or (
                 # Nothing hangs on the answer where all are calm, or no second copy stands and none could be
                 # loaded now: the store is crowded, or our loads are under way.
-                self.chance() >= ASKED * self.pressed or not self.choosable(act.fn, now) and (
+                self.chance() >= ASKED * self.pressed or not self.choosable(act.function, now) and (
                     self.load_limit < self.most_loads or not self.may_load(now, WIDEN))):
             return False
-        act.asks, act.asked = act.asks + 1, worker
+        act.probe_count, act.awaited_worker = act.probe_count + 1, worker
         if not worker.askers:
             self.question(worker, now)
         worker.askers.append(act)
@@ -581,12 +581,12 @@
             worker.heard = now      # cores are free, so what it has not answered for long waits for a load
         self.may_ask = UNTOLD if worker.told == now else self.may_ask - 1   # some places' probes tell no load
         askers, worker.askers = worker.askers, []
-        return self.steps(lambda: [self.go_on(act, now) for act in askers if act.asked is worker])
+        return self.steps(lambda: [self.go_on(act, now) for act in askers if act.awaited_worker is worker])
 
     def pace(self, send: Send, waited: int, now: int) -> float:
         """Notes what one send took, for its weight, and eases the worker; returns it over the expected."""
-        worker, kind = send.worker, send.act.kind
-        ratio = waited / max(1.0, self.expected(send.act))
+        worker, kind = send.worker, send.activation.type_stats
+        ratio = waited / max(1.0, self.expected(send.activation))
         worker.pace += FRESH * (min(1.0, kind.typical * ratio / kind.target) - worker.pace)
         if worker.pace > EASE:
             self.ease(worker, now)
@@ -622,8 +622,8 @@
 
     def patience(self, send: Send) -> tuple[float, float]:
         """From when on its worker is asked whether it is there; and until when it may be loading for it."""
-        usual = max(PATIENCE * self.expected(send.act), EASE * send.act.kind.target)
-        load = 0 if send.warm and not send.act.fn.kept else 2 * CROWDED * (send.act.fn.load or self.load_base)
+        usual = max(PATIENCE * self.expected(send.activation), EASE * send.activation.type_stats.target)
+        load = 0 if send.warm and not send.activation.function.kept else 2 * CROWDED * (send.activation.function.load or self.load_base)
         return usual + (0 if self.may_probe and self.many else load), usual + load
 
     def run_health_round(self, now: int) -> None:
@@ -632,14 +632,14 @@
             return
         self.next_round = now + ROUND
         for send in list(self.flying):
-            worker, waited, (asks, loads) = send.worker, now - send.at, self.patience(send)
+            worker, waited, (asks, loads) = send.worker, now - send.sent_at, self.patience(send)
             if waited <= asks:
                 continue
-            if worker.heard < send.at and worker.until <= now:
+            if worker.heard < send.sent_at and worker.until <= now:
                 if self.halls[worker.zone].until <= now and (
                         self.may_probe and now - worker.asked < PROBED or self.probe(worker, send, now)):
                     continue
-                if waited <= loads and worker.there > send.at:
+                if waited <= loads and worker.there > send.sent_at:
                     continue        # it answers questions, so it may load
                 worker.strikes = STRIKES
                 self.strike(worker, now)
@@ -649,7 +649,7 @@
         coming = self.coming(now) if parked else ()
         for fn in sorted(parked, key=lambda fn: -len(fn.parked)):
             if fn.name not in coming:
-                for act in [each for each in self.waiting(fn) if not each.out and self.hopeless(each, now)]:
+                for act in [each for each in self.waiting(fn) if not each.open_send_count and self.hopeless(each, now)]:
                     fn.parked.remove(act)
                     self.give_up(act, now)
                 self.wake(fn, now)
@@ -657,14 +657,14 @@
     def coming(self, now: int) -> set[str]:
         """Functions of which a load may be under way. A suspended worker is not waited for: what it was to load may
         never come."""
-        named = chain(((send.worker, send.act.fn.name) for send in self.flying),
+        named = chain(((send.worker, send.activation.function.name) for send in self.flying),
                       ((worker, name) for worker in self.ordered_from for name in worker.loads))
         return {name for worker, name in named if worker.ready and worker.until <= now}
 
     def probe(self, worker: Worker, send: Send, now: int) -> bool:
         """Asks a worker that seems silent, once a send, whether it loads: one whose copies were dropped does
         so for calls that we thought warm, and says nothing. Suspended for it, all would be, in turn."""
-        if not self.may_probe or worker.asked > send.at:
+        if not self.may_probe or worker.asked > send.sent_at:
             return False
         self.question(worker, now)
         return True
@@ -674,12 +674,12 @@
         self.out.append(Step(Do.ASK, worker=worker.name))
 
     def move(self, send: Send, now: int) -> None:    # off a suspended worker
-        act = send.act
-        if act.answered or act.begun or act.out > 1 or act.kind.effect is not Effect.REPEATABLE or (
-                self.budget < 1 or act.due <= now or len(act.sends) >= self.max_sends):
+        act = send.activation
+        if act.answered or act.answer_started or act.open_send_count > 1 or act.type_stats.effect is not Effect.REPEATABLE or (
+                self.budget < 1 or act.answer_due <= now or len(act.sends) >= self.max_sends):
             return
         if self.may_twice:
-            act.risky.append(send)      # it may be running, so the second send is budgeted
+            act.possible_runs.append(send)      # it may be running, so the second send is budgeted
             self.go_on(act, now)
         elif self.may_cancel:
             self.out.append(Step(Do.CANCEL, act, send.worker.name, amount=send.number))
--- a/threadshift/desk/desk.py
+++ b/threadshift/desk/desk.py
@@ -165,8 +165,8 @@
             call = call._replace(left=min(call.left, self.last - now))
         held = Held(self, ivk, call, now, now + max(0, call.left), client=client)
         held.act = self.dispatcher.admit(
-            now, ivk, call.type, call.function, call.left, tenant=call.tenant, work=call.work, lanes=call.lanes,
-            load_time=call.load_time, again=call.again)
+            now, ivk, call.type, call.function, call.left, tenant=call.tenant, cost_hint=call.work, lanes=call.lanes,
+            load_time=call.load_time, is_client_retry=call.again)
         self.held[ivk] = held
         self.owed += 1
         self.counts["taken"] += 1
@@ -254,7 +254,7 @@
             self.busy = False
 
     def step(self, step: Step, now: int) -> None:
-        held = self.held.get(step.act.ivk) if step.act else None
+        held = self.held.get(step.act.id) if step.act else None
         if step.do is Do.SEND and held:
             number = len(held.sends)
             held.sends.append(Sent(step.worker, now))
@@ -326,7 +326,7 @@
             # Left as a ring, each call would wait for the collector, which then stands still for tens of ms.
             held.client = None
             held.act.sends.clear()
-            held.act.risky.clear()
+            held.act.possible_runs.clear()
 
     # Small things.
 
@@ -349,15 +349,15 @@
 def refusal(held: Held, step: Step, now: int) -> Answer:
     """A rejection or an abort with its reason, by what was seen last."""
     last = held.sends[-1].outcome if held.sends else None
-    if held.act.due <= now:
+    if held.act.answer_due <= now:
         reason = "time-up"
     elif held.sends:
         reason = f"last-send-{last.value.replace(' ', '-')}" if last else "send-under-way"
     else:
-        reason = "over-share" if held.act.spare else "no-room"
+        reason = "over-share" if held.act.low_priority else "no-room"
     ran = may_have_run(held)
     if step.do is Do.ABORT:
         return Answer(Final.ABORTED, reason, may_have_run=ran)
     # A repeatable call may be tried again although it ran; the client is told both.
     return Answer(Final.REJECTED, reason, come_back=step.amount,
-                  may_have_run=ran and held.act.kind.effect is not Effect.ONCE_ONLY)
+                  may_have_run=ran and held.act.type_stats.effect is not Effect.ONCE_ONLY)
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -239,7 +239,7 @@
         key = (held, number)
         self.out.setdefault(worker, {})[key] = None
         mark, work = held.call.mark.split(" ")
-        job = Job(self.name, mark, held.call.function, held.act.kind.effect.value, int(work), held.deadline,
+        job = Job(self.name, mark, held.call.function, held.act.type_stats.effect.value, int(work), held.deadline,
                   lambda outcome, copy, report: self.network.back(self, it, self.replied, worker, key, outcome, copy,
                                                                   report))
         self.network.forth(self, it, it.invoke, job, held.call.work, max(1, held.call.lanes))
--- a/threadshift/interface.py
+++ b/threadshift/interface.py
@@ -146,12 +146,12 @@
 class Send:
     """One try of an activation on a worker."""
 
-    act: Activation
+    activation: Activation
     number: int
     worker: Any
-    at: int
+    sent_at: int
     warm: bool                   # a copy was believed to stand
-    out: bool = True             # no outcome yet
+    is_open: bool = True             # no outcome yet
 
 
 @dataclass(slots=True, eq=False)
@@ -159,26 +159,26 @@
     """One call taken: the caller's handle to it. All that it is told goes to the dispatcher that made it."""
 
     dispatcher: Any
-    ivk: str
-    kind: Any
-    fn: Any
-    taken: int
-    due: int                     # when its final answer is due
-    work: int                    # cost hint in ns; 0: none
-    spare: bool                  # worth least: a client's repetition, or beyond a share
+    id: str
+    type_stats: Any
+    function: Any
+    admitted_at: int
+    answer_due: int                     # when its final answer is due
+    cost_hint: int                    # cost hint in ns; 0: none
+    low_priority: bool                  # worth least: a client's repetition, or beyond a share
     turn: int                    # of its function's round-robin
-    asks: int = 0                # workers asked for a report on its account
-    asked: Any = None            # the worker whose report it waits for
+    probe_count: int = 0                # workers asked for a report on its account
+    awaited_worker: Any = None            # the worker whose report it waits for
     sends: list[Send] = field(default_factory=list)
-    risky: list[Send] = field(default_factory=list)     # sends that may have run
-    out: int = 0                 # sends without an outcome yet
+    possible_runs: list[Send] = field(default_factory=list)     # sends that may have run
+    open_send_count: int = 0                 # sends without an outcome yet
     answered: bool = False
-    begun: bool = False          # a streamed answer has begun
+    answer_started: bool = False          # a streamed answer has begun
 
     @property
     def is_finished(self) -> bool:
         """Nothing more can come for it."""
-        return self.answered and not self.out
+        return self.answered and not self.open_send_count
 
     def start(self, now: int) -> list[Step]:
         return self.dispatcher.steps(self.dispatcher.go_on, self, now)
@@ -189,7 +189,7 @@
         return self.dispatcher.steps(self.dispatcher.on_send_ended, send, now, outcome, waited, copy, final, report)
 
     def on_answer_started(self, now: int, number: int) -> list[Step]:
-        self.begun = True
+        self.answer_started = True
         return []
 
     def on_client_gone(self, now: int) -> list[Step]:
--- a/threadshift/state.py
+++ b/threadshift/state.py
@@ -86,7 +86,7 @@
         return self.warm.get(fn.name, 0) > when
 
     def calls(self, fn: Function) -> int:
-        return sum(send.act.fn is fn for send in self.sends)
+        return sum(send.activation.function is fn for send in self.sends)
 
     def loading(self, fn: Function) -> bool:
         return fn.name in self.loads or self.calls(fn) > 0
--- a/threadshift/trials/policies.py
+++ b/threadshift/trials/policies.py
@@ -62,7 +62,7 @@
     """Consistent hashing: home, or the next clockwise that may be sent to."""
 
     def candidates(self, act: Activation) -> list[Worker]:
-        return list(self.walk(act.fn))
+        return list(self.walk(act.function))
 
     def pick(self, act: Activation, able: list[Worker], now: int) -> Worker:
         return able[0]
@@ -91,17 +91,17 @@
         it = self.network.workers.get(worker.name)
         if it is None or not it.alive or it.draining:
             return float("inf")
-        work = (act.work or USUAL_WORK) * it.slowness()
+        work = (act.cost_hint or USUAL_WORK) * it.slowness()
         stuck = max(it.faults.left("hang"), it.faults.left("stall"))
         # What is on its way counts as arrived: else all calls of one moment would go to one worker.
         queued = max(it.running + len(it.ready), len(worker.sends))
         cores = max(0, queued - it.machine.cores + 1) * work / it.machine.cores
-        shelf = it.shelves.get(act.fn.name)
+        shelf = it.shelves.get(act.function.name)
         if shelf is not None and shelf.copies:
             lanes = len(shelf.copies) * shelf.lanes
             busy = sum(copy.busy for copy in shelf.copies) + len(shelf.queue)
             return stuck + max(cores, max(0, busy - lanes + 1) * work / lanes) + work
-        pack = it.store.pack(act.fn.name)
+        pack = it.store.pack(act.function.name)
         load = (pack["fetch_ms"] * max(1.0, it.store.faults.amount("slow")) + pack["start_ms"]) * MS
         if shelf is not None and shelf.loading:
             return stuck + load / 2 + (1 + len(shelf.queue)) * work
