--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,6 @@
 """A small front end for the tests: a deployment, a dispatcher, and short ways to call it."""
 from threadshift.choice import Dispatcher
-from threadshift.interface import MS, SECOND, Deployment, Do, Effect, Listing, NamespaceType, State
+from threadshift.interface import MS, SECOND, Deployment, Action, Effect, Listing, NamespaceType, State
 
 TYPES = tuple(NamespaceType(effect.value, 600 * MS, 2500 * MS, 1.0, 0.3, effect, "zone", 2 * SECOND)
               for effect in Effect)
@@ -30,8 +30,8 @@
 
 
 def sent(steps):
-    return [step.worker for step in steps if step.do is Do.SEND]
+    return [step.worker for step in steps if step.action is Action.SEND]
 
 
 def does(steps):
-    return [step.do for step in steps]
+    return [step.action for step in steps]
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -4,7 +4,7 @@
 
 from tests.helpers import call, does, front_end, ready, sent
 from threadshift.choice import NAMES, PARKED
-from threadshift.interface import MS, SECOND, Copy, Do, Effect, NamespaceType, Outcome, Report, State, Tenant
+from threadshift.interface import MS, SECOND, Copy, Action, Effect, NamespaceType, Outcome, Report, State, Tenant
 from threadshift.ring import POINTS
 
 ONCE, AGAIN, MARKED = Effect.ONCE_ONLY, Effect.REPEATABLE, Effect.DEDUPLICATED
@@ -98,7 +98,7 @@
         other.warm["f"] = 10 * SECOND
         _, steps = call(it, now=2 * SECOND)
         self.assertEqual(sent(steps), [other.name])
-        self.assertEqual([step.worker for step in steps if step.do is Do.HOLD], [home.name])
+        self.assertEqual([step.worker for step in steps if step.action is Action.LOAD], [home.name])
         it.on_load_ended(3 * SECOND, home.name, "f", Outcome.COMPLETED, 1)
         self.assertEqual(serve(it, now=3 * SECOND), home.name)
 
@@ -114,7 +114,7 @@
         act, steps = call(it)
         home = sent(steps)[0]
         steps = act.on_send_ended(5 * MS, 0, Outcome.MISS, 5 * MS)
-        self.assertEqual([(step.do, step.worker, step.amount) for step in steps], [(Do.HOLD, home, 1)])
+        self.assertEqual([(step.action, step.worker, step.amount) for step in steps], [(Action.LOAD, home, 1)])
         self.assertEqual(sent(it.on_load_ended(SECOND, home, "f", Outcome.COMPLETED, 1)), [home])
 
 
@@ -128,7 +128,7 @@
                 steps = act.on_send_ended(10 * MS, 0, outcome, 10 * MS)
                 # workers here share one zone, so a deduplicated activation may go to any of them
                 again = effect is not ONCE or outcome in unrun
-                self.assertEqual(does(steps), [Do.SEND if again else Do.ABORT], (outcome, effect))
+                self.assertEqual(does(steps), [Action.SEND if again else Action.ABORT], (outcome, effect))
 
     def test_deduplicated_stays_in_group_and_span(self):
         # zone of the other worker, when the time-out comes, whether sent again
@@ -139,7 +139,7 @@
             act, steps = call(it, effect=MARKED)
             it.workers[sent(steps)[0]].until = 10 * SECOND
             steps = act.on_send_ended(when, 0, Outcome.TIMEOUT, when)
-            self.assertEqual(does(steps), [Do.SEND if again else Do.ABORT], (zone, when))
+            self.assertEqual(does(steps), [Action.SEND if again else Action.ABORT], (zone, when))
 
     def test_answered_in_time_and_once(self):
         for effect in Effect:
@@ -150,8 +150,8 @@
                 now = it.due()
                 self.assertLess(now, 100 * MS)
                 steps += it.tick(now)
-            final = [do for do in does(steps) if do in (Do.ABORT, Do.REJECT)]
-            self.assertEqual(final, [Do.REJECT if effect is AGAIN else Do.ABORT])
+            final = [do for do in does(steps) if do in (Action.ABORT, Action.REJECT)]
+            self.assertEqual(final, [Action.REJECT if effect is AGAIN else Action.ABORT])
             self.assertEqual(act.on_send_ended(99 * MS, 0, Outcome.FULL, 99 * MS), [])
 
     def test_nothing_new_to_draining_gone_or_unlisted(self):
@@ -165,7 +165,7 @@
                 self.assertFalse(it.hold(it.workers["w0"], it.functions[fn], 0))
 
     def test_empty_ring_rejects_at_once(self):
-        self.assertEqual(does(call(front_end(0))[1]), [Do.REJECT])
+        self.assertEqual(does(call(front_end(0))[1]), [Action.REJECT])
 
     def test_a_cold_worker_gets_no_more_than_its_budget_from_all_front_ends(self):
         # front ends, age, completed work a second and worker in all, most and least sends in one stretch
@@ -203,7 +203,7 @@
             it.load_limit = 1000.0
             acts = [it.admit(SECOND + n, str(n), AGAIN.value, "f", 3 * SECOND) for n in range(400)]
             for act in acts[:answered]:
-                it.close(act, Do.REJECT)        # those that have their answer were calls like any other
+                it.close(act, Action.REJECT)        # those that have their answer were calls like any other
             for act in acts[:withdrawn]:
                 act.on_client_gone(2 * SECOND)
             given = 0
@@ -252,14 +252,14 @@
                     finals[send.activation.id] = finals.get(send.activation.id, 0) + done
                     steps += send.activation.on_send_ended(now, send.number, outcome, now - send.sent_at, final=done)
                 for step in steps:
-                    if step.do in (Do.REJECT, Do.ABORT):
-                        finals[step.act.id] = finals.get(step.act.id, 0) + 1
-                    if step.do is Do.SEND:
+                    if step.action in (Action.REJECT, Action.ABORT):
+                        finals[step.activation.id] = finals.get(step.activation.id, 0) + 1
+                    if step.action is Action.SEND:
                         self.assertTrue(it.workers[step.worker].ready)
             while any(not act.answered for act, _ in acts):
                 for step in it.tick(it.due()):
-                    if step.do in (Do.REJECT, Do.ABORT):
-                        finals[step.act.id] = finals.get(step.act.id, 0) + 1
+                    if step.action in (Action.REJECT, Action.ABORT):
+                        finals[step.activation.id] = finals.get(step.activation.id, 0) + 1
             self.assertEqual(set(finals.values()), {1}, seed)
             self.assertEqual(len(finals), len(acts))
 
@@ -292,7 +292,7 @@
                 it = self.front_end(pressed, copies, seed=seed)
                 it.crowd(crowded, SECOND)
                 it.orders += loads
-                asked += Do.ASK in does(call(it, "a", SECOND)[1])
+                asked += Action.PROBE in does(call(it, "a", SECOND)[1])
             self.assertTrue(least <= asked / 100 <= most, (pressed, copies, crowded, loads, asked))
 
     def test_a_crowded_store_is_asked_for_less_than_one_load_each(self):
@@ -355,25 +355,25 @@
                               (Report(waiting=0.0, pinned=0.1), True)):
             it = self.front_end()
             act, steps = call(it, "a", SECOND, "f")
-            asked = [step.worker for step in steps if step.do is Do.ASK]
+            asked = [step.worker for step in steps if step.action is Action.PROBE]
             self.assertEqual((len(asked), sent(steps)), (1, []))
             if report:
                 steps = it.on_report(SECOND + MS, asked[0], Outcome.COMPLETED, report)
             else:
                 steps = it.tick(SECOND + 31 * MS)
-            on = sent(steps) or [step.worker for step in steps if step.do is Do.ASK]
+            on = sent(steps) or [step.worker for step in steps if step.action is Action.PROBE]
             self.assertEqual(on == asked, there, report)
 
     def test_asking_ends_where_probes_tell_no_load_and_never_starts_with_few_front_ends(self):
         it = self.front_end(fns=[f"g{n}" for n in range(41)])
         for n in range(41):
             act, steps = call(it, f"c{n}", SECOND + n * SECOND, f"g{n}")
-            asked = [step.worker for step in steps if step.do is Do.ASK]
+            asked = [step.worker for step in steps if step.action is Action.PROBE]
             self.assertEqual(len(asked), n < 40, n)
             for name in asked:
                 it.on_report(SECOND + n * SECOND, name, Outcome.COMPLETED, None)
             act.on_send_ended(SECOND + n * SECOND, 0, Outcome.COMPLETED, MS, final=True)
-        self.assertEqual(does(call(front_end(may_probe=True, front_ends=3))[1]), [Do.SEND])
+        self.assertEqual(does(call(front_end(may_probe=True, front_ends=3))[1]), [Action.SEND])
 
     def test_answered_while_it_waits_for_a_report(self):
         it = self.front_end()
@@ -381,7 +381,7 @@
         while not act.answered:
             self.assertLess(it.due(), SECOND + 20 * MS)
             steps += it.tick(max(SECOND, it.due()))
-        self.assertEqual([do for do in does(steps) if do is not Do.ASK], [Do.REJECT])
+        self.assertEqual([do for do in does(steps) if do is not Action.PROBE], [Action.REJECT])
         asked = act.awaited_worker
         self.assertEqual(it.on_report(2 * SECOND, asked.name, Outcome.COMPLETED, Report(waiting=0.0)), [])
 
@@ -413,7 +413,7 @@
         act, steps = call(it, "b", 20 * MS, lanes=3)
         self.assertEqual(sent(steps), [home])
         steps = [step for _ in range(20) for step in it.tick(it.due())]
-        self.assertIn((Do.CANCEL, act), [(step.do, step.act) for step in steps])
+        self.assertIn((Action.CANCEL, act), [(step.action, step.activation) for step in steps])
         again = act.on_send_ended(SECOND, 0, Outcome.CANCELLED, SECOND)
         self.assertEqual(len(sent(again)), 1)
         self.assertNotEqual(sent(again), [home])
@@ -433,7 +433,7 @@
             while now < 2 * SECOND and not it.workers[home].until and len(asked) < 9:
                 now += 20 * MS
                 for step in it.tick(now):
-                    if step.do is Do.ASK:
+                    if step.action is Action.PROBE:
                         asked.append(step.worker)
                         if outcome:
                             it.on_report(now + MS, home, outcome, report)
@@ -451,10 +451,10 @@
             it.may_ask = 0
             act, steps = call(it, "a", SECOND, left=9 * SECOND)
             home, now = sent(steps)[0], SECOND
-            while Do.CANCEL not in does(steps) and now < 9 * SECOND:
+            while Action.CANCEL not in does(steps) and now < 9 * SECOND:
                 now += 20 * MS
                 steps = it.tick(now)
-                if Do.ASK in does(steps) and outcome:
+                if Action.PROBE in does(steps) and outcome:
                     it.on_report(now + MS, home, outcome, None)
             self.assertTrue(soonest * MS <= now - SECOND <= latest * MS, (fronts, outcome, now))
 
@@ -492,7 +492,7 @@
         home = serve(it, ivk="first")
         act, _ = call(it, "late", now=20 * MS)
         now, steps = 20 * MS, []
-        while Do.ASK not in does(steps):
+        while Action.PROBE not in does(steps):
             now += 20 * MS
             steps = it.tick(now)
         act.on_send_ended(now, 0, Outcome.RESET, now)
@@ -533,7 +533,7 @@
             home = it.workers[serve(it, cost_hint=100 * MS)]
             home.pace, home.limit, home.settled, it.load_limit = pace, 9.0, SECOND, 0.0
             steps = call(it, "b", SECOND, lanes=2, cost_hint=weight * 100 * MS)[1]
-            self.assertEqual(does(steps), [Do.SEND if taken else Do.REJECT], (weight, pace))
+            self.assertEqual(does(steps), [Action.SEND if taken else Action.REJECT], (weight, pace))
 
     def test_under_pressure_less_utility_needs_a_calmer_worker(self):
         # pace of the one warm stop, utility asked for, whether it is sent
@@ -544,7 +544,7 @@
             home = it.workers["w0"]
             home.pace, home.limit, it.load_limit, home.warm["f"] = pace, 9.0, 0.0, 10 * SECOND
             act = it.admit(SECOND, "a", name, "f", SECOND)
-            self.assertEqual(does(act.start(SECOND)), [Do.SEND if taken else Do.REJECT], (pace, name))
+            self.assertEqual(does(act.start(SECOND)), [Action.SEND if taken else Action.REJECT], (pace, name))
 
     def test_a_rarely_heard_slow_worker_does_not_look_fast(self):
         it = front_end(1)
@@ -593,7 +593,7 @@
         for n in range(5):
             act, steps = call(it, f"c{n}", now)
             for step in steps:
-                if step.do is Do.SEND:
+                if step.action is Action.SEND:
                     act.on_send_ended(now, 0, Outcome.MISS, 0)
             now += 2 * SECOND
             it.tick(now)
@@ -623,13 +623,13 @@
         it = front_end(4)
         it.load_limit, it.orders, it.load_base = 1.0, 1, float(SECOND)
         act, steps = call(it, "a", 0, left=300 * MS)
-        self.assertEqual(does(steps), [Do.REJECT])
+        self.assertEqual(does(steps), [Action.REJECT])
         act, steps = call(it, "b", 0, left=2000 * MS)
         self.assertEqual(does(steps), [])           # there is time: it waits ...
         it.tick(1000 * MS)
         self.assertFalse(act.answered)
         steps = it.tick(1700 * MS)                  # ... until there is none
-        self.assertEqual(does(steps), [Do.REJECT])
+        self.assertEqual(does(steps), [Action.REJECT])
 
     def test_a_load_that_was_ordered_is_coming_until_it_ended(self):
         it = front_end(2)
@@ -653,7 +653,7 @@
         act, steps = call(it, "c", 2 * MS)
         self.assertEqual((does(steps), act.answered), ([], False))
         steps = first.on_send_ended(3 * MS, 0, Outcome.COMPLETED, 3 * MS, copy=Copy.BEGAN, final=True)
-        self.assertEqual([step.act for step in steps if step.do is Do.SEND], [act])
+        self.assertEqual([step.activation for step in steps if step.action is Action.SEND], [act])
 
     def test_refusals_do_not_all_say_the_same_time(self):
         it = front_end(0)
@@ -723,7 +723,7 @@
             it.budget = 10.0
             while sent(steps):
                 steps = act.on_send_ended(SECOND, len(act.sends) - 1, Outcome.ERROR, MS)
-            self.assertEqual((len(act.sends), does(steps)[-1]), (sends, Do.REJECT))
+            self.assertEqual((len(act.sends), does(steps)[-1]), (sends, Action.REJECT))
 
     def test_a_worker_that_fails_what_others_serve_is_suspended(self):
         it = front_end(4)
@@ -765,7 +765,7 @@
             for worker in it.fleet:
                 worker.warm["f"] = 9 * SECOND
             _, steps = call(it, "a", SECOND)
-            self.assertEqual(Do.ASK in does(steps), asked, held)
+            self.assertEqual(Action.PROBE in does(steps), asked, held)
 
     def test_a_heavy_call_takes_its_own_weight_of_a_cold_budget(self):
         it = front_end(1, since=SECOND, now=SECOND, front_ends=1)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -11,7 +11,7 @@
 from threadshift.emulator.front import ModelFront
 from threadshift.emulator.router import PREFIX
 from threadshift.emulator.run import Emulation
-from threadshift.interface import SECOND, Do, State, Step
+from threadshift.interface import SECOND, Action, State, Step
 from threadshift.trials.hunt import emulate
 
 DAY = """
@@ -125,7 +125,7 @@
         def greedy(self, worker, fn, now):
             worker.loads.add(fn.name)
             self.orders += 1
-            self.out.append(Step(Do.HOLD, worker=worker.name, fn=fn.name, amount=1))
+            self.out.append(Step(Action.LOAD, worker=worker.name, function=fn.name, amount=1))
             return True
         halls = ("zone_loss at 2s for 1s zone a", "zone_loss at 2s for 1s zone b", "burst at 3s for 6s times 6")
         cases = ((2, Dispatcher, "may_send", resend, ("break_after_run at 3s for 5s workers 6",)),
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -8,7 +8,7 @@
 
 from tests.helpers import deployment, ready
 from threadshift.choice import Dispatcher
-from threadshift.interface import MS, SECOND, Copy, Do, Effect, NamespaceType, Outcome
+from threadshift.interface import MS, SECOND, Copy, Action, Effect, NamespaceType, Outcome
 
 CORES, ANSWER, LOAD = 2, 100, 700           # of a worker; ms of a call, ms of a load
 SHARE, COLD, MULTIPLE, WINDOW = 0.2, 12, 2.0, 1     # of capacity at a start; s until warm; the rule
@@ -83,16 +83,16 @@
 
     def carry(self, front, steps, now):
         for step in steps:
-            if step.do is Do.SEND:
+            if step.action is Action.SEND:
                 send, fn = step.activation.sends[-1], step.activation.function.name
                 self.sent[step.worker].append((now, self.kinds[self.type_of[int(fn[1:])]][1] / self.mean))
                 loads = fn not in self.copies[step.worker]
                 self.copies[step.worker].add(fn)
                 self.at(now + (ANSWER + LOAD * loads) * MS, self.answered, front, step.activation, send.number, loads)
-            elif step.do is Do.HOLD:
+            elif step.action is Action.LOAD:
                 self.copies[step.worker].add(step.function)
                 self.at(now + LOAD * MS, self.held, front, step.worker, step.function)
-            elif step.do is Do.ASK:
+            elif step.action is Action.PROBE:
                 self.at(now + 2 * MS, self.told, front, step.worker)
 
     def answered(self, now, front, act, number, loads):
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -16,7 +16,7 @@
 from tests.test_emulator import DAY, Emulation, read_text
 from threadshift.choice import Dispatcher
 from threadshift.conf.reading import Mistake
-from threadshift.interface import SECOND, Do, Effect, State, Step
+from threadshift.interface import SECOND, Action, Effect, State, Step
 from threadshift.trials import figures, hunt, runs
 from threadshift.trials.commands import trial
 from threadshift.trials.keep import Kept, Result, Unusable
@@ -235,7 +235,7 @@
         return not act.answered and worker.ready and act.answer_due > now and len(act.sends) < 4
 
     def give_up(self, act, now):
-        self.close(act, Do.REJECT if act.type_stats.effect is not Effect.ONCE_ONLY else Do.ABORT)
+        self.close(act, Action.REJECT if act.type_stats.effect is not Effect.ONCE_ONLY else Action.ABORT)
 
 
 class Deaf(Dispatcher):
@@ -253,7 +253,7 @@
             fn.pause = now + SECOND // 10
             worker.loads.add(fn.name)
             self.orders += 1
-            self.out.append(Step(Do.HOLD, worker=worker.name, fn=fn.name, amount=1))
+            self.out.append(Step(Action.LOAD, worker=worker.name, function=fn.name, amount=1))
             return True
         return False
 
--- a/threadshift/adapter/host.py
+++ b/threadshift/adapter/host.py
@@ -7,7 +7,7 @@
 from threadshift.adapter.codec import Frame, line, to_ms
 from threadshift.choice import Dispatcher
 from threadshift.conf.settings import Fields, Malformed, deployment, report
-from threadshift.interface import MS, Copy, Do, Listing, Outcome, State, Step
+from threadshift.interface import MS, Copy, Action, Listing, Outcome, State, Step
 
 OUTCOMES = dict(enumerate((
     Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.UNREACHABLE,
@@ -99,21 +99,21 @@
         return steps
 
     def encode(self, step: Step) -> str:
-        i, act = self.number, step.act
-        if step.do in (Do.REJECT, Do.ABORT):
+        i, act = self.number, step.activation
+        if step.action in (Action.REJECT, Action.ABORT):
             self.closed(act, [])
-        if step.do is Do.SEND:
+        if step.action is Action.SEND:
             return line("DISPATCH", i=i, id=act.id, worker=step.worker)    # here it leaves at once
-        if step.do is Do.CANCEL:
+        if step.action is Action.CANCEL:
             return line("ABANDON", i=i, id=act.id, go=step.amount)
-        if step.do is Do.REJECT:
+        if step.action is Action.REJECT:
             return line("OVERLOAD_REPLY", i=i, id=act.id,
                         stayAway=to_ms(step.amount) if step.amount else None)
-        if step.do is Do.ABORT:
+        if step.action is Action.ABORT:
             return line("DROP_REQUEST", i=i, id=act.id)
-        if step.do is Do.ASK:
+        if step.action is Action.PROBE:
             return line("PING", i=i, worker=step.worker)
-        return line("MOUNT", i=i, worker=step.worker, fn=step.fn, instances=step.amount)
+        return line("MOUNT", i=i, worker=step.worker, fn=step.function, instances=step.amount)
 
     def settle(self, now: int) -> list[str]:
         """After a batch: keep the one reminder that is wanted."""
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -15,7 +15,7 @@
 from itertools import accumulate, chain, islice
 
 from threadshift.interface import (
-    MS, SECOND, Activation, Copy, Deployment, Do, Effect, Listing, Outcome, Report, Send, State, Step)
+    MS, SECOND, Activation, Copy, Deployment, Action, Effect, Listing, Outcome, Report, Send, State, Step)
 from threadshift.ring import HashRing, pair_of_points
 from threadshift.state import Function, Hall, Kind, Memory, Sketch, Worker
 
@@ -389,7 +389,7 @@
         fn.pause = now + int(fn.load or self.load_base)
         self.orders, self.load_at = self.orders + 1, now
         self.ordered.append(now)
-        self.out.append(Step(Do.HOLD, worker=worker.name, fn=fn.name, amount=1))
+        self.out.append(Step(Action.LOAD, worker=worker.name, function=fn.name, amount=1))
         return True
 
     def on_load_ended(self, now: int, name: str, fn_name: str, outcome: Outcome, copies: int) -> list[Step]:
@@ -427,7 +427,7 @@
         act.open_send_count, self.cold_out = act.open_send_count + 1, self.cold_out + (not send.warm)
         self.load_at = self.load_at if send.warm else now
         worker.credit = max(0.0, worker.credit - self.weight(act))
-        self.out.append(Step(Do.SEND, act, worker.name, amount=wait))
+        self.out.append(Step(Action.SEND, act, worker.name, amount=wait))
         return True
 
     def go_on(self, act: Activation, now: int) -> None:
@@ -458,7 +458,7 @@
         """A rejection says that trying again is harmless, so it must be; else abort."""
         safe = act.type_stats.effect is Effect.REPEATABLE or act.type_stats.effect is Effect.DEDUPLICATED and (
             act.type_stats.group == "all")
-        self.close(act, Do.REJECT if safe or not (act.possible_runs or act.open_send_count) else Do.ABORT)
+        self.close(act, Action.REJECT if safe or not (act.possible_runs or act.open_send_count) else Action.ABORT)
 
     def on_client_gone(self, act: Activation) -> None:
         """Its client is gone. It earns no load orders: hundreds withdrawn at once would widen the ration."""
@@ -466,17 +466,17 @@
             self.took.remove(act.admitted_at)
         self.close(act, None)
 
-    def close(self, act: Activation, how: Do | None) -> None:
+    def close(self, act: Activation, how: Action | None) -> None:
         """The one place that gives a final answer; None where the client has it or wants none."""
         if act.answered:
             return
         act.answered = True
         if how:
-            told = self.advice * (1 - ADVICE * self.chance()) if how is Do.REJECT else 0
+            told = self.advice * (1 - ADVICE * self.chance()) if how is Action.REJECT else 0
             self.out.append(Step(how, act, amount=int(told)))
         for send in act.sends if self.may_cancel and not act.answer_started else ():
             if send.is_open:
-                self.out.append(Step(Do.CANCEL, act, send.worker.name, amount=send.number))
+                self.out.append(Step(Action.CANCEL, act, send.worker.name, amount=send.number))
 
     def on_send_ended(self, send: Send, now: int, outcome: Outcome, waited: int, copy: Copy, final: bool,
               report: Report | None) -> None:
@@ -671,7 +671,7 @@
 
     def question(self, worker: Worker, now: int) -> None:
         worker.asked, worker.asking = now, worker.asking + 1    # while one is out it is not forgotten
-        self.out.append(Step(Do.ASK, worker=worker.name))
+        self.out.append(Step(Action.PROBE, worker=worker.name))
 
     def move(self, send: Send, now: int) -> None:    # off a suspended worker
         act = send.activation
@@ -682,4 +682,4 @@
             act.possible_runs.append(send)      # it may be running, so the second send is budgeted
             self.go_on(act, now)
         elif self.may_cancel:
-            self.out.append(Step(Do.CANCEL, act, send.worker.name, amount=send.number))
+            self.out.append(Step(Action.CANCEL, act, send.worker.name, amount=send.number))
--- a/threadshift/desk/desk.py
+++ b/threadshift/desk/desk.py
@@ -19,7 +19,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from threadshift.choice import NEVER_RAN, Dispatcher
-from threadshift.interface import SECOND, Activation, Copy, Do, Effect, Listing, Outcome, Report, Step
+from threadshift.interface import SECOND, Activation, Copy, Action, Effect, Listing, Outcome, Report, Step
 
 ASK_WAIT = SECOND          # a question that nobody answered so long is lost; far above any answer on a network
 
@@ -254,8 +254,8 @@
             self.busy = False
 
     def step(self, step: Step, now: int) -> None:
-        held = self.held.get(step.act.id) if step.act else None
-        if step.do is Do.SEND and held:
+        held = self.held.get(step.activation.id) if step.activation else None
+        if step.action is Action.SEND and held:
             number = len(held.sends)
             held.sends.append(Sent(step.worker, now))
             self.counts["sends"] += 1
@@ -267,15 +267,15 @@
                 self.ended(held, now, number, outcome)
             elif step.amount:
                 heapq.heappush(self.times, (now + step.amount, self.serial(), Leaving(held, number)))
-        elif step.do is Do.CANCEL and held:
+        elif step.action is Action.CANCEL and held:
             self.call_off(held, now, step.amount, tell=True)
-        elif step.do in (Do.REJECT, Do.ABORT) and held:
+        elif step.action in (Action.REJECT, Action.ABORT) and held:
             if not held.settled:
                 self.finish(held, now, refusal(held, step, now))
             self.let_go(held)
-        elif step.do is Do.HOLD:
-            self.put(Asked(self, step.worker, step.fn), now, self.order_wait, self.workers.hold)
-        elif step.do is Do.ASK:
+        elif step.action is Action.LOAD:
+            self.put(Asked(self, step.worker, step.function), now, self.order_wait, self.workers.hold)
+        elif step.action is Action.PROBE:
             self.put(Asked(self, step.worker), now, ASK_WAIT, self.workers.ask)
 
     def put(self, asked: Asked, now: int, wait: int, port: Any) -> None:
@@ -356,7 +356,7 @@
     else:
         reason = "over-share" if held.act.low_priority else "no-room"
     ran = may_have_run(held)
-    if step.do is Do.ABORT:
+    if step.action is Action.ABORT:
         return Answer(Final.ABORTED, reason, may_have_run=ran)
     # A repeatable call may be tried again although it ran; the client is told both.
     return Answer(Final.REJECTED, reason, come_back=step.amount,
--- a/threadshift/interface.py
+++ b/threadshift/interface.py
@@ -52,24 +52,24 @@
     GONE = "gone"
 
 
-class Do(Enum):
+class Action(Enum):
     """What a front end is asked to carry out."""
 
     SEND = "send"          # act to worker; not once `amount` ns have passed before it leaves (0: its own time left)
     CANCEL = "cancel"      # give up waiting for send number `amount` of act
     REJECT = "reject"      # final answer; the client may come back after `amount` ns (0: no advice)
     ABORT = "abort"        # final answer
-    ASK = "ask"            # probe worker, for its load report
-    HOLD = "hold"          # load order: `amount` copies of fn at worker
+    PROBE = "ask"            # probe worker, for its load report
+    LOAD = "hold"          # load order: `amount` copies of fn at worker
 
 
 class Step(NamedTuple):
     """One thing to be done now; which fields count depends on `do`."""
 
-    do: Do
-    act: Any = None
+    action: Action
+    activation: Any = None
     worker: str = ""
-    fn: str = ""
+    function: str = ""
     amount: int = 0
 
 
