--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -106,7 +106,7 @@
         it = front_end(4)
         acts = [call(it, f"c{n}", lanes=2) for n in range(5)]
         self.assertEqual([len(sent(steps)) for _, steps in acts], [1, 0, 0, 0, 0])
-        steps = acts[0][0].on_send_ended(SECOND, 0, Outcome.COMPLETED, SECOND, copy=Copy.BEGAN, final=True)
+        steps = acts[0][0].on_send_ended(SECOND, 0, Outcome.COMPLETED, SECOND, copy=Copy.LOAD_STARTED, final=True)
         self.assertEqual(len(sent(steps)), 2)
 
     def test_miss_orders_a_copy_and_sends_again(self):
@@ -120,7 +120,7 @@
 
 class Rules(unittest.TestCase):
     def test_every_outcome_and_effect(self):
-        unrun = {Outcome.FULL, Outcome.UNREACHABLE, Outcome.MISS, Outcome.MOOT}
+        unrun = {Outcome.FULL, Outcome.UNREACHABLE, Outcome.MISS, Outcome.NEVER_SENT}
         for outcome in set(Outcome) - {Outcome.COMPLETED}:
             for effect in Effect:
                 it = front_end()
@@ -308,7 +308,7 @@
                 if sent(steps):
                     begun += 1
                     it.load_base = float(SECOND)
-                    act.on_send_ended(now + SECOND, 0, Outcome.COMPLETED, SECOND // 2, copy=Copy.UNTOLD)
+                    act.on_send_ended(now + SECOND, 0, Outcome.COMPLETED, SECOND // 2, copy=Copy.UNKNOWN)
                     now += SECOND - 100 * MS
                 now += 100 * MS
                 it.tick(now)
@@ -515,7 +515,7 @@
         it = front_end(8)
         for n in range(30):
             took = SECOND if n < 10 else 5 * SECOND
-            serve(it, f"fn{n}", n * SECOND, took=took, copy=Copy.BEGAN)
+            serve(it, f"fn{n}", n * SECOND, took=took, copy=Copy.LOAD_STARTED)
         self.assertLess(it.load_limit, 4.0)
 
     def test_pressed_warm_stops_widen_only_within_half_of_the_loads(self):
@@ -652,7 +652,7 @@
             act.on_client_gone(MS)
         act, steps = call(it, "c", 2 * MS)
         self.assertEqual((does(steps), act.answered), ([], False))
-        steps = first.on_send_ended(3 * MS, 0, Outcome.COMPLETED, 3 * MS, copy=Copy.BEGAN, final=True)
+        steps = first.on_send_ended(3 * MS, 0, Outcome.COMPLETED, 3 * MS, copy=Copy.LOAD_STARTED, final=True)
         self.assertEqual([step.activation for step in steps if step.action is Action.SEND], [act])
 
     def test_refusals_do_not_all_say_the_same_time(self):
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -30,7 +30,7 @@
 
     def cancel(self, worker, held, number, tell):
         self.log.append(("cancel", self.desk.now, held.ivk, worker, tell))
-        return Outcome.MOOT if self.moot else Outcome.CANCELLED
+        return Outcome.NEVER_SENT if self.moot else Outcome.CANCELLED
 
     def withdraw(self, worker, held, number):
         if (worker, held.ivk) in self.waiting:
@@ -85,7 +85,7 @@
             (Effect.ONCE_ONLY, [Outcome.UNREACHABLE] * 4, Final.REJECTED, False),
             (Effect.ONCE_ONLY, [Outcome.UNREACHABLE, Outcome.RESET], Final.ABORTED, True),
             (Effect.REPEATABLE, [Outcome.RESET] * 3, Final.REJECTED, True),
-            (Effect.DEDUPLICATED, [Outcome.MOOT] * 4, Final.REJECTED, False),
+            (Effect.DEDUPLICATED, [Outcome.NEVER_SENT] * 4, Final.REJECTED, False),
         )
         for effect, outcomes, final, ran in cases:
             it, fleet = desk(at_once=outcomes)
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -58,7 +58,7 @@
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(customers(), st.lists(st.tuples(
         st.sampled_from(("take", "end", "leave", "wait")), st.integers(0, 99),
-        st.sampled_from([each for each in Outcome if each not in (Outcome.CANCELLED, Outcome.MOOT)])), max_size=40))
+        st.sampled_from([each for each in Outcome if each not in (Outcome.CANCELLED, Outcome.NEVER_SENT)])), max_size=40))
     def test_valid_ones_start_answer_and_keep_their_promises(self, told, events):
         # Through the file's own form: what JSON makes of it is what is read.
         it = understand(json.loads(json.dumps(told)), {}, "drawn")
@@ -93,7 +93,7 @@
             self.assertEqual(len(answers), 0 if held.gone else 1)
             self.assertLessEqual(held.answered_at, leaving.answered)
             ran = [sent for sent in held.sends if sent.outcome not in (
-                Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT, Outcome.MISS)]
+                Outcome.FULL, Outcome.UNREACHABLE, Outcome.NEVER_SENT, Outcome.MISS)]
             if held.act.type_stats.effect is Effect.ONCE_ONLY:
                 self.assertLessEqual(len(ran), 1)
                 self.assertFalse(ran and answers and answers[0].final is Final.REJECTED)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -325,7 +325,7 @@
         while it.due() < 2100 * MS:
             it.tick(it.due())
         self.assertEqual([(entry[0], entry[1] <= 2 * SECOND) for entry in fleet.log][-1], ("withdrawn", True))
-        self.assertEqual(held.sends[1].outcome, Outcome.MOOT)
+        self.assertEqual(held.sends[1].outcome, Outcome.NEVER_SENT)
 
     def test_a_send_that_waited_for_its_connection_tells_the_time_that_is_left_then(self):
         with Platform() as it:
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -97,7 +97,7 @@
 
     def answered(self, now, front, act, number, loads):
         self.carry(front, act.on_send_ended(now, number, Outcome.COMPLETED, ANSWER * MS,
-                                       copy=Copy.BEGAN if loads else Copy.FOUND, final=True), now)
+                                       copy=Copy.LOAD_STARTED if loads else Copy.FOUND, final=True), now)
 
     def held(self, now, front, worker, fn):
         self.carry(front, front.on_load_ended(now, worker, fn, Outcome.COMPLETED, 1), now)
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -77,9 +77,9 @@
             held = Held(it.node.desk, "00000000000000d1", Call("check", "00000000000000f1", 0), 0, deadline=1)
             link = it.node.links["s-0"]
             with mock.patch.dict(it.node.links, {"s-0": mock.Mock()}):
-                self.assertEqual(it.node.send("s-0", held, 0), Outcome.MOOT)     # whatever the link looks at
+                self.assertEqual(it.node.send("s-0", held, 0), Outcome.NEVER_SENT)     # whatever the link looks at
             id_ = bytes.fromhex(held.ivk)
-            self.assertEqual(link.place(id_, (held, 0), request_now(id_, held)), Outcome.MOOT)
+            self.assertEqual(link.place(id_, (held, 0), request_now(id_, held)), Outcome.NEVER_SENT)
             self.assertEqual(it.call()[0], 200)
             self.assertEqual(len(it.workers[0].codes(INVOKE)), 1)
 
--- a/threadshift/adapter/host.py
+++ b/threadshift/adapter/host.py
@@ -11,9 +11,9 @@
 
 OUTCOMES = dict(enumerate((
     Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.UNREACHABLE,
-    Outcome.RESET, Outcome.CANCELLED, Outcome.MOOT, Outcome.MISS)))
+    Outcome.RESET, Outcome.CANCELLED, Outcome.NEVER_SENT, Outcome.MISS)))
 STATES = {0: State.GONE, 1: State.READY, 2: State.DRAINING}
-COPIES = {0: Copy.UNTOLD, 1: Copy.FOUND, 2: Copy.BEGAN, 3: Copy.WAITED, 4: Copy.LOAD_FAILED}
+COPIES = {0: Copy.UNKNOWN, 1: Copy.FOUND, 2: Copy.LOAD_STARTED, 3: Copy.WAITED, 4: Copy.LOAD_FAILED}
 FAILED_LIST = 3
 LONGEST_REMINDER = 70 * 60 * 1000 * MS
 LOG_WORDS = str.maketrans("\r\n", "  ")
@@ -89,7 +89,7 @@
             return []
         return self.closed(act, act.on_send_ended(
             now, event.whole("go"), outcome(event), event.ns("waitTime", 0),
-            copy=COPIES.get(event.whole("info", 0) % 8, Copy.UNTOLD), final=event.flag("final", False),
+            copy=COPIES.get(event.whole("info", 0) % 8, Copy.UNKNOWN), final=event.flag("final", False),
             report=report(event.text("usage", ""), ",")))
 
     def closed(self, act, steps: list[Step]) -> list[Step]:
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -58,7 +58,7 @@
 LOADS, WIDEN = 3.0, 0.5    # loads at once a worker, by all front ends; of them, open to further copies
 CROWDED, LEAST_LOADS = 2.0, 0.1    # times the usual load time that tell a crowded store; ours at once, then
 
-NEVER_RAN = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT, Outcome.MISS)
+NEVER_RAN = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NEVER_SENT, Outcome.MISS)
 FAILED = (Outcome.UNREACHABLE, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR)
 
 
@@ -516,12 +516,12 @@
             self.budget = min(BUDGET_MOST, self.budget + BUDGET_SHARE)
             self.done *= max(0.0, 1 - (now - self.done_at) / RATE_MEMORY)
             self.done, self.done_at = self.done + act.type_stats.units, now
-            if copy is Copy.FOUND or (copy is Copy.UNTOLD and send.warm):
+            if copy is Copy.FOUND or (copy is Copy.UNKNOWN and send.warm):
                 ratio = self.pace(send, waited, now)
                 act.type_stats.typical *= 1 + TREND * (min(ratio, PATIENCE) - 1)
                 if worker.pace <= EASE and len(worker.sends) + 1 >= worker.limit:
                     worker.limit += 1 / worker.limit if worker.cut else 1
-            elif copy is Copy.BEGAN:
+            elif copy is Copy.LOAD_STARTED:
                 self.load_base *= 1 - TREND if waited < self.load_base else 1 + TREND / 2
                 self.crowd(waited > CROWDED * self.load_base, now)
         elif outcome is Outcome.CANCELLED and send.warm and waited > self.expected(act):
--- a/threadshift/desk/desk.py
+++ b/threadshift/desk/desk.py
@@ -65,7 +65,7 @@
     worker: str
     at: int
     outcome: Outcome | None = None
-    copy: Copy = Copy.UNTOLD
+    copy: Copy = Copy.UNKNOWN
     waited: int = 0
 
 
@@ -86,7 +86,7 @@
     client: Any = None           # whatever the clients' port keeps with it
 
     def returned(self, now: int, number: int, outcome: Outcome, *, body: bytes = b"", error: str = "",
-                 copy: Copy = Copy.UNTOLD, report: Report | None = None, waited: int | None = None) -> None:
+                 copy: Copy = Copy.UNKNOWN, report: Report | None = None, waited: int | None = None) -> None:
         """A send ended. What comes for a send that has ended before is counted and dropped. `waited` is what the
         worker took, where the port can tell that from what we took ourselves."""
         self.desk.ended(self, now, number, outcome, body, error, copy, report, waited)
@@ -208,7 +208,7 @@
     # What handles pass on.
 
     def ended(self, held: Held, now: int, number: int, outcome: Outcome, body: bytes = b"", error: str = "",
-              copy: Copy = Copy.UNTOLD, report: Report | None = None, waited: int | None = None) -> None:
+              copy: Copy = Copy.UNKNOWN, report: Report | None = None, waited: int | None = None) -> None:
         now, sent = self.clock(now), held.sends[number]
         if sent.outcome is not None:
             self.counts["late"] += 1
@@ -262,7 +262,7 @@
             if not held.settled and self.clients.left_unread(held):
                 self.quit(held, now)
             # Nothing leaves for an activation that has its answer, whatever order the steps came in.
-            outcome = Outcome.MOOT if held.settled else self.workers.send(step.worker, held, number)
+            outcome = Outcome.NEVER_SENT if held.settled else self.workers.send(step.worker, held, number)
             if outcome is not None:
                 self.ended(held, now, number, outcome)
             elif step.amount:
@@ -290,13 +290,13 @@
         sent = held.sends[number]
         if sent.outcome is None:
             outcome = self.workers.cancel(sent.worker, held, number, tell)
-            self.ended(held, now, number, outcome if tell or outcome is Outcome.MOOT else Outcome.TIMEOUT)
+            self.ended(held, now, number, outcome if tell or outcome is Outcome.NEVER_SENT else Outcome.TIMEOUT)
 
     def take_back(self, held: Held, number: int, now: int) -> None:
         """Ends a send of which nothing has left."""
         sent = held.sends[number]
         if sent.outcome is None and self.workers.withdraw(sent.worker, held, number):
-            self.ended(held, now, number, Outcome.MOOT)
+            self.ended(held, now, number, Outcome.NEVER_SENT)
 
     def time_up(self, held: Held, now: int) -> None:
         for number, sent in enumerate(held.sends):
--- a/threadshift/emulator/worker.py
+++ b/threadshift/emulator/worker.py
@@ -14,7 +14,7 @@
 
 # (outcome, copy, report) or None where the connection breaks
 Reply = Callable[[Outcome | None, Copy, Report | None], None]
-COPIES = {"found": Copy.FOUND, "began": Copy.BEGAN, "waited": Copy.WAITED}
+COPIES = {"found": Copy.FOUND, "began": Copy.LOAD_STARTED, "waited": Copy.WAITED}
 
 
 @dataclass(slots=True, eq=False)
@@ -76,7 +76,7 @@
             return
         if len(self.jobs) >= self.machine.most or self.draining:
             self.note("turned", mark=job.mark, kind="full")
-            job.reply(Outcome.FULL, Copy.UNTOLD, self.report)
+            job.reply(Outcome.FULL, Copy.UNKNOWN, self.report)
             return
         self.jobs[job] = None
         shelf = self.shelves.setdefault(job.function, Shelf())
@@ -122,7 +122,7 @@
         if not self.machine.loads_on_miss:
             if not shelf.copies and not shelf.loading:
                 shelf.queue.remove(newest)
-                self.done(newest, Outcome.MISS, Copy.UNTOLD)
+                self.done(newest, Outcome.MISS, Copy.UNKNOWN)
         elif len(shelf.queue) > shelf.loading * shelf.lanes:
             newest.copy = "began"
             self.bring(function, shelf)
@@ -138,7 +138,7 @@
                 self.clock.after(hung, self.start_ready)
                 return
             if job.cancelled or self.clock.now >= job.ends:
-                self.done(job, Outcome.FULL, Copy.UNTOLD)
+                self.done(job, Outcome.FULL, Copy.UNKNOWN)
                 self.release(shelf, copy, job.function)
                 continue
             self.running += 1
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -25,8 +25,8 @@
 
 READ = 16 << 10            # bytes a read: many usual answers, and little memory a connection
 MOST_USED = 128            # ids remembered a connection that may not go over it again
-COPIES = {"reused": Copy.FOUND, "init": Copy.BEGAN, "shared_init": Copy.WAITED, "init_error": Copy.LOAD_FAILED}
-ENDS = {OK: Outcome.COMPLETED, MISS: Outcome.MISS, FULL: Outcome.FULL, ERROR: Outcome.ERROR, OVER: Outcome.MOOT}
+COPIES = {"reused": Copy.FOUND, "init": Copy.LOAD_STARTED, "shared_init": Copy.WAITED, "init_error": Copy.LOAD_FAILED}
+ENDS = {OK: Outcome.COMPLETED, MISS: Outcome.MISS, FULL: Outcome.FULL, ERROR: Outcome.ERROR, OVER: Outcome.NEVER_SENT}
 ORDERS = {OK: Outcome.COMPLETED, FULL: Outcome.FULL, ERROR: Outcome.ERROR}
 PROBES = (FINE, UNWELL)
 
@@ -128,7 +128,7 @@
         answered. Idle connections that were closed meanwhile are ended on the way. Nothing of a request whose time
         is up while it waited here is written."""
         if isinstance(what, tuple) and what[0].time_left(time.monotonic_ns()) <= 0:
-            return Outcome.MOOT
+            return Outcome.NEVER_SENT
         while (connection := pool.fit(self.connections, id_, self.told.streams)) is not None and (
                 not connection.waiting and self.closed(connection)):
             self.end(connection)
@@ -194,7 +194,7 @@
     def cancel(self, held: Any, number: int, tell: bool) -> Outcome:
         """Stops waiting for a send. MOOT where it never left. The worker is told in any case, or it works on."""
         if self.withdraw(held, number):
-            return Outcome.MOOT
+            return Outcome.NEVER_SENT
         connection, id_ = self.ways.pop((held.ivk, number), (None, b""))
         if connection is None or connection.waiting.pop(id_, None) is None:
             return Outcome.CANCELLED
@@ -344,7 +344,7 @@
             raise NotFrames(f"code {it.code} answers something else")
         load = report(it.fields["stats"], ";") if "stats" in it.fields else None
         if isinstance(what, tuple):
-            copy = COPIES.get(it.fields.get("how", ""), Copy.UNTOLD)
+            copy = COPIES.get(it.fields.get("how", ""), Copy.UNKNOWN)
         elif what.fn:
             copies = it.fields.get("n", "0")
             if not (copies.isascii() and copies.isdigit() and len(copies) < 6):
--- a/threadshift/gateway/fleet.py
+++ b/threadshift/gateway/fleet.py
@@ -70,7 +70,7 @@
         link = self.links.get(worker)
         left = held.time_left(time.monotonic_ns())
         if left <= 0:
-            return Outcome.MOOT         # the process stood still since this was decided
+            return Outcome.NEVER_SENT         # the process stood still since this was decided
         return Outcome.UNREACHABLE if link is None else link.invoke(held, number, left)
 
     def cancel(self, worker: str, held: Held, number: int, tell: bool) -> Outcome:
--- a/threadshift/gateway/recent.py
+++ b/threadshift/gateway/recent.py
@@ -9,7 +9,7 @@
 
 BUCKETS = 10               # seconds looked back on; shorter and few calls judge, longer and a fall is seen late
 MOST_ARRIVALS = 1_000      # times kept; a rate above a thousand a second is told as a thousand
-NEVER_CAME = (Outcome.UNREACHABLE, Outcome.MOOT)
+NEVER_CAME = (Outcome.UNREACHABLE, Outcome.NEVER_SENT)
 
 
 class Arrivals:
--- a/threadshift/interface.py
+++ b/threadshift/interface.py
@@ -30,16 +30,16 @@
     UNREACHABLE = "unreachable"  # no connection; it never ran
     RESET = "reset"              # the connection broke under it; it may have run
     CANCELLED = "cancelled"      # we gave up waiting; it may have run
-    MOOT = "moot"                # never left the front end
+    NEVER_SENT = "moot"                # never left the front end
     MISS = "miss"                # no copy there, and no load under way that succeeded
 
 
 class Copy(Enum):
     """What an answer says about the copy that served it."""
 
-    UNTOLD = "untold"
+    UNKNOWN = "untold"
     FOUND = "found"
-    BEGAN = "began"
+    LOAD_STARTED = "began"
     WAITED = "waited"
     LOAD_FAILED = "load failed"
 
@@ -183,7 +183,7 @@
     def start(self, now: int) -> list[Step]:
         return self.dispatcher.steps(self.dispatcher.go_on, self, now)
 
-    def on_send_ended(self, now: int, number: int, outcome: Outcome, waited: int, *, copy: Copy = Copy.UNTOLD,
+    def on_send_ended(self, now: int, number: int, outcome: Outcome, waited: int, *, copy: Copy = Copy.UNKNOWN,
                  final: bool = False, report: Report | None = None) -> list[Step]:
         send = self.sends[number]
         return self.dispatcher.steps(self.dispatcher.on_send_ended, send, now, outcome, waited, copy, final, report)
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -116,7 +116,7 @@
     def cancel(self, held: Any, number: int, tell: bool) -> Outcome:
         """Stops waiting for a send. MOOT where it never left."""
         if self.withdraw(held, number):
-            return Outcome.MOOT
+            return Outcome.NEVER_SENT
         id_ = self.ids.pop((held.ivk, number), None)
         if id_ is None:
             return Outcome.CANCELLED
@@ -312,7 +312,7 @@
         else:
             held, number = what
             failed = bool(frame.get("load_failed"))
-            copy = Copy.LOAD_FAILED if failed else COPIES.get(frame.get("copy", ""), Copy.UNTOLD)
+            copy = Copy.LOAD_FAILED if failed else COPIES.get(frame.get("copy", ""), Copy.UNKNOWN)
             outcome = {"result": Outcome.COMPLETED, "error": Outcome.ERROR, "full": Outcome.FULL}.get(
                 kind, Outcome.MISS)
             error = frame.get("function_error")
