--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,6 @@
 """A small front end for the tests: a deployment, a dispatcher, and short ways to call it."""
 from threadshift.choice import Dispatcher
-from threadshift.interface import MS, SECOND, Deployment, Action, Effect, Listing, NamespaceType, State
+from threadshift.interface import MS, SECOND, Deployment, Action, Effect, WorkerListing, NamespaceType, WorkerState
 
 TYPES = tuple(NamespaceType(effect.value, 600 * MS, 2500 * MS, 1.0, 0.3, effect, "zone", 2 * SECOND)
               for effect in Effect)
@@ -15,12 +15,12 @@
 
 def front_end(workers=4, seed=1, now=0, since=0, **changes):
     it = Dispatcher(seed, deployment(**changes), now)
-    it.update_workers(now, [ready(f"w{n}", since=since) for n in range(workers)], full=True)
+    it.update_workers(now, [ready(f"w{n}", started_at=since) for n in range(workers)], full=True)
     return it
 
 
-def ready(worker, state=State.READY, **facts):
-    return Listing(worker, state, **facts)
+def ready(worker, state=WorkerState.READY, **facts):
+    return WorkerListing(worker, state, **facts)
 
 
 def call(it, ivk="a", now=0, fn="f", effect=Effect.REPEATABLE, left=2500 * MS, **facts):
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -4,7 +4,7 @@
 
 from tests.helpers import call, does, front_end, ready, sent
 from threadshift.choice import NAMES, PARKED
-from threadshift.interface import MS, SECOND, Copy, Action, Effect, NamespaceType, Outcome, Report, State, Tenant
+from threadshift.interface import MS, SECOND, Copy, Action, Effect, NamespaceType, Outcome, Report, WorkerState, Tenant
 from threadshift.ring import POINTS
 
 ONCE, AGAIN, MARKED = Effect.ONCE_ONLY, Effect.REPEATABLE, Effect.DEDUPLICATED
@@ -20,7 +20,7 @@
 class Mechanism(unittest.TestCase):
     def test_homes_agree_and_move_minimally(self):
         one, other, third = front_end(8, seed=1), front_end(8, seed=2), front_end(8)
-        third.update_workers(0, [ready("w3", State.DRAINING)], full=False)
+        third.update_workers(0, [ready("w3", WorkerState.DRAINING)], full=False)
         for fn in [f"fn{n}" for n in range(60)]:
             homes = [serve(it, fn) for it in (one, other, third)]
             self.assertEqual(homes[0], homes[1])
@@ -60,7 +60,7 @@
             if why == "suspended":
                 home.until = 9 * SECOND
             else:
-                home.since, home.credit, home.earned = 2 * SECOND, 0.0, 2 * SECOND
+                home.started_at, home.credit, home.earned = 2 * SECOND, 0.0, 2 * SECOND
             went = sent(call(it, "b", 2 * SECOND)[1])
             self.assertEqual(len(went), 1)
             self.assertNotIn(home.name, went, why)
@@ -155,7 +155,7 @@
             self.assertEqual(act.on_send_ended(99 * MS, 0, Outcome.FULL, 99 * MS), [])
 
     def test_nothing_new_to_draining_gone_or_unlisted(self):
-        listings = ([ready("w0", State.DRAINING)], [ready("w0", State.GONE)])
+        listings = ([ready("w0", WorkerState.DRAINING)], [ready("w0", WorkerState.GONE)])
         for changes, full in ((listings[0], False), (listings[1], False), ([ready("w1")], True)):
             it = front_end(2)
             it.update_workers(0, changes, full=full)
@@ -191,7 +191,7 @@
         it = front_end(3)
         homes = [serve(it, f"fn{n}", ivk=str(n)) for n in range(30)]
         it.update_workers(0, [ready("new1"), ready("new2")], full=False)
-        it.update_workers(0, [ready("new1", State.GONE), ready("new2", State.DRAINING)], full=False)
+        it.update_workers(0, [ready("new1", WorkerState.GONE), ready("new2", WorkerState.DRAINING)], full=False)
         self.assertEqual([serve(it, f"fn{n}", ivk=f"b{n}") for n in range(30)], homes)
         it.update_workers(0, [ready(f"later{n}") for n in range(5)], full=True)
         self.assertEqual({serve(it, f"fn{n}", ivk=f"c{n}")[:5] for n in range(30)}, {"later"})
@@ -237,7 +237,7 @@
             for n in range(400):
                 now += chance.randrange(40) * MS
                 if chance.random() < 0.05:
-                    it.update_workers(now, [ready(f"w{n % 5}", chance.choice(list(State)), since=now)], full=False)
+                    it.update_workers(now, [ready(f"w{n % 5}", chance.choice(list(WorkerState)), started_at=now)], full=False)
                 steps = it.tick(now)
                 if chance.random() < 0.5:
                     act, more = call(it, str(n), now, f"fn{n % 7}", chance.choice(list(Effect)),
@@ -684,7 +684,7 @@
     def test_workers_long_gone_leave_the_ring_and_the_memory(self):
         it = front_end(4)
         for n in range(200):
-            it.update_workers(n * SECOND, [ready(f"n{n}"), *([ready(f"n{n - 1}", State.GONE)] if n else [])], full=False)
+            it.update_workers(n * SECOND, [ready(f"n{n}"), *([ready(f"n{n - 1}", WorkerState.GONE)] if n else [])], full=False)
         self.assertLess(len(it.workers), 20)
         self.assertEqual(len(it.ring), sum(map(len, it.ring.sections)))
         self.assertLess(len(it.ring), 20 * POINTS)
@@ -696,8 +696,8 @@
         act, steps = call(it)
         busy = sent(steps)[0]
         for n in range(100):
-            it.update_workers(n, [ready(busy, State.GONE), ready(f"n{n}"),
-                          *([ready(f"n{n - 1}", State.GONE)] if n else [])], full=False)
+            it.update_workers(n, [ready(busy, WorkerState.GONE), ready(f"n{n}"),
+                          *([ready(f"n{n - 1}", WorkerState.GONE)] if n else [])], full=False)
         self.assertIn(busy, it.workers)
         act.on_send_ended(SECOND, 0, Outcome.RESET, SECOND)
         self.assertLess(len(it.workers), 60)
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -9,7 +9,7 @@
 from threadshift.coordinator.events import (
     LONGEST_LINE, EventParser, EventSequence, InvalidEvent, MissingEvents, ServerSentEvent, parse_update)
 from threadshift.coordinator.stream import Response
-from threadshift.interface import MS, State
+from threadshift.interface import MS, WorkerState
 
 
 class Streams(unittest.TestCase):
@@ -67,7 +67,7 @@
                                               colour="red"), full=True))
         it = told.workers.entries[0]
         self.assertEqual((told.number, told.workers.full, it.worker, it.state, it.cell, it.size, it.started),
-                         (4, True, "s-1", State.DRAINING, 2, 4.0, 7 * MS))
+                         (4, True, "s-1", WorkerState.DRAINING, 2, 4.0, 7 * MS))
 
     def test_nonsense_is_named(self):
         for told in (None, [], {}, {"endpoints": {}}, {"endpoints": {"instances": 1}}, {
@@ -88,7 +88,7 @@
             self.assertEqual(told.workers.ending, {})
 
     def test_that_a_worker_drains_or_is_gone_is_read_from_an_entry_that_is_bad_otherwise(self):
-        for state, read in (("Terminating", State.DRAINING), ("Gone", State.GONE)):
+        for state, read in (("Terminating", WorkerState.DRAINING), ("Gone", WorkerState.GONE)):
             for facts in ({"weight": "big"}, {"hostPort": None}, {"startedAtMs": -1}, {"cell": []}):
                 told = parse_update(event(1, instance("s-1", "127.0.0.1:9", state, **facts)))
                 self.assertEqual((told.workers.ending, len(told.problems)), ({"s-1": read}, 1), msg=facts)
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -8,7 +8,7 @@
 from threadshift.desk import earlier
 from threadshift.desk.desk import Answer, Call, Desk, Final
 from threadshift.interface import (
-    MS, SECOND, Copy, Deployment, Effect, Listing, NamespaceType, Outcome, State)
+    MS, SECOND, Copy, Deployment, Effect, WorkerListing, NamespaceType, Outcome, WorkerState)
 
 LATE = 2500 * MS
 
@@ -167,7 +167,7 @@
     st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(list(Outcome)), st.sampled_from(list(Copy))),
     st.tuples(st.just("again"), st.integers(0, 50), st.sampled_from(list(Outcome))),
     st.tuples(st.just("left"), st.integers(0, 50)),
-    st.tuples(st.just("roster"), st.integers(0, 4), st.sampled_from(list(State)), st.integers(0, 2)),
+    st.tuples(st.just("roster"), st.integers(0, 4), st.sampled_from(list(WorkerState)), st.integers(0, 2)),
     st.tuples(st.just("held"), st.integers(0, 50), st.sampled_from(list(Outcome))),
     st.tuples(st.just("at once"), st.sampled_from([Outcome.UNREACHABLE, Outcome.FULL, Outcome.RESET])),
     st.tuples(st.just("wait"), st.integers(0, 700)),
@@ -218,11 +218,11 @@
 
     def roster(self, pick, state, age):
         name = f"w{pick}"
-        if state is State.READY:
+        if state is WorkerState.READY:
             self.unready.pop(name, None)
         else:
             self.unready[name] = self.now
-        self.it.roster(self.now, [ready(name, state, since=age and max(1, self.now - age))], full=False)
+        self.it.roster(self.now, [ready(name, state, started_at=age and max(1, self.now - age))], full=False)
 
     def held(self, pick, outcome):
         if self.fleet.asked:
@@ -287,7 +287,7 @@
         for now, most in ((SECOND, 0), (5 * SECOND, 0), (6 * SECOND, 6)):
             it = Dispatcher(1, told, SECOND)
             earlier.assume(it, told, SECOND)
-            it.update_workers(SECOND, [Listing("w", State.READY)], True)
+            it.update_workers(SECOND, [WorkerListing("w", WorkerState.READY)], True)
             given = 0
             for n in range(9):
                 fn = it.admit(now, str(n), "a", f"f{n}", SECOND).function
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -27,7 +27,7 @@
 from threadshift.fastcgi.codec import Records
 from threadshift.frames import link
 from threadshift.frames.codec import HOLD, INVOKE
-from threadshift.interface import MS, SECOND, State
+from threadshift.interface import MS, SECOND, WorkerState
 from threadshift.links.codec import encode
 from threadshift.links.redial import Redial
 from threadshift.node import placement
@@ -426,7 +426,7 @@
             read += 5 * MS                  # the timer's tick
             changed = it.tick(read)
             self.assertLessEqual(read, max(told + grace, told + late_ms * MS) + 5 * MS)
-        self.assertEqual([(each.worker, each.state) for each in changed], [("a", State.GONE)])
+        self.assertEqual([(each.worker, each.state) for each in changed], [("a", WorkerState.GONE)])
         if late_ms >= grace_ms:
             self.assertEqual(read, told + late_ms * MS)
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -11,7 +11,7 @@
 from threadshift.emulator.front import ModelFront
 from threadshift.emulator.router import PREFIX
 from threadshift.emulator.run import Emulation
-from threadshift.interface import SECOND, Action, State, Step
+from threadshift.interface import SECOND, Action, WorkerState, Step
 from threadshift.trials.hunt import emulate
 
 DAY = """
@@ -118,7 +118,7 @@
             return not act.answered and worker.ready and act.answer_due > now and len(act.sends) < 4
 
         def deaf(self, listings):
-            listings = [each for each in listings if each.state is State.READY]
+            listings = [each for each in listings if each.state is WorkerState.READY]
             if listings:
                 self.desk.roster(self.clock.now, listings, full=False)
 
@@ -130,7 +130,7 @@
         halls = ("zone_loss at 2s for 1s zone a", "zone_loss at 2s for 1s zone b", "burst at 3s for 6s times 6")
         cases = ((2, Dispatcher, "may_send", resend, ("break_after_run at 3s for 5s workers 6",)),
                  (3, ModelFront, "apply_listings", deaf, ("drain at 2s for 9s workers 5",)),
-                 (4, Dispatcher, "place", lambda self, act, now: max(self.fleet, key=lambda each: each.since), halls),
+                 (4, Dispatcher, "place", lambda self, act, now: max(self.fleet, key=lambda each: each.started_at), halls),
                  (5, Dispatcher, "hold", greedy, ("scan at 2s for 8s share 80%",)))
         for rule, owner, name, wrong, troubles in cases:
             kept = getattr(owner, name)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -19,7 +19,7 @@
 from threadshift.conf.values import Address
 from threadshift.gateway.demo import Demo
 from threadshift.gateway.restarts import FIRST, MOST, STEADY, Restarts
-from threadshift.interface import MS, SECOND, State
+from threadshift.interface import MS, SECOND, WorkerState
 from threadshift.invoke.client import Client, NoAnswer
 from threadshift.standins.common import Record
 from threadshift.standins.rig import Rig, free_ports
@@ -176,7 +176,7 @@
         with Live() as live:
             live.call("f")
             home = next(name for name, worker in live.front.desk.dispatcher.workers.items() if worker.warm)
-            drains = replace(live.front.membership.known[home].entry, state=State.DRAINING)
+            drains = replace(live.front.membership.known[home].entry, state=WorkerState.DRAINING)
             sent = live.front.send
             to = []
             live.front.send = lambda worker, held, number: to.append(worker) or sent(worker, held, number)
@@ -189,7 +189,7 @@
         """Found by a hunt: read first, it brought a load order to a worker long told of as draining."""
         with Live() as live:
             live.call("f")
-            drains = replace(live.front.membership.known["w0"].entry, state=State.DRAINING)
+            drains = replace(live.front.membership.known["w0"].entry, state=WorkerState.DRAINING)
             states, ended = [], live.front.desk.ended
 
             def hear(*words, **more):
@@ -200,7 +200,7 @@
             until(lambda: live.front.desk.owed)
             live.front.api.looks.unread = lambda now: gevent.spawn(live.front.listed, [drains], False) and 200 * MS
             job.join()
-            self.assertEqual(states, [State.DRAINING])
+            self.assertEqual(states, [WorkerState.DRAINING])
 
     def test_pauses_of_restarts(self):
         it, now = Restarts(), 100 * SECOND
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -14,7 +14,7 @@
 from threadshift.desk.desk import Asked
 from threadshift.emulator.front import ModelFront
 from threadshift.emulator.run import Emulation
-from threadshift.interface import Effect, State
+from threadshift.interface import Effect, WorkerState
 
 RECORDED = Path(__file__).parent / "histories"
 DRAWN = 20                 # days; each takes a third of a second
@@ -163,7 +163,7 @@
     def test_rule_3_a_drain_not_heard(self):
         def deaf(it, front):
             told = front.apply_listings
-            front.apply_listings = lambda listings: told([each for each in listings if each.state is State.READY])
+            front.apply_listings = lambda listings: told([each for each in listings if each.state is WorkerState.READY])
         self.both(3, DAY + "trouble drain at 3s for 4s workers 2\n", deaf)
 
     def test_rule_4_a_cold_worker_pushed_over(self):
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -68,7 +68,7 @@
         leaving = Leaving(max(each.action_timeout for each in types))
         fleet, now, calls = Fleet(), SECOND, []
         desk = fleet.desk = Desk(Dispatcher(1, it.deployment, now), fleet, fleet, it.load_order)
-        desk.roster(now, [ready(f"w{n}", since=now if n == 3 else 0) for n in range(4)], full=True)
+        desk.roster(now, [ready(f"w{n}", started_at=now if n == 3 else 0) for n in range(4)], full=True)
         for what, pick, outcome in events:
             out = [(held, n) for held in calls for n, sent in enumerate(held.sends) if sent.outcome is None]
             if what == "take":
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -4,13 +4,13 @@
 
 from threadshift.conf.reading import Mistake
 from threadshift.conf.values import Address
-from threadshift.interface import MS, SECOND, State
+from threadshift.interface import MS, SECOND, WorkerState
 from threadshift.links.codec import Refused
 from threadshift.roster.membership import Entry, Membership, Unbelievable, entry
 from threadshift.roster.sources import Feed, WatchedFile
 
 AT, WALL = Address("127.0.0.1", 1), 1_800_000_000 * SECOND
-READY, DRAINING, GONE = State.READY, State.DRAINING, State.GONE
+READY, DRAINING, GONE = WorkerState.READY, WorkerState.DRAINING, WorkerState.GONE
 
 
 def told(name, state=READY, **facts):
@@ -63,16 +63,16 @@
 
     def test_a_start_is_turned_into_our_clock_once(self):
         # A step of the wall clock, or the same start seen by two clocks, must not look like a restart.
-        first = self.it.hello(10 * SECOND, WALL, "a", WALL - 3 * SECOND)[0].since
+        first = self.it.hello(10 * SECOND, WALL, "a", WALL - 3 * SECOND)[0].started_at
         self.assertEqual(first, 7 * SECOND)
         self.assertEqual(self.it.hello(11 * SECOND, WALL + 3600 * SECOND, "a", WALL - 3 * SECOND), [])
         again = self.it.listed(12 * SECOND, WALL - SECOND, [told("a", started=WALL - 2 * SECOND)], full=False)
-        self.assertEqual(again[0].since, first)
-        later = self.it.hello(20 * SECOND, WALL + 10 * SECOND, "a", WALL + 9 * SECOND)[0].since
+        self.assertEqual(again[0].started_at, first)
+        later = self.it.hello(20 * SECOND, WALL + 10 * SECOND, "a", WALL + 9 * SECOND)[0].started_at
         self.assertEqual(later, 19 * SECOND)
 
     def test_a_start_in_the_future_counts_as_now(self):
-        self.assertEqual(self.it.hello(SECOND, WALL, "a", WALL + 60 * SECOND)[0].since, SECOND)
+        self.assertEqual(self.it.hello(SECOND, WALL, "a", WALL + 60 * SECOND)[0].started_at, SECOND)
 
 
 class Sources(unittest.TestCase):
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -23,7 +23,7 @@
 from threadshift.desk.desk import Asked
 from threadshift.frames.codec import ASK, FROM_WORKER, FULL, HOLD, INVOKE, encode
 from threadshift.gateway.fleet import JOIN_BATCH
-from threadshift.interface import MS, SECOND, Deployment, Effect, Listing, NamespaceType, State
+from threadshift.interface import MS, SECOND, Deployment, Effect, WorkerListing, NamespaceType, WorkerState
 from threadshift.node.descriptors import Descriptors
 from threadshift.ring import POINTS
 
@@ -175,7 +175,7 @@
         new = range(self.WORKERS, self.WORKERS + 2 * JOIN_BATCH)
         self.node.on_list_update(parse_update(event(2, *map(self.entry, new))))
         gone = f"s-{new[-1]}"
-        self.node.change([self.node.membership.ends(gone, State.GONE)])      # as where a list lacks it at last
+        self.node.change([self.node.membership.ends(gone, WorkerState.GONE)])      # as where a list lacks it at last
         until(lambda: not self.node.joining)
         self.assertNotIn(gone, {worker.name for worker in self.node.desk.dispatcher.fleet})
 
@@ -248,7 +248,7 @@
             cold_share=0.2, cold_time=17 * SECOND, fall_multiple=2.0, longest_advice=SECOND)
         now = 100 * SECOND
         dispatcher = Dispatcher(1, told, now)
-        dispatcher.update_workers(now, [Listing(f"s-{n}", State.READY, since=now) for n in range(self.WORKERS)], full=True)
+        dispatcher.update_workers(now, [WorkerListing(f"s-{n}", WorkerState.READY, started_at=now) for n in range(self.WORKERS)], full=True)
         longest = 0.0
         for number in range(self.CALLS):
             since = time.process_time()
@@ -274,7 +274,7 @@
     def one_call(self, workers):
         dispatcher = Dispatcher(1, Deployment((NamespaceType(
             "check", 100 * MS, 2_500 * MS, 1.0, 0.3, Effect.REPEATABLE),)), 0)
-        dispatcher.update_workers(0, [Listing(f"s-{n}", State.READY) for n in range(workers)], full=True)
+        dispatcher.update_workers(0, [WorkerListing(f"s-{n}", WorkerState.READY) for n in range(workers)], full=True)
         return dispatcher, dispatcher.admit(0, "c", "check", "f", SECOND)
 
 
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -16,7 +16,7 @@
 from tests.test_emulator import DAY, Emulation, read_text
 from threadshift.choice import Dispatcher
 from threadshift.conf.reading import Mistake
-from threadshift.interface import SECOND, Action, Effect, State, Step
+from threadshift.interface import SECOND, Action, Effect, WorkerState, Step
 from threadshift.trials import figures, hunt, runs
 from threadshift.trials.commands import trial
 from threadshift.trials.keep import Kept, Result, Unusable
@@ -242,7 +242,7 @@
     """Does not heed that workers drain."""
 
     def update_workers(self, now, listings, full):
-        return super().update_workers(now, [each for each in listings if each.state is State.READY], full)
+        return super().update_workers(now, [each for each in listings if each.state is WorkerState.READY], full)
 
 
 class Greedy(Dispatcher):
--- a/threadshift/adapter/host.py
+++ b/threadshift/adapter/host.py
@@ -7,20 +7,20 @@
 from threadshift.adapter.codec import Frame, line, to_ms
 from threadshift.choice import Dispatcher
 from threadshift.conf.settings import Fields, Malformed, deployment, report
-from threadshift.interface import MS, Copy, Action, Listing, Outcome, State, Step
+from threadshift.interface import MS, Copy, Action, WorkerListing, Outcome, WorkerState, Step
 
 OUTCOMES = dict(enumerate((
     Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.UNREACHABLE,
     Outcome.RESET, Outcome.CANCELLED, Outcome.NEVER_SENT, Outcome.MISS)))
-STATES = {0: State.GONE, 1: State.READY, 2: State.DRAINING}
+STATES = {0: WorkerState.GONE, 1: WorkerState.READY, 2: WorkerState.DRAINING}
 COPIES = {0: Copy.UNKNOWN, 1: Copy.FOUND, 2: Copy.LOAD_STARTED, 3: Copy.WAITED, 4: Copy.LOAD_FAILED}
 FAILED_LIST = 3
 LONGEST_REMINDER = 70 * 60 * 1000 * MS
 LOG_WORDS = str.maketrans("\r\n", "  ")
 
 
-def listing(row: Fields) -> Listing:
-    return Listing(row.text("worker"), row.read("mode", lambda text: STATES[int(text)]),
+def listing(row: Fields) -> WorkerListing:
+    return WorkerListing(row.text("worker"), row.read("mode", lambda text: STATES[int(text)]),
                    row.text("rackZone", ""), row.whole("cluster", 0), row.ns("onlineSince", 0),
                    row.number("powerHint", 1.0))
 
@@ -39,7 +39,7 @@
         self.handle = 0
         self.reminder: int | None = None
 
-    def event(self, event: Fields, now: int, tables: dict[int, list[Listing]]) -> list[Step]:
+    def event(self, event: Fields, now: int, tables: dict[int, list[WorkerListing]]) -> list[Step]:
         """One event as the call it stands for."""
         word = event.word
         if word == "REQUEST":
@@ -130,13 +130,13 @@
     """All instances of this process. They share the numbered lists of workers and nothing else."""
 
     def __init__(self) -> None:
-        self.tables: dict[int, list[Listing]] = {}
+        self.tables: dict[int, list[WorkerListing]] = {}
         self.instances: dict[int, Instance] = {}
 
     def reply(self, frame: Frame) -> list[str]:
         out: list[str] = []
         touched: dict[int, Instance] = {}
-        rows: list[Listing] = []
+        rows: list[WorkerListing] = []
         wanted = 0
         for event in frame.lines:
             if wanted or event.word == "ROW":
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -15,7 +15,7 @@
 from itertools import accumulate, chain, islice
 
 from threadshift.interface import (
-    MS, SECOND, Activation, Copy, Deployment, Action, Effect, Listing, Outcome, Report, Send, State, Step)
+    MS, SECOND, Activation, Copy, Deployment, Action, Effect, WorkerListing, Outcome, Report, Send, WorkerState, Step)
 from threadshift.ring import HashRing, pair_of_points
 from threadshift.state import Function, Hall, Kind, Memory, Sketch, Worker
 
@@ -118,7 +118,7 @@
             act.awaited_worker.load, act.awaited_worker.told = SILENT, now
             self.go_on(act, now)
 
-    def update_workers(self, now: int, listings: list[Listing], full: bool) -> list[Step]:
+    def update_workers(self, now: int, listings: list[WorkerListing], full: bool) -> list[Step]:
         for worker in self.workers.values() if full else ():
             worker.ready, worker.gone = False, True
         for told in listings:
@@ -127,9 +127,9 @@
                 worker = self.workers[told.worker] = Worker(told.worker, limit=FIRST_LIMIT)
             worker.zone, worker.cell, worker.size = told.zone, told.cell, max(told.size, 0.01)
             self.halls.setdefault(told.zone, Hall())
-            worker.ready, worker.gone = told.state is State.READY, told.state is State.GONE
-            if told.since > worker.since:
-                worker.since = told.since
+            worker.ready, worker.gone = told.state is WorkerState.READY, told.state is WorkerState.GONE
+            if told.started_at > worker.started_at:
+                worker.started_at = told.started_at
                 worker.warm.clear()     # what we knew was of another process
                 worker.strikes = worker.suspensions = worker.until = worker.cut = 0
                 worker.pace, worker.limit, worker.credit, worker.told = 0.0, FIRST_LIMIT, -1.0, 0
@@ -141,7 +141,7 @@
         self.load_limit = self.load_limit or self.most_loads
         return []
 
-    def place_on_ring(self, listings: list[Listing]) -> None:
+    def place_on_ring(self, listings: list[WorkerListing]) -> None:
         """Adds the points of new workers; those of unready ones are passed over. Workers whose names never come back
         are forgotten once they are many: walks would pass over ever more of them."""
         if len(self.workers) - len(self.fleet) > max(LEFT, len(self.fleet)):
@@ -244,7 +244,7 @@
         return min(cap, 1.0 + max(0.0, cap - 1.0) * self.age(worker, now))
 
     def age(self, worker: Worker, now: int) -> float:    # share of its warming that is over, at the latest
-        return min(1.0, (now - worker.since) / self.cold_time) if worker.since and self.cold_time else 1.0
+        return min(1.0, (now - worker.started_at) / self.cold_time) if worker.started_at and self.cold_time else 1.0
 
     def cold_room(self, worker: Worker, act: Activation, now: int) -> bool:
         """Our part of what a just started worker can surely take is earned over time, from a point drawn by
--- a/threadshift/coordinator/events.py
+++ b/threadshift/coordinator/events.py
@@ -14,12 +14,12 @@
 
 from threadshift.errors import Cause
 from threadshift.conf import values
-from threadshift.interface import MS, State
+from threadshift.interface import MS, WorkerState
 from threadshift.roster.membership import MOST_WORKERS, Entry, WorkerList
 
 LONGEST_LINE = 4 << 20     # bytes; a list of MOST_WORKERS takes half of it
 LONGEST_ID = 256           # characters of a worker's id
-STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
+STATES = {"Ready": WorkerState.READY, "Terminating": WorkerState.DRAINING, "Gone": WorkerState.GONE}
 LATEST = 1 << 53           # ms; a start after it is no time
 
 
@@ -112,7 +112,7 @@
     return worker
 
 
-def parse_state(instance: Mapping[str, Any]) -> State:
+def parse_state(instance: Mapping[str, Any]) -> WorkerState:
     """Raises InvalidEvent."""
     state = instance.get("lifecycle")
     if not isinstance(state, str) or state not in STATES:
@@ -137,7 +137,7 @@
 def parse_instances(instances: Iterable[Any], full: bool) -> tuple[WorkerList, tuple[str, ...]]:
     """The workers of one event, and a sentence for each entry that cannot be read whole."""
     entries: list[Entry] = []
-    ending: dict[str, State] = {}
+    ending: dict[str, WorkerState] = {}
     unreadable: set[str] = set()
     problems: list[str] = []
     for instance in instances:
--- a/threadshift/desk/desk.py
+++ b/threadshift/desk/desk.py
@@ -19,7 +19,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from threadshift.choice import NEVER_RAN, Dispatcher
-from threadshift.interface import SECOND, Activation, Copy, Action, Effect, Listing, Outcome, Report, Step
+from threadshift.interface import SECOND, Activation, Copy, Action, Effect, WorkerListing, Outcome, Report, Step
 
 ASK_WAIT = SECOND          # a question that nobody answered so long is lost; far above any answer on a network
 
@@ -183,7 +183,7 @@
                 heapq.heappush(self.times, (last, self.serial(), held))
         self.dispatcher.shorten_deadlines(last)
 
-    def roster(self, now: int, listings: list[Listing], full: bool) -> None:
+    def roster(self, now: int, listings: list[WorkerListing], full: bool) -> None:
         now = self.clock(now)
         self.carry(now, self.dispatcher.update_workers(now, listings, full))
 
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -20,7 +20,7 @@
 from threadshift.emulator.clock import Clock
 from threadshift.emulator.network import Network
 from threadshift.emulator.worker import Job, ModelWorker
-from threadshift.interface import Copy, Deployment, Outcome, Report, State
+from threadshift.interface import Copy, Deployment, Outcome, Report, WorkerState
 from threadshift.invoke.admission import PERIOD, Admission
 from threadshift.invoke.shares import weights
 from threadshift.links.redial import Redial
@@ -133,7 +133,7 @@
     def listed(self, entries: list[Entry], full: bool) -> None:
         self.apply_listings(self.membership.listed(self.clock.now, self.clock.now, entries, full))
         for each in entries:
-            if each.state is not State.GONE and each.worker not in self.links:
+            if each.state is not WorkerState.GONE and each.worker not in self.links:
                 self.dial(each.worker)
 
     def apply_listings(self, listings: list) -> None:
@@ -198,7 +198,7 @@
         if not self.alive or worker in self.links or worker in self.dialling and not again:
             return
         self.dialling.discard(worker)
-        if self.membership.known[worker].entry.state is State.GONE:
+        if self.membership.known[worker].entry.state is WorkerState.GONE:
             return
         it = self.network.reach(worker)
         if it is None:
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -21,7 +21,7 @@
 from threadshift.emulator.store import MB, ModelStore
 from threadshift.emulator.worker import ModelWorker
 from threadshift.gateway.hall import WORDS
-from threadshift.interface import MS, SECOND, Effect, State
+from threadshift.interface import MS, SECOND, Effect, WorkerState
 from threadshift.roster.membership import Entry
 from threadshift.standins.worker import Machine
 
@@ -101,7 +101,7 @@
                           report_every=fleet.report_every, loads_on_miss=told.loads_on_miss)
         self.network.workers[name] = ModelWorker(self.clock, machine, self.store, self.noter(name, worker=name))
 
-    def entry(self, name: str, state: State = State.READY) -> Entry:
+    def entry(self, name: str, state: WorkerState = WorkerState.READY) -> Entry:
         it = self.network.workers[name]
         return Entry(name, Address("127.0.0.1", 1), state, self.zones[name], 0, 1.0, it.started)
 
@@ -149,7 +149,7 @@
         if words[0] == "late":
             self.late, self.late_until = int(float(words[2]) * SECOND), self.clock.now + values.duration(words[1])
             return
-        state = State(words[2])
+        state = WorkerState(words[2])
         self.entries[words[1]] = self.entry(words[1], state)
         self.tell([self.entries[words[1]]], False)
 
--- a/threadshift/gateway/fleet.py
+++ b/threadshift/gateway/fleet.py
@@ -13,7 +13,7 @@
 
 from threadshift.conf.values import Address
 from threadshift.desk.desk import Asked, Desk, Held
-from threadshift.interface import MS, SECOND, Listing, Outcome, State
+from threadshift.interface import MS, SECOND, WorkerListing, Outcome, WorkerState
 from threadshift.invoke.admission import PERIOD, Admission
 from threadshift.invoke.looks import SETTLE, STALL, Looks
 from threadshift.log import Log
@@ -169,15 +169,15 @@
                   joining=len(self.joining), told_ms=(now - told_since) // MS if told_since else None,
                   took_ms=(time.monotonic_ns() - now) // MS)
 
-    def postpone_new(self, listings: list[Listing]) -> list[Listing]:
+    def postpone_new(self, listings: list[WorkerListing]) -> list[WorkerListing]:
         """Puts off new workers where they are many; the listings that are left."""
-        new = [each.worker for each in listings if each.state is State.READY and each.worker not in self.links]
+        new = [each.worker for each in listings if each.state is WorkerState.READY and each.worker not in self.links]
         if len(new) <= JOIN_BATCH:
             for each in listings:
                 self.joining.pop(each.worker, None)
             return listings
         self.joining.update(dict.fromkeys(new))
-        left = [each for each in listings if each.state is not State.READY or each.worker in self.links]
+        left = [each for each in listings if each.state is not WorkerState.READY or each.worker in self.links]
         for each in left:
             self.joining.pop(each.worker, None)
         return left
@@ -198,24 +198,24 @@
             link = self.links.get(it.worker)
             if link is not None and link.address != it.address:
                 replaced.append(self.links.pop(it.worker))
-            if it.worker not in self.links and it.state is not State.GONE:
+            if it.worker not in self.links and it.state is not WorkerState.GONE:
                 self.links[it.worker] = self.link(it)
         return replaced
 
-    def change(self, listings: list[Listing]) -> None:
+    def change(self, listings: list[WorkerListing]) -> None:
         """Workers changed without a link to be made or replaced."""
         self.apply_listings(listings)
         self.take_back(listings)
 
-    def apply_listings(self, listings: list[Listing]) -> None:
+    def apply_listings(self, listings: list[WorkerListing]) -> None:
         """Hands what changed to the decisions."""
         if listings:
             self.desk.roster(time.monotonic_ns(), listings, full=False)
 
-    def take_back(self, listings: list[Listing]) -> None:
+    def take_back(self, listings: list[WorkerListing]) -> None:
         """Ends what waits to leave for workers to which nothing more may go."""
         for each in listings:
-            if each.state is not State.READY and each.worker in self.links:
+            if each.state is not WorkerState.READY and each.worker in self.links:
                 self.links[each.worker].take_back()
 
     def let_go_of_workers(self) -> None:
--- a/threadshift/interface.py
+++ b/threadshift/interface.py
@@ -44,7 +44,7 @@
     LOAD_FAILED = "load failed"
 
 
-class State(Enum):
+class WorkerState(Enum):
     """What the roster says of a worker."""
 
     READY = "ready"
@@ -131,14 +131,14 @@
     fall_time: int = SECOND      # ... over this time, a cold worker falls over
 
 
-class Listing(NamedTuple):
+class WorkerListing(NamedTuple):
     """One line of the roster."""
 
     worker: str
-    state: State
+    state: WorkerState
     zone: str = ""
     cell: int = 0
-    since: int = 0               # when it last started; 0: long past
+    started_at: int = 0               # when it last started; 0: long past
     size: float = 1.0            # to be set against other workers' sizes
 
 
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -24,7 +24,7 @@
 from threadshift.frames import pool
 from threadshift.frames.link import Link
 from threadshift.gateway.fleet import Fleet
-from threadshift.interface import MS, SECOND, Listing
+from threadshift.interface import MS, SECOND, WorkerListing
 from threadshift.invoke.admission import Admission
 from threadshift.links.sockets import listener
 from threadshift.log import Log
@@ -82,7 +82,7 @@
     def link(self, it: Entry) -> Link:
         return Link(it.worker, it.address, self.bounds, self, self.chance, self.bits)
 
-    def apply_listings(self, listings: list[Listing]) -> None:
+    def apply_listings(self, listings: list[WorkerListing]) -> None:
         super().apply_listings(listings)
         if self.ready_workers != self.bounded_for:
             self.bounded_for = self.ready_workers
--- a/threadshift/roster/membership.py
+++ b/threadshift/roster/membership.py
@@ -20,7 +20,7 @@
 from threadshift.errors import Cause
 from threadshift.conf import values
 from threadshift.conf.values import Address
-from threadshift.interface import SECOND, Listing, State
+from threadshift.interface import SECOND, WorkerListing, WorkerState
 
 SAME_START = 2 * SECOND    # ns; starts told closer together than this are the same, seen by two clocks
 FORGOTTEN = 60 * SECOND    # ns after which a worker that is gone is forgotten; the roster's word is seconds late
@@ -39,7 +39,7 @@
 
     worker: str
     address: Address
-    state: State = State.READY
+    state: WorkerState = WorkerState.READY
     zone: str = ""
     cell: int = 0
     size: float = 1.0
@@ -51,7 +51,7 @@
 
     entries: list[Entry]
     full: bool                   # the whole list
-    ending: Mapping[str, State] = {}             # draining or gone, by entries of which no more can be read
+    ending: Mapping[str, WorkerState] = {}             # draining or gone, by entries of which no more can be read
     unreadable: frozenset[str] = frozenset()     # listed by entries of which not even that can be read
 
     @property
@@ -83,7 +83,7 @@
         return value
     try:
         return Entry(values.name(read("worker", str)), values.address(read("address", str)),
-                     State(read("state", str, "ready")), read("zone", str, ""), read("cell", int, 0),
+                     WorkerState(read("state", str, "ready")), read("zone", str, ""), read("cell", int, 0),
                      float(read("size", (int, float), 1.0)), read("started", int, 0))
     except ValueError as problem:
         raise Unbelievable(f"worker {str(told.get('worker'))[:64]!r}: {problem}") from None
@@ -100,15 +100,15 @@
     empty_since: int | None = None   # since when an empty list that is not believed yet may count as told
     lacking: set[str] = field(default_factory=set)   # workers that it lacked, and that were not told of since
 
-    def listed(self, now: int, wall: int, entries: Iterable[Entry], full: bool) -> list[Listing]:
+    def listed(self, now: int, wall: int, entries: Iterable[Entry], full: bool) -> list[WorkerListing]:
         """News from the roster that counts as told now; see apply()."""
         return self.apply(now, wall, WorkerList(list(entries), full), now)
 
-    def apply(self, now: int, wall: int, workers: WorkerList, told_since: int) -> list[Listing]:
+    def apply(self, now: int, wall: int, workers: WorkerList, told_since: int) -> list[WorkerListing]:
         """News from the roster, which may count as told since `told_since`; the listings that changed by it, gone
         ones included."""
         present = workers.names()
-        if workers.full and workers.empty and any(self.state(each) is State.READY for each in self.known.values()):
+        if workers.full and workers.empty and any(self.state(each) is WorkerState.READY for each in self.known.values()):
             if self.empty_since is None:
                 self.empty_since, self.lacking = told_since, self.not_gone()
             return self.tick(now)
@@ -118,27 +118,27 @@
         changed = [self.take(now, wall, each) for each in workers.entries]
         changed += [self.ends(name, state) for name, state in workers.ending.items() if name in self.known]
         if workers.full:
-            changed += [self.ends(name, State.GONE) for name in sorted(self.not_gone() - present)]
+            changed += [self.ends(name, WorkerState.GONE) for name in sorted(self.not_gone() - present)]
         return changed
 
     def not_gone(self) -> set[str]:
         return self.known.keys() - self.gone
 
-    def take(self, now: int, wall: int, told: Entry) -> Listing:
+    def take(self, now: int, wall: int, told: Entry) -> WorkerListing:
         one = self.known.setdefault(told.worker, Known(told))
         one.entry = told
         self.note_gone(told.worker, one)
         self.start(one, now, wall, told.started)
         return self.listing(one)
 
-    def ends(self, name: str, state: State) -> Listing:
+    def ends(self, name: str, state: WorkerState) -> WorkerListing:
         one = self.known[name]
         one.entry.state = state
         self.note_gone(name, one)
         return self.listing(one)
 
     def note_gone(self, name: str, one: Known) -> None:
-        if one.entry.state is State.GONE:
+        if one.entry.state is WorkerState.GONE:
             self.gone.add(name)
         else:
             self.gone.discard(name)
@@ -165,12 +165,12 @@
                 del self.known[name]
                 self.gone.discard(name)
 
-    def hello(self, now: int, wall: int, name: str, started: int) -> list[Listing]:
+    def hello(self, now: int, wall: int, name: str, started: int) -> list[WorkerListing]:
         """A worker told its start itself."""
         one = self.known.get(name)
         return [self.listing(one)] if one and self.start(one, now, wall, started) else []
 
-    def draining(self, name: str) -> list[Listing]:
+    def draining(self, name: str) -> list[WorkerListing]:
         """A worker said that it drains."""
         one = self.known.get(name)
         if one is None or one.drains:
@@ -178,17 +178,17 @@
         one.drains = True
         return [self.listing(one)]
 
-    def tick(self, now: int) -> list[Listing]:
+    def tick(self, now: int) -> list[WorkerListing]:
         """Believes an empty list that has stood long enough."""
         if self.empty_since is None or now - self.empty_since < self.grace // 2:
             return []
         self.empty_since = None
-        return [self.ends(name, State.GONE) for name in sorted(self.lacking & self.not_gone())]
+        return [self.ends(name, WorkerState.GONE) for name in sorted(self.lacking & self.not_gone())]
 
     @staticmethod
-    def state(one: Known) -> State:
-        return State.DRAINING if one.drains and one.entry.state is State.READY else one.entry.state
+    def state(one: Known) -> WorkerState:
+        return WorkerState.DRAINING if one.drains and one.entry.state is WorkerState.READY else one.entry.state
 
-    def listing(self, one: Known) -> Listing:
+    def listing(self, one: Known) -> WorkerListing:
         it = one.entry
-        return Listing(it.worker, self.state(one), it.zone, it.cell, one.since, it.size)
+        return WorkerListing(it.worker, self.state(one), it.zone, it.cell, one.since, it.size)
--- a/threadshift/roster/sources.py
+++ b/threadshift/roster/sources.py
@@ -17,7 +17,7 @@
 from threadshift.conf.installation import Bounds
 from threadshift.conf.reading import Directive, Mistake, load, nearest
 from threadshift.conf.values import Address
-from threadshift.interface import MS, SECOND, State
+from threadshift.interface import MS, SECOND, WorkerState
 from threadshift.links.codec import VERSION, Frames, Refused, encode
 from threadshift.links.sockets import READ, connect, shows
 from threadshift.links.redial import Redial
@@ -94,7 +94,7 @@
         self.listener.listed(entries, full)
 
 
-FACTS: dict[str, Callable[[str], Any]] = {"zone": values.name, "cell": int, "size": values.number, "state": State}
+FACTS: dict[str, Callable[[str], Any]] = {"zone": values.name, "cell": int, "size": values.number, "state": WorkerState}
 
 
 def worker_line(line: Directive) -> Entry:
--- a/threadshift/state.py
+++ b/threadshift/state.py
@@ -59,7 +59,7 @@
     zone: str = ""
     cell: int = 0
     size: float = 1.0            # as told, to be set against other workers'
-    since: int = 0               # its latest start
+    started_at: int = 0               # its latest start
     ready: bool = False
     gone: bool = False           # by the roster; forgotten when there are many
     heard: int = 0               # its last answer
