--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,8 +7,8 @@
 
 
 def deployment(**changes):
-    figures = dict(types=TYPES, front_ends=3, tick=4 * MS, max_sends=4, may_cancel=True, may_order=True,
-                   longest_advice=SECOND, idle_keep=10 * SECOND, drain_grace=SECOND, cold_share=0.2,
+    figures = dict(types=TYPES, front_ends=3, tick=4 * MS, max_sends=4, may_cancel=True, may_order_loads=True,
+                   max_retry_after=SECOND, idle_keep_alive=10 * SECOND, drain_grace=SECOND, cold_share=0.2,
                    cold_time=10 * SECOND, fall_multiple=2.0, fall_time=SECOND)
     return Deployment(**figures | changes)
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -321,7 +321,7 @@
         # front ends, price, the own hall, halls of the stops used: all three stops hold a copy and are idle
         for fronts, price, zone, used in ((100, 0.03, "a", {"a"}), (100, 0.0, "a", {"a", "b"}),
                                           (3, 0.03, "a", {"a", "b"}), (100, 0.03, "c", {"a", "b"})):
-            it = front_end(6, front_ends=fronts, crossing=price, zone=zone)
+            it = front_end(6, front_ends=fronts, cross_zone_fee=price, zone=zone)
             it.update_workers(0, [ready(f"w{n}", zone="ab"[n % 2]) for n in range(6)], full=True)
             it.spread = lambda fn, kind, now: setattr(fn, "width", 6)
             for worker in it.fleet:
@@ -660,7 +660,7 @@
         told = {call(it, f"c{n}", n)[1][0].amount for n in range(40)}
         self.assertGreater(len(told), 30)
         self.assertTrue(SECOND // 2 <= min(told) and max(told) <= SECOND, (min(told), max(told)))
-        it = front_end(0, longest_advice=0)
+        it = front_end(0, max_retry_after=0)
         self.assertEqual(call(it, "a")[1][0].amount, 0)         # none may be named
 
     def test_what_a_client_names_does_not_pile_up(self):
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -282,7 +282,7 @@
 
 class Earlier(unittest.TestCase):
     def test_the_free_orders_of_the_window_count_as_given_at_a_start(self):
-        told = Deployment((NamespaceType("a", SECOND, SECOND, 1.0, 0.0, Effect.REPEATABLE),), may_order=True,
+        told = Deployment((NamespaceType("a", SECOND, SECOND, 1.0, 0.0, Effect.REPEATABLE),), may_order_loads=True,
                           load_window=5 * SECOND, load_free=6.0, load_ratio=0.2)
         for now, most in ((SECOND, 0), (5 * SECOND, 0), (6 * SECOND, 6)):
             it = Dispatcher(1, told, SECOND)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -22,7 +22,7 @@
 
 TYPES = (NamespaceType("t", 500 * MS, 2 * SECOND, 1.0, 0.3, Effect.REPEATABLE),)
 TOLD = Deployment(TYPES, cold_share=0.2, cold_time=10 * SECOND, fall_multiple=2.0, fall_time=SECOND,
-                  idle_keep=8 * SECOND)
+                  idle_keep_alive=8 * SECOND)
 DAY = """
 length 10s
 front-ends 40
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -245,7 +245,7 @@
         # Half a second of processor time for one call where it did; its neighbours' requests lay unread meanwhile.
         told = Deployment(
             (NamespaceType("check", 100 * MS, 2_500 * MS, 1.0, 0.3, Effect.REPEATABLE),), front_ends=2, max_sends=4,
-            cold_share=0.2, cold_time=17 * SECOND, fall_multiple=2.0, longest_advice=SECOND)
+            cold_share=0.2, cold_time=17 * SECOND, fall_multiple=2.0, max_retry_after=SECOND)
         now = 100 * SECOND
         dispatcher = Dispatcher(1, told, now)
         dispatcher.update_workers(now, [WorkerListing(f"s-{n}", WorkerState.READY, started_at=now) for n in range(self.WORKERS)], full=True)
--- a/threadshift/audit/rules.py
+++ b/threadshift/audit/rules.py
@@ -181,7 +181,7 @@
                 sent_before = [one for one in maybe if one.t <= each.t]
                 refused = [one for one in by(events, "turned") if each.t < one.t <= each.t + SLACK]
                 harmless = effect == "repeatable" or (
-                    effect == "deduplicated" and types[tries[0]["type"]].group == "all")
+                    effect == "deduplicated" and types[tries[0]["type"]].dedup_scope == "all")
                 if len(sent_before) > len(refused) and not harmless:
                     yield Breach(2, f"{effect} {mark} was rejected though it may have run")
         runs = by(events, "run")
@@ -193,13 +193,13 @@
                   groups: dict[str, dict[str, Any]], late: dict[str, list[Span]]) -> Iterator[Breach]:
     """A deduplicated call that may have run goes only to workers that know of it, and while they remember."""
     first = maybe[0]
-    if groups[type_.group].get(later.source) != groups[type_.group].get(first.source):
-        yield Breach(2, f"deduplicated {mark} was sent to {later.source}, outside the {type_.group} of "
+    if groups[type_.dedup_scope].get(later.source) != groups[type_.dedup_scope].get(first.source):
+        yield Breach(2, f"deduplicated {mark} was sent to {later.source}, outside the {type_.dedup_scope} of "
                         f"{first.source}, which may run it")
-    if later.t - first.t > type_.memory_span + SLACK and not any(
+    if later.t - first.t > type_.dedup_window + SLACK and not any(
             span.covers(later.t) for span in late[later.source]):
         yield Breach(2, f"deduplicated {mark} was sent again {(later.t - first.t) // MS} ms after it may have run, "
-                        f"and is remembered for {type_.memory_span // MS} ms")
+                        f"and is remembered for {type_.dedup_window // MS} ms")
 
 
 def one_at_a_time(mark: str, maybe: list[Seen], later: Seen, events: list[Seen], lives: dict[str, list[int]],
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -69,17 +69,17 @@
         super().__init__(done_at=now)
         self.chance = random.Random(seed).random
         best = max((each.utility for each in told.types), default=0.0) or 1.0
-        self.kinds = {each.name: Kind(each.target_latency, each.effect, each.group, each.memory_span,
+        self.kinds = {each.name: Kind(each.target_latency, each.effect, each.dedup_scope, each.dedup_window,
                                       each.utility / best, TYPICAL_START * each.target_latency)
                       for each in told.types}
-        self.margin, self.front_ends, self.keep = 2 * told.tick, told.front_ends, told.idle_keep
+        self.margin, self.front_ends, self.keep = 2 * told.tick, told.front_ends, told.idle_keep_alive
         self.max_sends, self.may_cancel, self.may_twice = told.max_sends, told.may_cancel, told.may_duplicate
         self.many = told.front_ends * (1 + EPSILON) > FIRST_LIMIT       # caps of all together bound no load
-        self.zone = told.zone if told.crossing and self.many else None  # own hall first, others being priced
-        self.advice, self.loads_itself = told.longest_advice, told.loads_on_miss
+        self.zone = told.zone if told.cross_zone_fee and self.many else None  # own hall first, others being priced
+        self.advice, self.loads_itself = told.max_retry_after, told.loads_on_miss
         self.load_window, self.load_ratio = told.load_window or 1, told.load_ratio
         self.least_loads = min(1.0, max(LEAST_LOADS, LOADS / told.front_ends))  # when crowded
-        self.load_free = -1.0 if not told.may_order else told.load_free if told.load_window else float("inf")
+        self.load_free = -1.0 if not told.may_order_loads else told.load_free if told.load_window else float("inf")
         self.cold_share, self.cold_time, self.fall_time = told.cold_share, told.cold_time, told.fall_time
         self.cold_factor = told.fall_multiple * told.fall_time / RATE_MEMORY
         self.shares = {each.name: int(SECOND * told.front_ends / SKEW / each.per_second)    # ns a call takes
@@ -409,8 +409,8 @@
                 len(act.sends) >= self.max_sends) or (act.open_send_count and not self.may_twice):
             return False
         return not maybe or kind.effect is Effect.REPEATABLE or kind.effect is Effect.DEDUPLICATED and all(
-            (kind.group == "all" or getattr(send.worker, kind.group) == getattr(worker, kind.group))
-            and now + self.margin < send.sent_at + kind.span for send in maybe)
+            (kind.dedup_scope == "all" or getattr(send.worker, kind.dedup_scope) == getattr(worker, kind.dedup_scope))
+            and now + self.margin < send.sent_at + kind.dedup_window for send in maybe)
 
     def maybe(self, act: Activation) -> list[Send]:     # sends that may have run, or may run yet
         return act.possible_runs + [send for send in act.sends if send.is_open]
@@ -419,7 +419,7 @@
         if not self.may_send(act, worker, now):
             return False
         # A repeat that waits for its connection must have left while the earlier ones are remembered.
-        spans = [one.sent_at + act.type_stats.span - self.margin - now for one in self.maybe(act)]
+        spans = [one.sent_at + act.type_stats.dedup_window - self.margin - now for one in self.maybe(act)]
         wait = min(spans, default=0) if act.type_stats.effect is Effect.DEDUPLICATED else 0
         send = Send(act, len(act.sends), worker, now, self.stands(worker, act.function, now))
         act.sends.append(send)
@@ -457,7 +457,7 @@
     def give_up(self, act: Activation, now: int) -> None:
         """A rejection says that trying again is harmless, so it must be; else abort."""
         safe = act.type_stats.effect is Effect.REPEATABLE or act.type_stats.effect is Effect.DEDUPLICATED and (
-            act.type_stats.group == "all")
+            act.type_stats.dedup_scope == "all")
         self.close(act, Action.REJECT if safe or not (act.possible_runs or act.open_send_count) else Action.ABORT)
 
     def on_client_gone(self, act: Activation) -> None:
--- a/threadshift/conf/installation.py
+++ b/threadshift/conf/installation.py
@@ -189,9 +189,10 @@
     deployment = Deployment(
         types=types, tenants=tenants, front_ends=fleet["front-ends-in-all"] or top["front-ends"],
         zone=top["zone"], tick=fleet["tick"], max_sends=fleet["max-sends"], may_cancel=fleet["cancel"],
-        may_duplicate=fleet["two-at-once"], may_order=fleet["order-loads"], may_probe=fleet["probe"],
+        may_duplicate=fleet["two-at-once"], may_order_loads=fleet["order-loads"], may_probe=fleet["probe"],
+        max_retry_after=fleet["longest-advice"], idle_keep_alive=fleet["idle-keep"],
         **{name.replace("-", "_"): fleet[name] for name in (
-            "longest-advice", "loads-on-miss", "idle-keep", "load-window", "load-free", "load-ratio",
+            "loads-on-miss", "load-window", "load-free", "load-ratio",
             "drain-grace", "cold-share", "cold-time", "fall-multiple", "fall-time")})
     return Installation(
         file, top["listen"], top["front-ends"], top["own-ports"], top["name"], top["roster"][0], top["roster"][1],
--- a/threadshift/days/play.py
+++ b/threadshift/days/play.py
@@ -121,7 +121,7 @@
         day, told = self.day, self.day.told.deployment
         self.rig.standin(
             name, "worker", name=name, store=self.rig.at["store"], zone=self.zones[name], cores=day.fleet.cores,
-            memory_mb=day.fleet.memory / MB, keep=f"{told.idle_keep // MS}ms", cold_share=told.cold_share,
+            memory_mb=day.fleet.memory / MB, keep=f"{told.idle_keep_alive // MS}ms", cold_share=told.cold_share,
             cold_time=f"{told.cold_time // MS}ms", fall_multiple=told.fall_multiple,
             fall_time=f"{told.fall_time // MS}ms", report_every=f"{day.fleet.report_every // MS}ms")
         self.record.note("worker-up", worker=name)
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -96,7 +96,7 @@
     def start_worker(self, name: str) -> None:
         told, fleet = self.day.told.deployment, self.day.fleet
         machine = Machine(name, self.zones[name], 1.0, fleet.cores, fleet.memory / MB, fleet.loads,
-                          keep=told.idle_keep, cold_share=told.cold_share, cold_time=told.cold_time,
+                          keep=told.idle_keep_alive, cold_share=told.cold_share, cold_time=told.cold_time,
                           fall_multiple=told.fall_multiple, fall_time=told.fall_time,
                           report_every=fleet.report_every, loads_on_miss=told.loads_on_miss)
         self.network.workers[name] = ModelWorker(self.clock, machine, self.store, self.noter(name, worker=name))
--- a/threadshift/interface.py
+++ b/threadshift/interface.py
@@ -92,8 +92,8 @@
     utility: float
     late_utility: float
     effect: Effect
-    group: str = "all"           # who drops repeats of a deduplicated activation: all, zone or cell
-    memory_span: int = 0         # for how long they remember it
+    dedup_scope: str = "all"           # who drops repeats of a deduplicated activation: all, zone or cell
+    dedup_window: int = 0         # for how long they remember it
 
 
 class Tenant(NamedTuple):
@@ -111,16 +111,16 @@
     tenants: tuple[Tenant, ...] = ()
     front_ends: int = 1
     zone: str = ""
-    crossing: float = 0.0        # price of a send to another zone; 0: none
+    cross_zone_fee: float = 0.0        # price of a send to another zone; 0: none
     tick: int = MS
     max_sends: int = 1
     may_cancel: bool = False
     may_duplicate: bool = False
-    may_order: bool = False
+    may_order_loads: bool = False
     may_probe: bool = False
-    longest_advice: int = 0      # the longest time to come back that clients heed; 0: none may be named
+    max_retry_after: int = 0      # the longest time to come back that clients heed; 0: none may be named
     loads_on_miss: bool = True
-    idle_keep: int = 0           # an idle copy stays at least this long
+    idle_keep_alive: int = 0           # an idle copy stays at least this long
     load_window: int = 0         # load orders: within this window (0: no limit) ...
     load_free: float = 0.0       # ... at most so many ...
     load_ratio: float = 0.0      # ... plus this share of the activations taken
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -59,7 +59,7 @@
         self.admission = Admission(min(each.target_latency for each in types.values()))
         self.descriptors = Descriptors(told.sockets)
         self.door = Door(lambda: self.descriptors.clients(self.dialled), told.activations, types,
-                         told.deployment.longest_advice, self.admission, self, self.note, self.chance)
+                         told.deployment.max_retry_after, self.admission, self, self.note, self.chance)
         self.looks = self.door.looks
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
         earlier.assume(dispatcher, told.deployment, now)
--- a/threadshift/state.py
+++ b/threadshift/state.py
@@ -20,8 +20,8 @@
 
     target: int                  # target latency
     effect: Effect
-    group: str                   # who drops repeats of a deduplicated activation ...
-    span: int                    # ... and for how long
+    dedup_scope: str                   # who drops repeats of a deduplicated activation ...
+    dedup_window: int                    # ... and for how long
     grade: float                 # its utility over that of the type worth most
     typical: float               # ns from send to answer where a copy stood
     work: float = 0.0            # mean cost hint in ns, 0 before any
--- a/threadshift/trials/causes.py
+++ b/threadshift/trials/causes.py
@@ -108,7 +108,7 @@
         if not each.facts.get("failed"):
             found.loads += 1
             before = loads[each["function"]]
-            found.needless += any(each.t - when <= it.idle_keep and who != each.source for when, who in before[-9:])
+            found.needless += any(each.t - when <= it.idle_keep_alive and who != each.source for when, who in before[-9:])
             before.append((each.t, each.source))
     for tries, asked, got in gains(seen, it):
         found.asked += asked
@@ -138,7 +138,7 @@
         begun = loads[each["function"]]
         began = [when for when, who in begun if who == each.source and when >= each.t]
         if began and (ends := [one.t for one in marks[each["mark"]] if one.event == "run"]) and min(began) <= ends[0]:
-            stood = any(each.t - it.idle_keep <= when <= each.t and who != each.source for when, who in begun)
+            stood = any(each.t - it.idle_keep_alive <= when <= each.t and who != each.source for when, who in begun)
             return "copy brought again" if stood else "first copy"
     return "late"
 
