--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -87,7 +87,7 @@
             it = front_end(workers, front_ends=3 if workers < 20 else 100)
             for n in range(seen):
                 it.admit(n * MS, str(n), AGAIN.value, "f" if n < own else f"other{n}", SECOND)
-            it.spread(it.functions["f"], it.kinds[AGAIN.value], SECOND)
+            it.spread(it.functions["f"], it.types[AGAIN.value], SECOND)
             self.assertEqual(it.functions["f"].width, stops, (workers, seen, own))
 
     def test_warm_stop_before_a_cold_home_and_an_order_for_home(self):
@@ -464,7 +464,7 @@
                                            (3, 2, 3, False)):
             it = front_end(12, front_ends=fronts)
             it.update_workers(0, [ready(f"w{n}", zone="ab"[n % halls]) for n in range(12)], full=True)
-            del it.halls[""]                # of the list that front_end() gave
+            del it.zones[""]                # of the list that front_end() gave
             here = [worker for worker in it.fleet if worker.zone == "a"]
             for n, worker in enumerate(here[:fails]):
                 act = it.admit(SECOND + n, f"a{n}", ONCE.value, f"f{n}", 2 * SECOND)
@@ -476,7 +476,7 @@
                 continue
             # Later one repeatable send is let go there, alone; its answer ends the doubt, its loss doubles it.
             for outcome, free in ((Outcome.TIMEOUT, False), (Outcome.COMPLETED, True)):
-                now = it.halls["a"].until
+                now = it.zones["a"].suspended_until
                 once = it.admit(now, "o", ONCE.value, "f", SECOND)
                 self.assertFalse(it.fit(here[-1], once, now))
                 trial = it.admit(now, f"t{outcome}", AGAIN.value, "f", SECOND)
@@ -790,7 +790,7 @@
                 it.admit(SECOND, f"t{n}", "repeatable", "f", SECOND, cost_hint=10 * MS)
             heavy = it.admit(SECOND, "heavy", "repeatable", "f", 2 * SECOND, cost_hint=900 * MS)
             self.assertFalse(it.cold_room(it.fleet[0], heavy, SECOND))
-            self.assertLessEqual(it.fleet[0].credit, heavy.type_stats.units)
+            self.assertLessEqual(it.fleet[0].credit, heavy.type_stats.mean_cost)
 
 
 if __name__ == "__main__":
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -17,7 +17,7 @@
 from threadshift.interface import (
     MS, SECOND, Activation, Copy, Deployment, Action, Effect, WorkerListing, Outcome, Report, Send, WorkerState, Step)
 from threadshift.ring import HashRing, pair_of_points
-from threadshift.state import Function, Hall, Kind, Memory, Sketch, Worker
+from threadshift.state import Function, Zone, TypeStats, DispatcherState, CountMinSketch, Worker
 
 EPSILON = 0.25             # room above the mean in flight; middle of the design's 0.1 to 0.5
 REACH = 16                 # fit stops that a walk looks at; past them a call is as badly off as at home
@@ -62,14 +62,14 @@
 FAILED = (Outcome.UNREACHABLE, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR)
 
 
-class Dispatcher(Memory):
+class Dispatcher(DispatcherState):
     """One front end's decisions."""
 
     def __init__(self, seed: int, told: Deployment, now: int):
         super().__init__(done_at=now)
         self.chance = random.Random(seed).random
         best = max((each.utility for each in told.types), default=0.0) or 1.0
-        self.kinds = {each.name: Kind(each.target_latency, each.effect, each.dedup_scope, each.dedup_window,
+        self.types = {each.name: TypeStats(each.target_latency, each.effect, each.dedup_scope, each.dedup_window,
                                       each.utility / best, TYPICAL_START * each.target_latency)
                       for each in told.types}
         self.margin, self.front_ends, self.keep = 2 * told.tick, told.front_ends, told.idle_keep_alive
@@ -85,7 +85,7 @@
         self.shares = {each.name: int(SECOND * told.front_ends / SKEW / each.per_second)    # ns a call takes
                        if each.per_second > 0 else 0 for each in told.tenants}      # within our part; 0: any
         self.may_ask, self.may_probe = UNTOLD if told.may_probe and self.many else 0, told.may_probe
-        self.before, self.sketch = (Sketch(SKETCH_DEPTH, SKETCH_WIDTH, now) for _ in range(2))
+        self.before, self.sketch = (CountMinSketch(SKETCH_DEPTH, SKETCH_WIDTH, now) for _ in range(2))
         self.next_round, self.budget, self.load_base = now + ROUND, BUDGET_MOST / 2, float(LOAD_START)
 
     def steps(self, decide, *args) -> list[Step]:
@@ -126,7 +126,7 @@
             if worker is None:
                 worker = self.workers[told.worker] = Worker(told.worker, limit=FIRST_LIMIT)
             worker.zone, worker.cell, worker.size = told.zone, told.cell, max(told.size, 0.01)
-            self.halls.setdefault(told.zone, Hall())
+            self.zones.setdefault(told.zone, Zone())
             worker.ready, worker.gone = told.state is WorkerState.READY, told.state is WorkerState.GONE
             if told.started_at > worker.started_at:
                 worker.started_at = told.started_at
@@ -194,17 +194,17 @@
             for act in self.waiting(self.functions.pop(next(iter(self.functions)))):
                 self.give_up(act, now)
         if now - self.sketch.since >= SKETCH_WINDOW and self.sketch.total >= SKETCH_LEAST:
-            self.before, self.sketch = self.sketch, Sketch(SKETCH_DEPTH, SKETCH_WIDTH, now)
+            self.before, self.sketch = self.sketch, CountMinSketch(SKETCH_DEPTH, SKETCH_WIDTH, now)
             for worker in self.workers.values():
                 worker.warm = {name: until for name, until in worker.warm.items() if until > now}
         self.sketch.add(fn.cells)
         self.took.append(now)
         self.recent(self.took, now)     # orders may be rare: without this the times would pile up
-        kind = self.kinds[type_name]
+        kind = self.types[type_name]
         if cost_hint:
-            kind.work += TREND * (cost_hint - kind.work) if kind.work else cost_hint
-            kind.units = kind.work / SECOND
-        self.units += TREND * (kind.units - self.units) if self.units else kind.units
+            kind.mean_cost_hint += TREND * (cost_hint - kind.mean_cost_hint) if kind.mean_cost_hint else cost_hint
+            kind.mean_cost = kind.mean_cost_hint / SECOND
+        self.mean_cost += TREND * (kind.mean_cost - self.mean_cost) if self.mean_cost else kind.mean_cost
         self.spread(fn, kind, now)
         act = Activation(self, ivk, kind, fn, now, now + max(0, left - self.margin), cost_hint,
                          is_client_retry or self.beyond_share(tenant, now), fn.turn)
@@ -221,22 +221,22 @@
             self.paid[tenant] = paid + pays
         return paid > now
 
-    def spread(self, fn: Function, kind: Kind, now: int) -> None:
+    def spread(self, fn: Function, kind: TypeStats, now: int) -> None:
         """Over how many stops: when hot, by the sketch, two or three, or by its part of the fleet's work.
 
         The less one front end sees, the thinner: all would send to the same three of a hundred workers. And
         where it sees little of a stop, what all others send there keeps a copy: the ring is evidence."""
         seen = self.before.count(fn.cells) + self.sketch.count(fn.cells)
         share = (seen - 1) / (self.before.total + self.sketch.total + SKETCH_PRIOR)
-        part = share * len(self.fleet) * kind.units / self.units
+        part = share * len(self.fleet) * kind.mean_cost / self.mean_cost
         fn.width = max(1 + (share > HOT_SHARE) + (share > 2 * HOT_SHARE),
                        round(part / max(SLICE, KNOWN / self.front_ends)))
         ours = seen * self.keep / max(self.keep, now - self.before.since, 1) / fn.width
         fn.kept = ours <= 1 and ours * (self.front_ends - 1) >= KEPT
 
     def expected(self, act: Activation) -> float:
-        hint = act.cost_hint / act.type_stats.work if act.cost_hint and act.type_stats.work else 1.0
-        return act.type_stats.typical * (0.5 + 0.5 * hint)
+        hint = act.cost_hint / act.type_stats.mean_cost_hint if act.cost_hint and act.type_stats.mean_cost_hint else 1.0
+        return act.type_stats.typical_latency * (0.5 + 0.5 * hint)
 
     def cap(self, worker: Worker, now: int) -> float:
         """The design's cap, by told size; from one upwards for a worker that has just started."""
@@ -249,7 +249,7 @@
     def cold_room(self, worker: Worker, act: Activation, now: int) -> bool:
         """Our part of what a just started worker can surely take is earned over time, from a point drawn by
         chance: one send at once from each front end would push it over. Unknown: one a stretch by all."""
-        age, mean, units = self.age(worker, now), act.type_stats.units, self.weight(act)
+        age, mean, units = self.age(worker, now), act.type_stats.mean_cost, self.weight(act)
         if age >= 1:
             return True
         able = (self.cold_share + (1 - self.cold_share) * age) * min(1.0, worker.size / self.mean_size)
@@ -261,7 +261,7 @@
         return worker.credit >= units
 
     def weight(self, act: Activation) -> float:     # on a cold worker; by its own hint where that says more
-        return max(act.type_stats.units, act.cost_hint / SECOND)
+        return max(act.type_stats.mean_cost, act.cost_hint / SECOND)
 
     def settle(self, worker: Worker, now: int) -> None:
         """What time alone does: limits recover, and a pace not heard of for a while fades."""
@@ -272,11 +272,11 @@
 
     def fit(self, worker: Worker, act: Activation, now: int) -> bool:
         self.settle(worker, now)
-        hall, trial = self.halls[worker.zone], act.type_stats.effect is not Effect.ONCE_ONLY
-        return worker.until <= now and hall.until <= now and self.cold_room(worker, act, now) and (
+        hall, trial = self.zones[worker.zone], act.type_stats.effect is not Effect.ONCE_ONLY
+        return worker.until <= now and hall.suspended_until <= now and self.cold_room(worker, act, now) and (
             # Suspended before, it is on trial: one repeatable send at a time until an answer. So is its hall.
             not worker.suspensions or not worker.sends and trial) and (
-            not hall.suspensions or trial and all(send.worker.zone != worker.zone for send in self.flying))
+            not hall.consecutive_suspensions or trial and all(send.worker.zone != worker.zone for send in self.flying))
 
     def room(self, worker: Worker, now: int, heft: float = 1.0) -> bool:
         return len(worker.sends) < min(self.cap(worker, now), worker.limit) and (
@@ -315,7 +315,7 @@
         on = act.turn % max(1, len(far))
         # Heard of a copy since, as by our order after a 'miss', a worker is worth trying again.
         tried = [send.worker for send in act.sends if not send.worker.holds(fn, send.sent_at + self.keep)]
-        heft = max(1.0, self.expected(act) / act.type_stats.typical) / (SPARE if act.low_priority else 1.0)
+        heft = max(1.0, self.expected(act) / act.type_stats.typical_latency) / (SPARE if act.low_priority else 1.0)
         turned = (one for one in chain(
             near[shift:], near[:shift], far[on:], far[:on], ready[fn.width:]) if one not in tried)
         fit = (one for one in chain(turned, tried) if one.ready and self.fit(one, act, now))
@@ -352,7 +352,7 @@
                 return None
             first = next((worker for worker in stops if worker not in warm and self.room(worker, now)), first)
             able = [one for one in warm if len(one.sends) < one.limit * (SPARE if act.low_priority else 1.0) and (
-                self.press(one, now) * heft * EASE <= (1.0 if self.blind else act.type_stats.grade))]
+                self.press(one, now) * heft * EASE <= (1.0 if self.blind else act.type_stats.relative_utility))]
             able.sort(key=lambda one: (self.blind and self.press(one, now), len(one.sends) / one.limit))
             chosen = able[0] if able else next(
                 (worker for worker in stops if self.room(worker, now) and self.may_load(now, WIDEN)), None)
@@ -507,18 +507,18 @@
         worker, act, fn = send.worker, send.activation, send.activation.function
         self.settle(worker, now)
         if outcome in (Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL, Outcome.MISS):
-            worker.heard, hall = now, self.halls[worker.zone]
-            hall.lost.clear()
-            hall.suspensions = hall.until = 0
+            worker.heard, hall = now, self.zones[worker.zone]
+            hall.failed_workers.clear()
+            hall.consecutive_suspensions = hall.suspended_until = 0
         if outcome is Outcome.COMPLETED:
             worker.strikes = worker.suspensions = 0
             worker.warm[fn.name], fn.served = now + self.keep, now
             self.budget = min(BUDGET_MOST, self.budget + BUDGET_SHARE)
             self.done *= max(0.0, 1 - (now - self.done_at) / RATE_MEMORY)
-            self.done, self.done_at = self.done + act.type_stats.units, now
+            self.done, self.done_at = self.done + act.type_stats.mean_cost, now
             if copy is Copy.FOUND or (copy is Copy.UNKNOWN and send.warm):
                 ratio = self.pace(send, waited, now)
-                act.type_stats.typical *= 1 + TREND * (min(ratio, PATIENCE) - 1)
+                act.type_stats.typical_latency *= 1 + TREND * (min(ratio, PATIENCE) - 1)
                 if worker.pace <= EASE and len(worker.sends) + 1 >= worker.limit:
                     worker.limit += 1 / worker.limit if worker.cut else 1
             elif copy is Copy.LOAD_STARTED:
@@ -549,7 +549,7 @@
             # Cores are free, so who waits waits for a load, several behind each: not pressed by those.
             loading = max(loading, report.waiting or 0.0)
         load, waits = (max(0.0, each - loading) * rate for each in (held, report.waiting or 0.0))
-        part = min(1 + EPSILON, *(EASE * kind.target / kind.typical for kind in self.kinds.values()))
+        part = min(1 + EPSILON, *(EASE * kind.target_latency / kind.typical_latency for kind in self.types.values()))
         worker.load, worker.told = max(load / max(HELD, self.mean_held * part), waits / WAITING), now
         self.mean_held += TREND * (load - self.mean_held)
         self.pressed += TELLS * ((worker.load > 1) - self.pressed)
@@ -587,7 +587,7 @@
         """Notes what one send took, for its weight, and eases the worker; returns it over the expected."""
         worker, kind = send.worker, send.activation.type_stats
         ratio = waited / max(1.0, self.expected(send.activation))
-        worker.pace += FRESH * (min(1.0, kind.typical * ratio / kind.target) - worker.pace)
+        worker.pace += FRESH * (min(1.0, kind.typical_latency * ratio / kind.target_latency) - worker.pace)
         if worker.pace > EASE:
             self.ease(worker, now)
         return ratio
@@ -607,22 +607,22 @@
     def strike(self, worker: Worker, now: int) -> None:
         """Fast failures and silence look idle to the cap: suspend, longer each time, then one trial."""
         worker.strikes += 1
-        hall = self.halls[worker.zone]
-        hall.lost.add(worker)
-        if self.many and len(hall.lost) >= DOUBT and hall.until <= now and len(self.halls) > 1:
+        hall = self.zones[worker.zone]
+        hall.failed_workers.add(worker)
+        if self.many and len(hall.failed_workers) >= DOUBT and hall.suspended_until <= now and len(self.zones) > 1:
             self.suspend(hall, now)
         if worker.until > now or (worker.strikes < STRIKES and not worker.suspensions):
             return
         self.suspend(worker, now)
         worker.warm.clear()
 
-    def suspend(self, it: Worker | Hall, now: int) -> None:
+    def suspend(self, it: Worker | Zone, now: int) -> None:
         length = min(SUSPEND_MOST, SUSPEND << min(it.suspensions, 8)) * (0.75 + 0.5 * self.chance())
         it.until, it.suspensions = now + int(length), it.suspensions + 1
 
     def patience(self, send: Send) -> tuple[float, float]:
         """From when on its worker is asked whether it is there; and until when it may be loading for it."""
-        usual = max(PATIENCE * self.expected(send.activation), EASE * send.activation.type_stats.target)
+        usual = max(PATIENCE * self.expected(send.activation), EASE * send.activation.type_stats.target_latency)
         load = 0 if send.warm and not send.activation.function.kept else 2 * CROWDED * (send.activation.function.load or self.load_base)
         return usual + (0 if self.may_probe and self.many else load), usual + load
 
@@ -636,7 +636,7 @@
             if waited <= asks:
                 continue
             if worker.heard < send.sent_at and worker.until <= now:
-                if self.halls[worker.zone].until <= now and (
+                if self.zones[worker.zone].suspended_until <= now and (
                         self.may_probe and now - worker.asked < PROBED or self.probe(worker, send, now)):
                     continue
                 if waited <= loads and worker.there > send.sent_at:
--- a/threadshift/gateway/recent.py
+++ b/threadshift/gateway/recent.py
@@ -37,7 +37,7 @@
 
     def note(self, now: int, held: Held) -> None:
         """One activation that ended: answered, or left by its client before its target latency was up."""
-        late = now - held.taken > held.act.type_stats.target
+        late = now - held.taken > held.act.type_stats.target_latency
         if held.gone and not late:
             return
         second = now // SECOND
--- a/threadshift/gateway/rolling.py
+++ b/threadshift/gateway/rolling.py
@@ -85,7 +85,7 @@
         sums[2] += held.answer.final is Final.ABORTED
         sums[3] += bool(held.answer.error)
         if held.answer.final is Final.COMPLETED:
-            sums[4] += took > held.act.type_stats.target
+            sums[4] += took > held.act.type_stats.target_latency
             sums[5][bucket(took)] += 1
 
     # What it tells of itself.
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -270,7 +270,7 @@
 
     def tell(self, held: Held, answer: Answer) -> None:
         """The one event of a final answer; completed in time is the usual, and told only where all is."""
-        usual = answer.final is Final.COMPLETED and held.desk.now - held.taken <= held.act.type_stats.target
+        usual = answer.final is Final.COMPLETED and held.desk.now - held.taken <= held.act.type_stats.target_latency
         level = "debug" if usual else "info"
         if not self.log.wanted(level):
             return
--- a/threadshift/state.py
+++ b/threadshift/state.py
@@ -15,17 +15,17 @@
 
 
 @dataclass(slots=True, eq=False)
-class Kind:
+class TypeStats:
     """A namespace type, with what its activations have been seen to take."""
 
-    target: int                  # target latency
+    target_latency: int                  # target latency
     effect: Effect
     dedup_scope: str                   # who drops repeats of a deduplicated activation ...
     dedup_window: int                    # ... and for how long
-    grade: float                 # its utility over that of the type worth most
-    typical: float               # ns from send to answer where a copy stood
-    work: float = 0.0            # mean cost hint in ns, 0 before any
-    units: float = 1.0           # what a call weighs: that hint in seconds, if any
+    relative_utility: float                 # its utility over that of the type worth most
+    typical_latency: float               # ns from send to answer where a copy stood
+    mean_cost_hint: float = 0.0            # mean cost hint in ns, 0 before any
+    mean_cost: float = 1.0           # what a call weighs: that hint in seconds, if any
 
 
 @dataclass(slots=True, eq=False)
@@ -93,15 +93,15 @@
 
 
 @dataclass(slots=True, eq=False)
-class Hall:
+class Zone:
     """A zone, for what its workers may share: a cut, or power."""
 
-    lost: set[Worker] = field(default_factory=set)      # failed since any of it answered
-    suspensions: int = 0         # as a worker's ...
-    until: int = 0               # ... and until then
+    failed_workers: set[Worker] = field(default_factory=set)      # failed since any of it answered
+    consecutive_suspensions: int = 0         # as a worker's ...
+    suspended_until: int = 0               # ... and until then
 
 
-class Sketch:
+class CountMinSketch:
     """A count-min sketch: counts names in fixed room, never too low."""
 
     def __init__(self, depth: int, width: int, since: int):
@@ -121,21 +121,21 @@
 
 
 @dataclass(eq=False)
-class Memory:
+class DispatcherState:
     """What a front end remembers beside its settings."""
 
     done_at: int                 # until when completed work, which fades, was brought up to date
     done: float = 0.0
     workers: dict[str, Worker] = field(default_factory=dict)
     functions: dict[str, Function] = field(default_factory=dict)
-    halls: dict[str, Hall] = field(default_factory=dict)
+    zones: dict[str, Zone] = field(default_factory=dict)
     fleet: list[Worker] = field(default_factory=list)           # workers that are ready
     most_workers: int = 0        # ready at once, so far
     mean_size: float = 1.0       # of those that are ready
     ring: HashRing[Worker] = field(default_factory=HashRing)
     version: int = 0             # of the ring
     paid: dict[str, int] = field(default_factory=dict)          # until when a tenant's share is used up
-    units: float = 0.0           # what a call weighs, over all types
+    mean_cost: float = 0.0           # what a call weighs, over all types
     mean_held: float = 0.0       # calls usually held by a worker of mean size, by reports
     pressed: float = 0.25        # share of reports, lately, that told of press
     took: deque[int] = field(default_factory=deque)             # times of activations in the load window
