--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -40,7 +40,7 @@
             it.sketch.total = 1000
             home = serve(it, lanes=lanes)
             stops = [worker.name for worker in it.walk(it.functions["f"])]
-            it.workers[stops[1]].warm["f"] = 10 * SECOND
+            it.workers[stops[1]].warm_until["f"] = 10 * SECOND
             went = [place for n in range(held) for place in sent(call(it, f"c{n}", fn="f")[1])]
             self.assertEqual((went[0], len(set(went))), (home, used), (held, fronts, lanes))
 
@@ -54,13 +54,13 @@
             act.on_send_ended(SECOND, 0, Outcome.COMPLETED, 0, final=True)
             home, *others = it.walk(act.function)
             for worker in others:
-                worker.limit = 0.0
+                worker.in_flight_limit = 0.0
             for worker in (home, *others):
-                worker.warm.clear()
+                worker.warm_until.clear()
             if why == "suspended":
-                home.until = 9 * SECOND
+                home.suspended_until = 9 * SECOND
             else:
-                home.started_at, home.credit, home.earned = 2 * SECOND, 0.0, 2 * SECOND
+                home.started_at, home.cold_credit, home.credit_updated_at = 2 * SECOND, 0.0, 2 * SECOND
             went = sent(call(it, "b", 2 * SECOND)[1])
             self.assertEqual(len(went), 1)
             self.assertNotIn(home.name, went, why)
@@ -74,7 +74,7 @@
                 now = n * 20 * MS              # 24 s: two resets of the sketch
                 fn = "f" if n % every == 0 else f"other{n % 40}"
                 for worker in it.fleet:
-                    worker.warm[fn] = now + SECOND
+                    worker.warm_until[fn] = now + SECOND
                 place = serve(it, fn, now)
                 if fn == "f" and n > 300:
                     went.add(place)
@@ -94,8 +94,8 @@
         it = front_end(4)
         serve(it)
         home, other = list(it.walk(it.functions["f"]))[:2]
-        home.warm.clear()
-        other.warm["f"] = 10 * SECOND
+        home.warm_until.clear()
+        other.warm_until["f"] = 10 * SECOND
         _, steps = call(it, now=2 * SECOND)
         self.assertEqual(sent(steps), [other.name])
         self.assertEqual([step.worker for step in steps if step.action is Action.LOAD], [home.name])
@@ -137,7 +137,7 @@
             it = front_end(0)
             it.update_workers(0, [ready("w0", zone="z"), ready("w1", zone=zone)], full=True)
             act, steps = call(it, effect=MARKED)
-            it.workers[sent(steps)[0]].until = 10 * SECOND
+            it.workers[sent(steps)[0]].suspended_until = 10 * SECOND
             steps = act.on_send_ended(when, 0, Outcome.TIMEOUT, when)
             self.assertEqual(does(steps), [Action.SEND if again else Action.ABORT], (zone, when))
 
@@ -182,7 +182,7 @@
                     act, steps = call(it, f"c{n}", now, fn=f"fn{n}")
                     sends += [now - start - age] * len(sent(steps))
                     act.on_send_ended(now, 0, Outcome.FULL, 0) if sent(steps) else None
-                    worker.until, worker.limit = 0, 100.0
+                    worker.suspended_until, worker.in_flight_limit = 0, 100.0
             counts = [sum(0 <= it - at < SECOND for it in sends) for at in range(0, 2 * SECOND, MS * 125)]
             self.assertLessEqual(max(counts), most, (fronts, age, rate))
             self.assertGreaterEqual(max(counts), least, (fronts, age, rate))
@@ -277,7 +277,7 @@
             early = it.admit(MS, f"early-{fn}", AGAIN.value, fn, SECOND)
             early.on_client_gone(MS)
             for worker in islice(it.walk(early.function), copies):
-                worker.warm[fn] = 3600 * SECOND
+                worker.warm_until[fn] = 3600 * SECOND
         return it
 
     def test_asks_only_where_the_answer_could_move_the_call(self):
@@ -325,14 +325,14 @@
             it.update_workers(0, [ready(f"w{n}", zone="ab"[n % 2]) for n in range(6)], full=True)
             it.spread = lambda fn, kind, now: setattr(fn, "width", 6)
             for worker in it.fleet:
-                worker.warm["f"] = 9 * SECOND
+                worker.warm_until["f"] = 9 * SECOND
             went = [serve(it, now=n * MS) for n in range(60)]
             self.assertEqual({it.workers[name].zone for name in went}, used, (fronts, price, zone))
             share = max(went.count(name) for name in set(went)) * len(set(went)) / len(went)
             self.assertLess(share, 1.3)                     # in turn all the same
             # What overflows is spread over the others.
             for worker in it.fleet:
-                worker.limit = 0.0 if worker.zone == "a" else 4.0
+                worker.in_flight_limit = 0.0 if worker.zone == "a" else 4.0
             self.assertEqual(len({serve(it, now=n * MS, ivk=f"b{n}") for n in range(60)}), 3)
 
     def test_reports_tell_how_often_it_is_worth_to_ask(self):
@@ -397,7 +397,7 @@
             it = front_end(4)
             home = serve(it)
             for n in range(2):
-                it.workers[home].warm["f"] = 10 * SECOND
+                it.workers[home].warm_until["f"] = 10 * SECOND
                 act, steps = call(it, f"x{n}")
                 self.assertEqual(sent(steps), [home])
                 act.on_send_ended(MS, 0, outcome, MS)
@@ -430,7 +430,7 @@
             home = serve(it, ivk="first")
             call(it, "late", now=20 * MS)
             asked, now = [], 20 * MS
-            while now < 2 * SECOND and not it.workers[home].until and len(asked) < 9:
+            while now < 2 * SECOND and not it.workers[home].suspended_until and len(asked) < 9:
                 now += 20 * MS
                 for step in it.tick(now):
                     if step.action is Action.PROBE:
@@ -438,7 +438,7 @@
                         if outcome:
                             it.on_report(now + MS, home, outcome, report)
             self.assertEqual(asked, [home], (outcome, report))      # once a send, not again and again
-            self.assertEqual(bool(it.workers[home].until), suspended, (outcome, report))
+            self.assertEqual(bool(it.workers[home].suspended_until), suspended, (outcome, report))
 
     def test_with_many_front_ends_a_silent_worker_is_found_out_though_it_might_load(self):
         # Found by the whole fleet's days with a hall cut off: one call in 25 waited for its deadline at a silent
@@ -481,7 +481,7 @@
                 self.assertFalse(it.fit(here[-1], once, now))
                 trial = it.admit(now, f"t{outcome}", AGAIN.value, "f", SECOND)
                 self.assertTrue(it.fit(here[-1], trial, now) and it.send(trial, here[-1], now))
-                here[-2].until = 0
+                here[-2].suspended_until = 0
                 self.assertFalse(it.fit(here[-2], act, now))
                 trial.on_send_ended(now + MS, 0, outcome, MS)
                 self.assertEqual(it.fit(here[-2], once, now + MS), free, outcome)
@@ -509,7 +509,7 @@
         for n, limit in ((0, 0.85), (1, 0.85)):
             act, _ = call(it, f"c{n}", SECOND + n * MS, fn=f"fn{n}")
             act.on_send_ended(SECOND + n * MS, 0, Outcome.FULL, 0)
-            self.assertAlmostEqual(it.workers["w0"].limit, max(1.0, limit), 2)
+            self.assertAlmostEqual(it.workers["w0"].in_flight_limit, max(1.0, limit), 2)
 
     def test_lengthening_loads_mean_fewer_at_once(self):
         it = front_end(8)
@@ -523,7 +523,7 @@
         for out, widened in ((0, True), (1, True), (2, False), (4, False)):
             it = front_end(4)
             home = it.workers[serve(it)]
-            home.limit, it.cold_out, it.load_limit = 0.0, out, 4.0
+            home.in_flight_limit, it.cold_out, it.load_limit = 0.0, out, 4.0
             self.assertEqual(len(sent(call(it, "b", SECOND)[1])) == 1, widened, out)
 
     def test_pressed_stops_take_no_call_bound_to_be_late(self):
@@ -531,7 +531,7 @@
         for weight, pace, taken in ((1, 0.5, True), (4, 0.5, False), (4, 0.3, True)):
             it = front_end(1, front_ends=1)
             home = it.workers[serve(it, cost_hint=100 * MS)]
-            home.pace, home.limit, home.settled, it.load_limit = pace, 9.0, SECOND, 0.0
+            home.relative_latency, home.in_flight_limit, home.adjusted_at, it.load_limit = pace, 9.0, SECOND, 0.0
             steps = call(it, "b", SECOND, lanes=2, cost_hint=weight * 100 * MS)[1]
             self.assertEqual(does(steps), [Action.SEND if taken else Action.REJECT], (weight, pace))
 
@@ -542,7 +542,7 @@
                           for kind, worth in (("cheap", 1.0), ("dear", 2.0)))
             it = front_end(1, types=kinds)
             home = it.workers["w0"]
-            home.pace, home.limit, it.load_limit, home.warm["f"] = pace, 9.0, 0.0, 10 * SECOND
+            home.relative_latency, home.in_flight_limit, it.load_limit, home.warm_until["f"] = pace, 9.0, 0.0, 10 * SECOND
             act = it.admit(SECOND, "a", name, "f", SECOND)
             self.assertEqual(does(act.start(SECOND)), [Action.SEND if taken else Action.REJECT], (pace, name))
 
@@ -551,12 +551,12 @@
         home = it.workers[serve(it)]
         for n in range(1, 7):
             now = n * SECOND
-            home.warm["f"], home.until, home.suspensions = 100 * SECOND, 0, 0
+            home.warm_until["f"], home.suspended_until, home.consecutive_suspensions = 100 * SECOND, 0, 0
             act, _ = call(it, f"c{n}", now, left=500 * MS)
             while not act.answered:
                 it.tick(it.due())
             act.on_send_ended(now + 500 * MS, 0, Outcome.CANCELLED, 500 * MS)
-        self.assertGreater(home.pace, 0.3)     # 0.18 with a fade of half in 0.7 s
+        self.assertGreater(home.relative_latency, 0.3)     # 0.18 with a fade of half in 0.7 s
 
     def test_calls_beyond_a_share_get_less_room(self):
         it = front_end(2, front_ends=1, tenants=(Tenant("t", 1.0, 10.0),))
@@ -597,10 +597,10 @@
                     act.on_send_ended(now, 0, Outcome.MISS, 0)
             now += 2 * SECOND
             it.tick(now)
-        out = sum(len(worker.loads) for worker in it.workers.values())
+        out = sum(len(worker.load_orders) for worker in it.workers.values())
         self.assertEqual(it.orders, out)
         for worker in it.workers.values():
-            for fn in list(worker.loads):
+            for fn in list(worker.load_orders):
                 it.on_load_ended(now, worker.name, fn, Outcome.COMPLETED, 1)
         self.assertEqual(it.orders, 0)
 
@@ -613,7 +613,7 @@
                 it.hold(home, first.function, 0)
             second, steps = call(it, "b", MS)
             self.assertEqual(sent(steps), [])
-            home.until = 9 * SECOND         # it answers nothing
+            home.suspended_until = 9 * SECOND         # it answers nothing
             steps = it.tick(200 * MS)
             self.assertEqual([place != home.name for place in sent(steps)], [True], by)
 
@@ -637,9 +637,9 @@
         worker = it.fleet[0]
         self.assertTrue(it.hold(worker, act.function, 0))
         self.assertEqual(it.coming(0), {"f"})
-        worker.until = SECOND       # suspended: what it was to load may never come
+        worker.suspended_until = SECOND       # suspended: what it was to load may never come
         self.assertEqual(it.coming(0), set())
-        worker.until = 0
+        worker.suspended_until = 0
         it.on_load_ended(MS, worker.name, "f", Outcome.COMPLETED, 1)
         self.assertEqual(it.coming(MS), set())
 
@@ -667,7 +667,7 @@
         it = front_end(4)
         for n in range(3000):
             serve(it, f"f{n}", n * 100 * MS, f"c{n}", tenant=f"t{n}")
-        self.assertLess(max(len(worker.warm) for worker in it.workers.values()), 400)
+        self.assertLess(max(len(worker.warm_until) for worker in it.workers.values()), 400)
         self.assertEqual(len(it.paid), 0)
         for n in range(NAMES + 500):
             act, _ = call(it, f"d{n}", 300 * SECOND, f"g{n}")
@@ -711,7 +711,7 @@
             while places := sent(steps):
                 steps = act.on_send_ended(n * MS, number, Outcome.ERROR, MS)
                 number += len(places)
-        self.assertEqual([worker.name for worker in it.fleet if worker.until > 8 * MS], [])
+        self.assertEqual([worker.name for worker in it.fleet if worker.suspended_until > 8 * MS], [])
 
     def test_a_name_that_nobody_serves_uses_up_no_more_than_one_further_send(self):
         # Found on a day with bad clients: names made up were tried on four workers each, and the budget for calls
@@ -738,14 +738,14 @@
                 struck += 1
                 if struck == 2:
                     break
-        self.assertGreater(bad.until, 11 * MS)
+        self.assertGreater(bad.suspended_until, 11 * MS)
 
     def test_who_is_beyond_its_share_leaves_a_part_of_each_worker_to_others(self):
         # It had 0.6 of a worker's pace, but all of its limit: within that the others found no room.
         it = front_end(2, tenants=(Tenant("a", 0.5, 1.0), Tenant("b", 0.5, 1000.0)), front_ends=1)
         for fn in ("f", "g"):
             for worker in it.workers.values():
-                worker.warm[fn] = 9 * SECOND
+                worker.warm_until[fn] = 9 * SECOND
         for n in range(60):
             call(it, f"a{n}", n * MS // 10, "f", tenant="a", lanes=64)
         self.assertLess(max(len(worker.sends) for worker in it.fleet), 4)
@@ -763,7 +763,7 @@
                 it.send(act, it.fleet[n], SECOND)
             it.out.clear()
             for worker in it.fleet:
-                worker.warm["f"] = 9 * SECOND
+                worker.warm_until["f"] = 9 * SECOND
             _, steps = call(it, "a", SECOND)
             self.assertEqual(Action.PROBE in does(steps), asked, held)
 
@@ -774,12 +774,12 @@
             it.admit(SECOND, f"t{n}", "repeatable", "f", SECOND, cost_hint=10 * MS)
         act = it.admit(SECOND, "heavy", "repeatable", "f", 2 * SECOND, cost_hint=900 * MS)
         worker = it.fleet[0]
-        worker.credit, worker.earned = 0.2, SECOND
+        worker.cold_credit, worker.credit_updated_at = 0.2, SECOND
         self.assertFalse(it.cold_room(worker, act, SECOND))
-        worker.credit = 1.0
+        worker.cold_credit = 1.0
         self.assertTrue(it.cold_room(worker, act, SECOND))
         it.send(act, worker, SECOND)
-        self.assertLess(worker.credit, 0.15)
+        self.assertLess(worker.cold_credit, 0.15)
 
     def test_a_heavy_call_that_asks_first_brings_no_more_than_a_mean_one(self):
         # Found by a hunt on 238 front ends: the credit to begin with was drawn up to the first call's own weight, so
@@ -790,7 +790,7 @@
                 it.admit(SECOND, f"t{n}", "repeatable", "f", SECOND, cost_hint=10 * MS)
             heavy = it.admit(SECOND, "heavy", "repeatable", "f", 2 * SECOND, cost_hint=900 * MS)
             self.assertFalse(it.cold_room(it.fleet[0], heavy, SECOND))
-            self.assertLessEqual(it.fleet[0].credit, heavy.type_stats.mean_cost)
+            self.assertLessEqual(it.fleet[0].cold_credit, heavy.type_stats.mean_cost)
 
 
 if __name__ == "__main__":
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -118,7 +118,7 @@
         held = it.take(0, "a", ask())
         held.returned(2 * SECOND, 0, Outcome.COMPLETED, copy=Copy.FOUND, waited=10 * MS)
         worker = it.dispatcher.workers[held.sends[0].worker]
-        self.assertEqual((held.sends[0].waited, worker.pace < 0.05), (10 * MS, True))
+        self.assertEqual((held.sends[0].waited, worker.relative_latency < 0.05), (10 * MS, True))
 
     def test_a_client_that_quits_is_owed_nothing(self):
         it, fleet = desk()
@@ -140,7 +140,7 @@
         it, fleet = desk(loads_on_miss=False, may_probe=True, front_ends=100)
         it.dispatcher.pressed = 1.0
         for worker in it.dispatcher.fleet:      # two copies believed to stand, so an answer could move the call
-            worker.warm |= {"f": 3 * SECOND, "g": 3 * SECOND}
+            worker.warm_until |= {"f": 3 * SECOND, "g": 3 * SECOND}
         held, now = it.take(SECOND, "a", ask()), SECOND
         fleet.asked[0].answered(now, Outcome.COMPLETED)
         held.returned(now, 0, Outcome.MISS)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -123,7 +123,7 @@
                 self.desk.roster(self.clock.now, listings, full=False)
 
         def greedy(self, worker, fn, now):
-            worker.loads.add(fn.name)
+            worker.load_orders.add(fn.name)
             self.orders += 1
             self.out.append(Step(Action.LOAD, worker=worker.name, function=fn.name, amount=1))
             return True
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -175,7 +175,7 @@
         """Found by a hunt: read first, it went to a worker that the roster had long told of as draining."""
         with Live() as live:
             live.call("f")
-            home = next(name for name, worker in live.front.desk.dispatcher.workers.items() if worker.warm)
+            home = next(name for name, worker in live.front.desk.dispatcher.workers.items() if worker.warm_until)
             drains = replace(live.front.membership.known[home].entry, state=WorkerState.DRAINING)
             sent = live.front.send
             to = []
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -251,7 +251,7 @@
     def hold(self, worker, fn, now):
         if worker.ready and fn.pause <= now:
             fn.pause = now + SECOND // 10
-            worker.loads.add(fn.name)
+            worker.load_orders.add(fn.name)
             self.orders += 1
             self.out.append(Step(Action.LOAD, worker=worker.name, function=fn.name, amount=1))
             return True
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -114,8 +114,8 @@
         """Its own time is up, or it waited long enough for a worker's report, which tells that it is busy."""
         if now >= act.answer_due and not act.answer_started:
             self.give_up(act, now)
-        elif act.awaited_worker is not None and not act.answered and now - act.awaited_worker.asked >= ASK_WAIT:
-            act.awaited_worker.load, act.awaited_worker.told = SILENT, now
+        elif act.awaited_worker is not None and not act.answered and now - act.awaited_worker.last_probe_at >= ASK_WAIT:
+            act.awaited_worker.reported_load, act.awaited_worker.load_updated_at = SILENT, now
             self.go_on(act, now)
 
     def update_workers(self, now: int, listings: list[WorkerListing], full: bool) -> list[Step]:
@@ -124,15 +124,15 @@
         for told in listings:
             worker = self.workers.get(told.worker)
             if worker is None:
-                worker = self.workers[told.worker] = Worker(told.worker, limit=FIRST_LIMIT)
+                worker = self.workers[told.worker] = Worker(told.worker, in_flight_limit=FIRST_LIMIT)
             worker.zone, worker.cell, worker.size = told.zone, told.cell, max(told.size, 0.01)
             self.zones.setdefault(told.zone, Zone())
             worker.ready, worker.gone = told.state is WorkerState.READY, told.state is WorkerState.GONE
             if told.started_at > worker.started_at:
                 worker.started_at = told.started_at
-                worker.warm.clear()     # what we knew was of another process
-                worker.strikes = worker.suspensions = worker.until = worker.cut = 0
-                worker.pace, worker.limit, worker.credit, worker.told = 0.0, FIRST_LIMIT, -1.0, 0
+                worker.warm_until.clear()     # what we knew was of another process
+                worker.consecutive_failures = worker.consecutive_suspensions = worker.suspended_until = worker.limit_cut_at = 0
+                worker.relative_latency, worker.in_flight_limit, worker.cold_credit, worker.load_updated_at = 0.0, FIRST_LIMIT, -1.0, 0
         self.fleet = [worker for worker in self.workers.values() if worker.ready]
         self.place_on_ring(listings)
         self.mean_size = sum(worker.size for worker in self.fleet) / max(1, len(self.fleet))
@@ -147,23 +147,23 @@
         if len(self.workers) - len(self.fleet) > max(LEFT, len(self.fleet)):
             self.forget_workers()
         added = [worker for told in listings if (worker := self.workers.get(told.worker)) is not None
-                 and worker.ready and worker.number < 0]
+                 and worker.ready and worker.ring_number < 0]
         if self.ring.full:
             self.ring, added = HashRing(), list(self.workers.values())
         for worker in added:
-            worker.number = self.ring.add(worker.name, worker)
+            worker.ring_number = self.ring.add(worker.name, worker)
         if self.ring.tidy() or added:
             self.version += 1
 
     def forget_workers(self) -> None:
         left = [worker for worker in self.workers.values() if worker.gone and not (
-            worker.sends or worker.loads or worker.asking)]
+            worker.sends or worker.load_orders or worker.open_probes)]
         if len(left) <= max(LEFT, len(self.fleet)):
             return
         for worker in left:
             del self.workers[worker.name]
-            if worker.number >= 0:
-                self.ring.remove(worker.number)
+            if worker.ring_number >= 0:
+                self.ring.remove(worker.ring_number)
         self.version += 1
 
     def walk(self, fn: Function) -> Iterator[Worker]:
@@ -196,7 +196,7 @@
         if now - self.sketch.since >= SKETCH_WINDOW and self.sketch.total >= SKETCH_LEAST:
             self.before, self.sketch = self.sketch, CountMinSketch(SKETCH_DEPTH, SKETCH_WIDTH, now)
             for worker in self.workers.values():
-                worker.warm = {name: until for name, until in worker.warm.items() if until > now}
+                worker.warm_until = {name: until for name, until in worker.warm_until.items() if until > now}
         self.sketch.add(fn.cells)
         self.took.append(now)
         self.recent(self.took, now)     # orders may be rare: without this the times would pile up
@@ -254,32 +254,32 @@
             return True
         able = (self.cold_share + (1 - self.cold_share) * age) * min(1.0, worker.size / self.mean_size)
         budget = self.cold_factor * able * self.done / self.most_workers
-        if worker.credit < 0:
-            worker.credit, worker.earned = mean * self.chance(), now
-        gain = max(COLD_RATE * budget, mean / self.front_ends) * (now - worker.earned) / self.fall_time
-        worker.credit, worker.earned = min(max(units, COLD_BURST * budget), worker.credit + gain), now
-        return worker.credit >= units
+        if worker.cold_credit < 0:
+            worker.cold_credit, worker.credit_updated_at = mean * self.chance(), now
+        gain = max(COLD_RATE * budget, mean / self.front_ends) * (now - worker.credit_updated_at) / self.fall_time
+        worker.cold_credit, worker.credit_updated_at = min(max(units, COLD_BURST * budget), worker.cold_credit + gain), now
+        return worker.cold_credit >= units
 
     def weight(self, act: Activation) -> float:     # on a cold worker; by its own hint where that says more
         return max(act.type_stats.mean_cost, act.cost_hint / SECOND)
 
     def settle(self, worker: Worker, now: int) -> None:
         """What time alone does: limits recover, and a pace not heard of for a while fades."""
-        passed, worker.settled = now - worker.settled, now
-        worker.limit += GROW * passed / SECOND if worker.cut else 0
-        if now - worker.heard > ROUND and worker.pace:
-            worker.pace *= 0.5 ** (passed / PACE_HALF)
+        passed, worker.adjusted_at = now - worker.adjusted_at, now
+        worker.in_flight_limit += GROW * passed / SECOND if worker.limit_cut_at else 0
+        if now - worker.last_answer_at > ROUND and worker.relative_latency:
+            worker.relative_latency *= 0.5 ** (passed / PACE_HALF)
 
     def fit(self, worker: Worker, act: Activation, now: int) -> bool:
         self.settle(worker, now)
         hall, trial = self.zones[worker.zone], act.type_stats.effect is not Effect.ONCE_ONLY
-        return worker.until <= now and hall.suspended_until <= now and self.cold_room(worker, act, now) and (
+        return worker.suspended_until <= now and hall.suspended_until <= now and self.cold_room(worker, act, now) and (
             # Suspended before, it is on trial: one repeatable send at a time until an answer. So is its hall.
-            not worker.suspensions or not worker.sends and trial) and (
+            not worker.consecutive_suspensions or not worker.sends and trial) and (
             not hall.consecutive_suspensions or trial and all(send.worker.zone != worker.zone for send in self.flying))
 
     def room(self, worker: Worker, now: int, heft: float = 1.0) -> bool:
-        return len(worker.sends) < min(self.cap(worker, now), worker.limit) and (
+        return len(worker.sends) < min(self.cap(worker, now), worker.in_flight_limit) and (
             self.press(worker, now) * heft <= 1)
 
     @property
@@ -291,10 +291,10 @@
 
     def press(self, worker: Worker, now: int) -> float:
         """How hard others press it, 1 being what it should carry, by its answers and its last report."""
-        return max(worker.pace / EASE, worker.load if self.blind and now - worker.told < REPORT_KEEP else 0.0)
+        return max(worker.relative_latency / EASE, worker.reported_load if self.blind and now - worker.load_updated_at < REPORT_KEEP else 0.0)
 
     def stands(self, worker: Worker, fn: Function, now: int) -> bool:   # by our own calls, or by others'
-        return worker.holds(fn, now) or fn.kept and worker in fn.group
+        return worker.has_copy(fn, now) or fn.kept and worker in fn.group
 
     def reach(self, fn: Function) -> Iterator[Worker]:     # the stops that are looked at
         return islice(self.walk(fn), fn.width + REACH)
@@ -314,7 +314,7 @@
         shift = min(bisect.bisect(sizes, act.turn * GOLDEN % 1.0 * sizes[-1]), len(sizes) - 1)
         on = act.turn % max(1, len(far))
         # Heard of a copy since, as by our order after a 'miss', a worker is worth trying again.
-        tried = [send.worker for send in act.sends if not send.worker.holds(fn, send.sent_at + self.keep)]
+        tried = [send.worker for send in act.sends if not send.worker.has_copy(fn, send.sent_at + self.keep)]
         heft = max(1.0, self.expected(act) / act.type_stats.typical_latency) / (SPARE if act.low_priority else 1.0)
         turned = (one for one in chain(
             near[shift:], near[:shift], far[on:], far[:on], ready[fn.width:]) if one not in tried)
@@ -324,10 +324,10 @@
                 break
             stops.append(worker)
             home = group[0] if fn.width > 1 else stops[0]
-            if self.stands(worker, fn, now) and worker.calls(fn) < fn.part and (
-                    not act.low_priority or len(worker.sends) < SPARE * worker.limit) and (
+            if self.stands(worker, fn, now) and worker.count_sends(fn) < fn.part and (
+                    not act.low_priority or len(worker.sends) < SPARE * worker.in_flight_limit) and (
                     self.room(worker, now, heft) or worker is home and self.age(home, now) >= 1
-                    and self.press(home, now) * heft <= 1 and len(worker.sends) < worker.limit):
+                    and self.press(home, now) * heft <= 1 and len(worker.sends) < worker.in_flight_limit):
                 chosen = worker
                 break
         if not stops:
@@ -336,13 +336,13 @@
                          if self.cold_room(worker, act, now)), None)
         first, warm = stops[0], [worker for worker in stops if self.stands(worker, fn, now)]
         if not warm:
-            coming = next((worker for worker in stops if worker.loading(fn)), None)
+            coming = next((worker for worker in stops if worker.is_loading(fn)), None)
             if coming is None and self.may_load(now):
                 # Not home: spread over more stops, home may be no stop at all, cold or suspended.
                 return next((worker for worker in stops if self.room(worker, now)), first)
             if coming is None and self.hopeless(act, now):
                 return None
-            if coming is not None and coming.calls(fn) < fn.part:
+            if coming is not None and coming.count_sends(fn) < fn.part:
                 return coming
             if len(self.waiting(fn)) < PARKED * fn.lanes and not act.low_priority:
                 fn.parked.append(act)   # more waiting there than lanes would bring copy after copy
@@ -351,12 +351,12 @@
             if act.low_priority:
                 return None
             first = next((worker for worker in stops if worker not in warm and self.room(worker, now)), first)
-            able = [one for one in warm if len(one.sends) < one.limit * (SPARE if act.low_priority else 1.0) and (
+            able = [one for one in warm if len(one.sends) < one.in_flight_limit * (SPARE if act.low_priority else 1.0) and (
                 self.press(one, now) * heft * EASE <= (1.0 if self.blind else act.type_stats.relative_utility))]
-            able.sort(key=lambda one: (self.blind and self.press(one, now), len(one.sends) / one.limit))
+            able.sort(key=lambda one: (self.blind and self.press(one, now), len(one.sends) / one.in_flight_limit))
             chosen = able[0] if able else next(
                 (worker for worker in stops if self.room(worker, now) and self.may_load(now, WIDEN)), None)
-            if len(self.waiting(fn)) < fn.lanes and any(worker.calls(fn) for worker in warm):
+            if len(self.waiting(fn)) < fn.lanes and any(worker.count_sends(fn) for worker in warm):
                 fn.parked.append(act)   # sent on, it would make the worker start a copy that few calls use
                 chosen = None
         if first not in warm and chosen is not first and self.room(first, now):
@@ -381,10 +381,10 @@
     def hold(self, worker: Worker, fn: Function, now: int) -> bool:
         """Every load order passes here: rationed by rule, paced by us, one a function at a time."""
         most = self.load_free + self.load_ratio * self.recent(self.took, now)
-        if not worker.ready or fn.pause > now or fn.name in worker.loads or not self.may_load(now, WIDEN) or (
+        if not worker.ready or fn.pause > now or fn.name in worker.load_orders or not self.may_load(now, WIDEN) or (
                 self.recent(self.ordered, now) + 1 > most):
             return False
-        worker.loads.add(fn.name)
+        worker.load_orders.add(fn.name)
         self.ordered_from[worker] = None
         fn.pause = now + int(fn.load or self.load_base)
         self.orders, self.load_at = self.orders + 1, now
@@ -394,12 +394,12 @@
 
     def on_load_ended(self, now: int, name: str, fn_name: str, outcome: Outcome, copies: int) -> list[Step]:
         worker = self.workers[name]
-        self.orders -= fn_name in worker.loads
-        worker.loads.discard(fn_name)
-        if not worker.loads:
+        self.orders -= fn_name in worker.load_orders
+        worker.load_orders.discard(fn_name)
+        if not worker.load_orders:
             self.ordered_from.pop(worker, None)
         if outcome is Outcome.COMPLETED and copies:
-            worker.warm[fn_name] = now + self.keep
+            worker.warm_until[fn_name] = now + self.keep
         return self.steps(self.wake, self.functions.get(fn_name), now)
 
     def may_send(self, act: Activation, worker: Worker, now: int) -> bool:
@@ -426,7 +426,7 @@
         worker.sends[send] = self.flying[send] = None
         act.open_send_count, self.cold_out = act.open_send_count + 1, self.cold_out + (not send.warm)
         self.load_at = self.load_at if send.warm else now
-        worker.credit = max(0.0, worker.credit - self.weight(act))
+        worker.cold_credit = max(0.0, worker.cold_credit - self.weight(act))
         self.out.append(Step(Action.SEND, act, worker.name, amount=wait))
         return True
 
@@ -498,7 +498,7 @@
             # Never completed, failed by two workers: names made up would use up what may be sent again.
             self.give_up(act, now)
         elif outcome is Outcome.MISS and not self.loads_itself and copy is not Copy.LOAD_FAILED and (
-                self.hold(worker, fn, now) or fn.name in worker.loads):
+                self.hold(worker, fn, now) or fn.name in worker.load_orders):
             fn.parked.append(act)
         else:
             self.go_on(act, now)
@@ -507,33 +507,33 @@
         worker, act, fn = send.worker, send.activation, send.activation.function
         self.settle(worker, now)
         if outcome in (Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL, Outcome.MISS):
-            worker.heard, hall = now, self.zones[worker.zone]
+            worker.last_answer_at, hall = now, self.zones[worker.zone]
             hall.failed_workers.clear()
             hall.consecutive_suspensions = hall.suspended_until = 0
         if outcome is Outcome.COMPLETED:
-            worker.strikes = worker.suspensions = 0
-            worker.warm[fn.name], fn.served = now + self.keep, now
+            worker.consecutive_failures = worker.consecutive_suspensions = 0
+            worker.warm_until[fn.name], fn.served = now + self.keep, now
             self.budget = min(BUDGET_MOST, self.budget + BUDGET_SHARE)
             self.done *= max(0.0, 1 - (now - self.done_at) / RATE_MEMORY)
             self.done, self.done_at = self.done + act.type_stats.mean_cost, now
             if copy is Copy.FOUND or (copy is Copy.UNKNOWN and send.warm):
                 ratio = self.pace(send, waited, now)
                 act.type_stats.typical_latency *= 1 + TREND * (min(ratio, PATIENCE) - 1)
-                if worker.pace <= EASE and len(worker.sends) + 1 >= worker.limit:
-                    worker.limit += 1 / worker.limit if worker.cut else 1
+                if worker.relative_latency <= EASE and len(worker.sends) + 1 >= worker.in_flight_limit:
+                    worker.in_flight_limit += 1 / worker.in_flight_limit if worker.limit_cut_at else 1
             elif copy is Copy.LOAD_STARTED:
                 self.load_base *= 1 - TREND if waited < self.load_base else 1 + TREND / 2
                 self.crowd(waited > CROWDED * self.load_base, now)
         elif outcome is Outcome.CANCELLED and send.warm and waited > self.expected(act):
             self.pace(send, waited, now)    # longer still: else one that seldom answers looks fast
         elif outcome is Outcome.FULL:
-            worker.until = max(worker.until, now + CUT_PAUSE)
-            worker.pace += FRESH * (1.0 - worker.pace)
+            worker.suspended_until = max(worker.suspended_until, now + CUT_PAUSE)
+            worker.relative_latency += FRESH * (1.0 - worker.relative_latency)
             self.ease(worker, now)
             if not send.warm:
                 self.crowd(True, now)
         elif outcome is Outcome.MISS:
-            worker.warm.pop(fn.name, None)
+            worker.warm_until.pop(fn.name, None)
         elif copy is not Copy.LOAD_FAILED and outcome in FAILED and not (
                 # A function that nobody serves, or a call that failed before, would suspend the whole fleet.
                 outcome is Outcome.ERROR and (act.possible_runs or not fn.served)):
@@ -550,45 +550,45 @@
             loading = max(loading, report.waiting or 0.0)
         load, waits = (max(0.0, each - loading) * rate for each in (held, report.waiting or 0.0))
         part = min(1 + EPSILON, *(EASE * kind.target_latency / kind.typical_latency for kind in self.types.values()))
-        worker.load, worker.told = max(load / max(HELD, self.mean_held * part), waits / WAITING), now
+        worker.reported_load, worker.load_updated_at = max(load / max(HELD, self.mean_held * part), waits / WAITING), now
         self.mean_held += TREND * (load - self.mean_held)
-        self.pressed += TELLS * ((worker.load > 1) - self.pressed)
+        self.pressed += TELLS * ((worker.reported_load > 1) - self.pressed)
 
     def ask(self, worker: Worker, act: Activation, now: int) -> bool:
         """Whether the activation waits a moment for a report, where the last one is too old to go by."""
         if not self.blind or min(self.may_ask, ASKS - act.probe_count) <= 0 or (
-                now - max(worker.told, worker.asked) < FRESH_FOR) or (
+                now - max(worker.load_updated_at, worker.last_probe_at) < FRESH_FOR) or (
                 # Nothing hangs on the answer where all are calm, or no second copy stands and none could be
                 # loaded now: the store is crowded, or our loads are under way.
                 self.chance() >= ASKED * self.pressed or not self.choosable(act.function, now) and (
                     self.load_limit < self.most_loads or not self.may_load(now, WIDEN))):
             return False
         act.probe_count, act.awaited_worker = act.probe_count + 1, worker
-        if not worker.askers:
+        if not worker.awaiting_report:
             self.question(worker, now)
-        worker.askers.append(act)
-        heapq.heappush(self.heap, (worker.asked + ASK_WAIT, self.number(), act))
+        worker.awaiting_report.append(act)
+        heapq.heappush(self.heap, (worker.last_probe_at + ASK_WAIT, self.number(), act))
         return True
 
     def on_report(self, now: int, name: str, outcome: Outcome, report: Report | None) -> list[Step]:
         worker = self.workers[name]
-        worker.asking -= 1
-        worker.there = now if outcome is Outcome.COMPLETED else worker.there
+        worker.open_probes -= 1
+        worker.last_probe_answer_at = now if outcome is Outcome.COMPLETED else worker.last_probe_answer_at
         self.record_report(worker, now, report)
         if outcome is not Outcome.COMPLETED:    # turned away or lost, it tells as much as a long queue
-            worker.load, worker.told = SILENT, now
+            worker.reported_load, worker.load_updated_at = SILENT, now
         elif report and report.loading and report.busy is not None and report.busy < IDLE:
-            worker.heard = now      # cores are free, so what it has not answered for long waits for a load
-        self.may_ask = UNTOLD if worker.told == now else self.may_ask - 1   # some places' probes tell no load
-        askers, worker.askers = worker.askers, []
+            worker.last_answer_at = now      # cores are free, so what it has not answered for long waits for a load
+        self.may_ask = UNTOLD if worker.load_updated_at == now else self.may_ask - 1   # some places' probes tell no load
+        askers, worker.awaiting_report = worker.awaiting_report, []
         return self.steps(lambda: [self.go_on(act, now) for act in askers if act.awaited_worker is worker])
 
     def pace(self, send: Send, waited: int, now: int) -> float:
         """Notes what one send took, for its weight, and eases the worker; returns it over the expected."""
         worker, kind = send.worker, send.activation.type_stats
         ratio = waited / max(1.0, self.expected(send.activation))
-        worker.pace += FRESH * (min(1.0, kind.typical_latency * ratio / kind.target_latency) - worker.pace)
-        if worker.pace > EASE:
+        worker.relative_latency += FRESH * (min(1.0, kind.typical_latency * ratio / kind.target_latency) - worker.relative_latency)
+        if worker.relative_latency > EASE:
             self.ease(worker, now)
         return ratio
 
@@ -600,25 +600,25 @@
 
     def ease(self, worker: Worker, now: int) -> None:
         """Too much for it, whether small, slow, full or pressed by others: it gets fewer at a time."""
-        if now - worker.cut >= CUT_PAUSE:
-            worker.limit = max(1.0, CUT * min(worker.limit, len(worker.sends) + 1))
-            worker.cut = now
+        if now - worker.limit_cut_at >= CUT_PAUSE:
+            worker.in_flight_limit = max(1.0, CUT * min(worker.in_flight_limit, len(worker.sends) + 1))
+            worker.limit_cut_at = now
 
     def strike(self, worker: Worker, now: int) -> None:
         """Fast failures and silence look idle to the cap: suspend, longer each time, then one trial."""
-        worker.strikes += 1
+        worker.consecutive_failures += 1
         hall = self.zones[worker.zone]
         hall.failed_workers.add(worker)
         if self.many and len(hall.failed_workers) >= DOUBT and hall.suspended_until <= now and len(self.zones) > 1:
             self.suspend(hall, now)
-        if worker.until > now or (worker.strikes < STRIKES and not worker.suspensions):
+        if worker.suspended_until > now or (worker.consecutive_failures < STRIKES and not worker.consecutive_suspensions):
             return
         self.suspend(worker, now)
-        worker.warm.clear()
+        worker.warm_until.clear()
 
     def suspend(self, it: Worker | Zone, now: int) -> None:
-        length = min(SUSPEND_MOST, SUSPEND << min(it.suspensions, 8)) * (0.75 + 0.5 * self.chance())
-        it.until, it.suspensions = now + int(length), it.suspensions + 1
+        length = min(SUSPEND_MOST, SUSPEND << min(it.consecutive_suspensions, 8)) * (0.75 + 0.5 * self.chance())
+        it.suspended_until, it.consecutive_suspensions = now + int(length), it.consecutive_suspensions + 1
 
     def patience(self, send: Send) -> tuple[float, float]:
         """From when on its worker is asked whether it is there; and until when it may be loading for it."""
@@ -635,15 +635,15 @@
             worker, waited, (asks, loads) = send.worker, now - send.sent_at, self.patience(send)
             if waited <= asks:
                 continue
-            if worker.heard < send.sent_at and worker.until <= now:
+            if worker.last_answer_at < send.sent_at and worker.suspended_until <= now:
                 if self.zones[worker.zone].suspended_until <= now and (
-                        self.may_probe and now - worker.asked < PROBED or self.probe(worker, send, now)):
+                        self.may_probe and now - worker.last_probe_at < PROBED or self.probe(worker, send, now)):
                     continue
-                if waited <= loads and worker.there > send.sent_at:
+                if waited <= loads and worker.last_probe_answer_at > send.sent_at:
                     continue        # it answers questions, so it may load
-                worker.strikes = STRIKES
+                worker.consecutive_failures = STRIKES
                 self.strike(worker, now)
-            if worker.until > now or not worker.ready:
+            if worker.suspended_until > now or not worker.ready:
                 self.move(send, now)
         parked = [fn for fn in self.functions.values() if fn.parked]
         coming = self.coming(now) if parked else ()
@@ -658,19 +658,19 @@
         """Functions of which a load may be under way. A suspended worker is not waited for: what it was to load may
         never come."""
         named = chain(((send.worker, send.activation.function.name) for send in self.flying),
-                      ((worker, name) for worker in self.ordered_from for name in worker.loads))
-        return {name for worker, name in named if worker.ready and worker.until <= now}
+                      ((worker, name) for worker in self.ordered_from for name in worker.load_orders))
+        return {name for worker, name in named if worker.ready and worker.suspended_until <= now}
 
     def probe(self, worker: Worker, send: Send, now: int) -> bool:
         """Asks a worker that seems silent, once a send, whether it loads: one whose copies were dropped does
         so for calls that we thought warm, and says nothing. Suspended for it, all would be, in turn."""
-        if not self.may_probe or worker.asked > send.sent_at:
+        if not self.may_probe or worker.last_probe_at > send.sent_at:
             return False
         self.question(worker, now)
         return True
 
     def question(self, worker: Worker, now: int) -> None:
-        worker.asked, worker.asking = now, worker.asking + 1    # while one is out it is not forgotten
+        worker.last_probe_at, worker.open_probes = now, worker.open_probes + 1    # while one is out it is not forgotten
         self.out.append(Step(Action.PROBE, worker=worker.name))
 
     def move(self, send: Send, now: int) -> None:    # off a suspended worker
--- a/threadshift/gateway/fitness.py
+++ b/threadshift/gateway/fitness.py
@@ -15,6 +15,6 @@
 
 def fitness(dispatcher: Dispatcher, linked: Callable[[str], bool], now: int) -> Fitness:
     ready = [worker for worker in dispatcher.workers.values() if worker.ready]
-    fit = [worker for worker in ready if worker.until <= now and linked(worker.name)]
+    fit = [worker for worker in ready if worker.suspended_until <= now and linked(worker.name)]
     return Fitness(len(ready), len(fit),
                    sum(dispatcher.age(worker, now) for worker in fit) / len(fit) if fit else 0.0)
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -320,9 +320,9 @@
                 "state": self.membership.state(one).value, "zone": one.entry.zone,
                 "link": bool(name in self.links and self.links[name].up),
                 "in-flight": len(believed[name].sends) if name in believed else 0,
-                "suspended-ms": max(0, believed[name].until - now) // MS if name in believed else 0,
-                "pace": round(believed[name].pace, 3) if name in believed else 0,
-                "copies-believed": sum(until > now for until in believed[name].warm.values())
+                "suspended-ms": max(0, believed[name].suspended_until - now) // MS if name in believed else 0,
+                "pace": round(believed[name].relative_latency, 3) if name in believed else 0,
+                "copies-believed": sum(until > now for until in believed[name].warm_until.values())
                 if name in believed else 0,
             } for name, one in sorted(self.membership.known.items())},
         }
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -234,7 +234,7 @@
                 "flying": len(dispatcher.flying), "links": len(self.links),
                 "up": sum(link.up for link in self.connected),
                 "worker_connections": self.dialled, "dialled_in_all": self.dialled_in_all,
-                "ready": len(dispatcher.fleet), "suspended": sum(it.until > now for it in workers),
+                "ready": len(dispatcher.fleet), "suspended": sum(it.suspended_until > now for it in workers),
                 "functions": len(dispatcher.functions), "roster_lost": self.roster_lost,
                 "lag_ms": round(self.admission.lag / MS, 1), "part": round(self.admission.part, 3),
                 "stalls": self.stalls, "longest_stall_ms": self.longest_stall // MS,
--- a/threadshift/state.py
+++ b/threadshift/state.py
@@ -55,41 +55,41 @@
     """A worker, as far as this front end knows it."""
 
     name: str
-    number: int = -1             # of its points on the ring, -1: they were not placed yet
+    ring_number: int = -1             # of its points on the ring, -1: they were not placed yet
     zone: str = ""
     cell: int = 0
     size: float = 1.0            # as told, to be set against other workers'
     started_at: int = 0               # its latest start
     ready: bool = False
     gone: bool = False           # by the roster; forgotten when there are many
-    heard: int = 0               # its last answer
-    settled: int = 0             # until then time's part in limit and pace is counted
-    strikes: int = 0             # failures in a row
-    suspensions: int = 0         # in a row; above 0 and not suspended: on trial
-    until: int = 0               # suspended until then
-    pace: float = 0.0            # its usual latency with a copy standing, over the target latency
-    limit: float = 0.0           # sends in flight that it bears
-    cut: int = 0                 # when that was last cut
-    credit: float = -1.0         # work it may be sent while cold, -1 before any
-    earned: int = 0              # until when credit was earned
-    load: float = 0.0            # over what it should carry, by its latest report or its silence ...
-    told: int = 0                # ... and when that was
-    asked: int = 0               # when it was last asked for a report
-    asking: int = 0              # questions that are out
-    there: int = 0               # when it last answered one
-    askers: list[Activation] = field(default_factory=list)      # waiting for that report
+    last_answer_at: int = 0               # its last answer
+    adjusted_at: int = 0             # until then time's part in limit and pace is counted
+    consecutive_failures: int = 0             # failures in a row
+    consecutive_suspensions: int = 0         # in a row; above 0 and not suspended: on trial
+    suspended_until: int = 0               # suspended until then
+    relative_latency: float = 0.0            # its usual latency with a copy standing, over the target latency
+    in_flight_limit: float = 0.0           # sends in flight that it bears
+    limit_cut_at: int = 0                 # when that was last cut
+    cold_credit: float = -1.0         # work it may be sent while cold, -1 before any
+    credit_updated_at: int = 0              # until when credit was earned
+    reported_load: float = 0.0            # over what it should carry, by its latest report or its silence ...
+    load_updated_at: int = 0                # ... and when that was
+    last_probe_at: int = 0               # when it was last asked for a report
+    open_probes: int = 0              # questions that are out
+    last_probe_answer_at: int = 0               # when it last answered one
+    awaiting_report: list[Activation] = field(default_factory=list)      # waiting for that report
     sends: dict[Send, None] = field(default_factory=dict)   # ours in flight, oldest first
-    warm: dict[str, int] = field(default_factory=dict)      # function: a copy is believed to stand until then
-    loads: set[str] = field(default_factory=set)            # functions with a load order of ours out
+    warm_until: dict[str, int] = field(default_factory=dict)      # function: a copy is believed to stand until then
+    load_orders: set[str] = field(default_factory=set)            # functions with a load order of ours out
 
-    def holds(self, fn: Function, when: int) -> bool:
-        return self.warm.get(fn.name, 0) > when
+    def has_copy(self, fn: Function, when: int) -> bool:
+        return self.warm_until.get(fn.name, 0) > when
 
-    def calls(self, fn: Function) -> int:
+    def count_sends(self, fn: Function) -> int:
         return sum(send.activation.function is fn for send in self.sends)
 
-    def loading(self, fn: Function) -> bool:
-        return fn.name in self.loads or self.calls(fn) > 0
+    def is_loading(self, fn: Function) -> bool:
+        return fn.name in self.load_orders or self.count_sends(fn) > 0
 
 
 @dataclass(slots=True, eq=False)
