--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -49,7 +49,7 @@
         # budget or suspended as it was.
         for why, seed in ((why, seed) for why in ("cold", "suspended") for seed in range(4)):
             it = front_end(4, seed=seed)
-            it.spread = lambda fn, kind, now: setattr(fn, "width", 2)
+            it.spread = lambda fn, kind, now: setattr(fn, "spread", 2)
             act, _ = call(it, now=SECOND)
             act.on_send_ended(SECOND, 0, Outcome.COMPLETED, 0, final=True)
             home, *others = it.walk(act.function)
@@ -88,7 +88,7 @@
             for n in range(seen):
                 it.admit(n * MS, str(n), AGAIN.value, "f" if n < own else f"other{n}", SECOND)
             it.spread(it.functions["f"], it.types[AGAIN.value], SECOND)
-            self.assertEqual(it.functions["f"].width, stops, (workers, seen, own))
+            self.assertEqual(it.functions["f"].spread, stops, (workers, seen, own))
 
     def test_warm_stop_before_a_cold_home_and_an_order_for_home(self):
         it = front_end(4)
@@ -208,7 +208,7 @@
                 act.on_client_gone(2 * SECOND)
             given = 0
             for worker in it.fleet:
-                it.functions["f"].pause = 0
+                it.functions["f"].next_order_at = 0
                 given += it.hold(worker, it.functions["f"], 2 * SECOND)
             self.assertEqual(given, allowed, (withdrawn, answered))
 
@@ -225,7 +225,7 @@
             it.took.extend([SECOND] * taken)
             given = 0
             for worker in it.fleet:
-                it.functions["g"].pause = 0
+                it.functions["g"].next_order_at = 0
                 given += it.hold(worker, it.functions["g"], 2 * SECOND)
             self.assertEqual(given, allowed, (free, ratio, taken))
 
@@ -323,7 +323,7 @@
                                           (3, 0.03, "a", {"a", "b"}), (100, 0.03, "c", {"a", "b"})):
             it = front_end(6, front_ends=fronts, cross_zone_fee=price, zone=zone)
             it.update_workers(0, [ready(f"w{n}", zone="ab"[n % 2]) for n in range(6)], full=True)
-            it.spread = lambda fn, kind, now: setattr(fn, "width", 6)
+            it.spread = lambda fn, kind, now: setattr(fn, "spread", 6)
             for worker in it.fleet:
                 worker.warm_until["f"] = 9 * SECOND
             went = [serve(it, now=n * MS) for n in range(60)]
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -249,8 +249,8 @@
     """Orders copies as if no window limited it."""
 
     def hold(self, worker, fn, now):
-        if worker.ready and fn.pause <= now:
-            fn.pause = now + SECOND // 10
+        if worker.ready and fn.next_order_at <= now:
+            fn.next_order_at = now + SECOND // 10
             worker.load_orders.add(fn.name)
             self.orders += 1
             self.out.append(Step(Action.LOAD, worker=worker.name, function=fn.name, amount=1))
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -168,15 +168,15 @@
 
     def walk(self, fn: Function) -> Iterator[Worker]:
         """Distinct ready workers clockwise from its hash, worked out no further than asked for."""
-        if fn.version != self.version:
-            fn.stops, fn.version = {}, self.version
-            fn.cursor = self.ring.after(fn.at)
-        yield from [worker for worker in fn.stops if worker.ready]
+        if fn.ring_version != self.version:
+            fn.candidates, fn.ring_version = {}, self.version
+            fn.cursor = self.ring.after(fn.ring_point)
+        yield from [worker for worker in fn.candidates if worker.ready]
         # Once all have come it ends: the points that are left, most of them, are of workers that came before.
-        while len(fn.stops) < self.ring.members:
+        while len(fn.candidates) < self.ring.members:
             worker, fn.cursor = self.ring.next(fn.cursor)
-            if worker is not None and worker not in fn.stops:
-                fn.stops[worker] = None
+            if worker is not None and worker not in fn.candidates:
+                fn.candidates[worker] = None
                 if worker.ready:
                     yield worker
 
@@ -197,7 +197,7 @@
             self.before, self.sketch = self.sketch, CountMinSketch(SKETCH_DEPTH, SKETCH_WIDTH, now)
             for worker in self.workers.values():
                 worker.warm_until = {name: until for name, until in worker.warm_until.items() if until > now}
-        self.sketch.add(fn.cells)
+        self.sketch.add(fn.sketch_cells)
         self.took.append(now)
         self.recent(self.took, now)     # orders may be rare: without this the times would pile up
         kind = self.types[type_name]
@@ -226,13 +226,13 @@
 
         The less one front end sees, the thinner: all would send to the same three of a hundred workers. And
         where it sees little of a stop, what all others send there keeps a copy: the ring is evidence."""
-        seen = self.before.count(fn.cells) + self.sketch.count(fn.cells)
+        seen = self.before.count(fn.sketch_cells) + self.sketch.count(fn.sketch_cells)
         share = (seen - 1) / (self.before.total + self.sketch.total + SKETCH_PRIOR)
         part = share * len(self.fleet) * kind.mean_cost / self.mean_cost
-        fn.width = max(1 + (share > HOT_SHARE) + (share > 2 * HOT_SHARE),
+        fn.spread = max(1 + (share > HOT_SHARE) + (share > 2 * HOT_SHARE),
                        round(part / max(SLICE, KNOWN / self.front_ends)))
-        ours = seen * self.keep / max(self.keep, now - self.before.since, 1) / fn.width
-        fn.kept = ours <= 1 and ours * (self.front_ends - 1) >= KEPT
+        ours = seen * self.keep / max(self.keep, now - self.before.since, 1) / fn.spread
+        fn.kept_warm_by_others = ours <= 1 and ours * (self.front_ends - 1) >= KEPT
 
     def expected(self, act: Activation) -> float:
         hint = act.cost_hint / act.type_stats.mean_cost_hint if act.cost_hint and act.type_stats.mean_cost_hint else 1.0
@@ -294,10 +294,10 @@
         return max(worker.relative_latency / EASE, worker.reported_load if self.blind and now - worker.load_updated_at < REPORT_KEEP else 0.0)
 
     def stands(self, worker: Worker, fn: Function, now: int) -> bool:   # by our own calls, or by others'
-        return worker.has_copy(fn, now) or fn.kept and worker in fn.group
+        return worker.has_copy(fn, now) or fn.kept_warm_by_others and worker in fn.primaries
 
     def reach(self, fn: Function) -> Iterator[Worker]:     # the stops that are looked at
-        return islice(self.walk(fn), fn.width + REACH)
+        return islice(self.walk(fn), fn.spread + REACH)
 
     def choosable(self, fn: Function, now: int) -> bool:   # whether a second copy could serve instead
         standing = (worker for worker in self.reach(fn) if self.stands(worker, fn, now))
@@ -306,8 +306,8 @@
     def place(self, act: Activation, now: int) -> Worker | None:
         fn, stops, chosen = act.function, [], None
         ready = list(self.reach(fn))
-        group = ready[:fn.width]
-        fn.group = dict.fromkeys(group)
+        group = ready[:fn.spread]
+        fn.primaries = dict.fromkeys(group)
         near = [worker for worker in group if worker.zone == self.zone]     # far ones are for what overflows
         near, far = near or group, [worker for worker in group if worker.zone != self.zone] if near else []
         sizes = list(accumulate(worker.size for worker in near)) or [0.0]   # in turn, the larger more often
@@ -317,14 +317,14 @@
         tried = [send.worker for send in act.sends if not send.worker.has_copy(fn, send.sent_at + self.keep)]
         heft = max(1.0, self.expected(act) / act.type_stats.typical_latency) / (SPARE if act.low_priority else 1.0)
         turned = (one for one in chain(
-            near[shift:], near[:shift], far[on:], far[:on], ready[fn.width:]) if one not in tried)
+            near[shift:], near[:shift], far[on:], far[:on], ready[fn.spread:]) if one not in tried)
         fit = (one for one in chain(turned, tried) if one.ready and self.fit(one, act, now))
         for worker in islice(fit, REACH):
             if stops and worker in tried:
                 break
             stops.append(worker)
-            home = group[0] if fn.width > 1 else stops[0]
-            if self.stands(worker, fn, now) and worker.count_sends(fn) < fn.part and (
+            home = group[0] if fn.spread > 1 else stops[0]
+            if self.stands(worker, fn, now) and worker.count_sends(fn) < fn.own_lanes and (
                     not act.low_priority or len(worker.sends) < SPARE * worker.in_flight_limit) and (
                     self.room(worker, now, heft) or worker is home and self.age(home, now) >= 1
                     and self.press(home, now) * heft <= 1 and len(worker.sends) < worker.in_flight_limit):
@@ -342,7 +342,7 @@
                 return next((worker for worker in stops if self.room(worker, now)), first)
             if coming is None and self.hopeless(act, now):
                 return None
-            if coming is not None and coming.count_sends(fn) < fn.part:
+            if coming is not None and coming.count_sends(fn) < fn.own_lanes:
                 return coming
             if len(self.waiting(fn)) < PARKED * fn.lanes and not act.low_priority:
                 fn.parked.append(act)   # more waiting there than lanes would bring copy after copy
@@ -365,7 +365,7 @@
 
     def hopeless(self, act: Activation, now: int) -> bool:
         """Whether it could only wait for its time to end: no load is under way, and none could be in time."""
-        return act.answer_due - now < SOON * (act.function.load or self.load_base)
+        return act.answer_due - now < SOON * (act.function.load_time or self.load_base)
 
     def may_load(self, now: int, part: float = 1.0) -> bool:
         room, out = self.load_limit * part, self.orders + self.cold_out
@@ -381,12 +381,12 @@
     def hold(self, worker: Worker, fn: Function, now: int) -> bool:
         """Every load order passes here: rationed by rule, paced by us, one a function at a time."""
         most = self.load_free + self.load_ratio * self.recent(self.took, now)
-        if not worker.ready or fn.pause > now or fn.name in worker.load_orders or not self.may_load(now, WIDEN) or (
+        if not worker.ready or fn.next_order_at > now or fn.name in worker.load_orders or not self.may_load(now, WIDEN) or (
                 self.recent(self.ordered, now) + 1 > most):
             return False
         worker.load_orders.add(fn.name)
         self.ordered_from[worker] = None
-        fn.pause = now + int(fn.load or self.load_base)
+        fn.next_order_at = now + int(fn.load_time or self.load_base)
         self.orders, self.load_at = self.orders + 1, now
         self.ordered.append(now)
         self.out.append(Step(Action.LOAD, worker=worker.name, function=fn.name, amount=1))
@@ -494,7 +494,7 @@
             self.close(act, None)
         elif act.answered or act.open_send_count or act.answer_started:
             return
-        elif outcome is Outcome.ERROR and len(act.possible_runs) > 1 and not fn.served:
+        elif outcome is Outcome.ERROR and len(act.possible_runs) > 1 and not fn.last_completed_at:
             # Never completed, failed by two workers: names made up would use up what may be sent again.
             self.give_up(act, now)
         elif outcome is Outcome.MISS and not self.loads_itself and copy is not Copy.LOAD_FAILED and (
@@ -512,7 +512,7 @@
             hall.consecutive_suspensions = hall.suspended_until = 0
         if outcome is Outcome.COMPLETED:
             worker.consecutive_failures = worker.consecutive_suspensions = 0
-            worker.warm_until[fn.name], fn.served = now + self.keep, now
+            worker.warm_until[fn.name], fn.last_completed_at = now + self.keep, now
             self.budget = min(BUDGET_MOST, self.budget + BUDGET_SHARE)
             self.done *= max(0.0, 1 - (now - self.done_at) / RATE_MEMORY)
             self.done, self.done_at = self.done + act.type_stats.mean_cost, now
@@ -536,7 +536,7 @@
             worker.warm_until.pop(fn.name, None)
         elif copy is not Copy.LOAD_FAILED and outcome in FAILED and not (
                 # A function that nobody serves, or a call that failed before, would suspend the whole fleet.
-                outcome is Outcome.ERROR and (act.possible_runs or not fn.served)):
+                outcome is Outcome.ERROR and (act.possible_runs or not fn.last_completed_at)):
             self.strike(worker, now)
 
     def record_report(self, worker: Worker, now: int, report: Report | None) -> None:
@@ -623,7 +623,7 @@
     def patience(self, send: Send) -> tuple[float, float]:
         """From when on its worker is asked whether it is there; and until when it may be loading for it."""
         usual = max(PATIENCE * self.expected(send.activation), EASE * send.activation.type_stats.target_latency)
-        load = 0 if send.warm and not send.activation.function.kept else 2 * CROWDED * (send.activation.function.load or self.load_base)
+        load = 0 if send.warm and not send.activation.function.kept_warm_by_others else 2 * CROWDED * (send.activation.function.load_time or self.load_base)
         return usual + (0 if self.may_probe and self.many else load), usual + load
 
     def run_health_round(self, now: int) -> None:
--- a/threadshift/state.py
+++ b/threadshift/state.py
@@ -34,19 +34,19 @@
 
     name: str
     lanes: int
-    part: int                    # ours of its lanes
-    load: int                    # a load's usual time as told, 0: not told
-    at: int                      # its point on the ring
-    cells: list[int]             # its cell in each row of the sketch
-    stops: dict[Worker, None] = field(default_factory=dict)     # its walk as far as worked out
-    version: int = -1            # of the ring that the walk belongs to
+    own_lanes: int                    # ours of its lanes
+    load_time: int                    # a load's usual time as told, 0: not told
+    ring_point: int                      # its point on the ring
+    sketch_cells: list[int]             # its cell in each row of the sketch
+    candidates: dict[Worker, None] = field(default_factory=dict)     # its walk as far as worked out
+    ring_version: int = -1            # of the ring that the walk belongs to
     cursor: Cursor = Cursor(0, 0)    # the place on the ring where that walk stands
     turn: int = 0                # of the round-robin
-    served: int = 0              # when it was last completed, anywhere
-    pause: int = 0               # no load order before it
-    width: int = 1               # stops that it is spread over
-    group: dict[Worker, None] = field(default_factory=dict)     # these stops, home first
-    kept: bool = False           # others' calls are taken to keep its copies at these stops
+    last_completed_at: int = 0              # when it was last completed, anywhere
+    next_order_at: int = 0               # no load order before it
+    spread: int = 1               # stops that it is spread over
+    primaries: dict[Worker, None] = field(default_factory=dict)     # these stops, home first
+    kept_warm_by_others: bool = False           # others' calls are taken to keep its copies at these stops
     parked: deque[Activation] = field(default_factory=deque)    # waiting here for a load or a lane
 
 
