--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -207,7 +207,7 @@
 
         def greedy(live):
             live.front.desk.dispatcher.load_free = 1e9
-            live.front.desk.dispatcher.load_limit = live.front.desk.dispatcher.most_loads = 1e9
+            live.front.desk.dispatcher.load_limit = live.front.desk.dispatcher.max_loads = 1e9
 
         def run(live, ask):
             gevent.joinall([gevent.spawn(ask.call, f"f{n}") for n in range(12)])
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -73,7 +73,7 @@
             for n in range(1200):
                 now = n * 20 * MS              # 24 s: two resets of the sketch
                 fn = "f" if n % every == 0 else f"other{n % 40}"
-                for worker in it.fleet:
+                for worker in it.ready_workers:
                     worker.warm_until[fn] = now + SECOND
                 place = serve(it, fn, now)
                 if fn == "f" and n > 300:
@@ -178,7 +178,7 @@
                 worker, budget = it.workers["w0"], 10 * rate / fronts
                 for n in range(24):
                     now = start + age + n * 125 * MS
-                    it.done, it.done_at, it.budget = budget, now, 10.0
+                    it.completed_work, it.completed_work_at, it.budget = budget, now, 10.0
                     act, steps = call(it, f"c{n}", now, fn=f"fn{n}")
                     sends += [now - start - age] * len(sent(steps))
                     act.on_send_ended(now, 0, Outcome.FULL, 0) if sent(steps) else None
@@ -207,7 +207,7 @@
             for act in acts[:withdrawn]:
                 act.on_client_gone(2 * SECOND)
             given = 0
-            for worker in it.fleet:
+            for worker in it.ready_workers:
                 it.functions["f"].next_order_at = 0
                 given += it.hold(worker, it.functions["f"], 2 * SECOND)
             self.assertEqual(given, allowed, (withdrawn, answered))
@@ -221,10 +221,10 @@
                 act = it.admit(SECOND, f"c{n}", AGAIN.value, "f", SECOND)
                 act.on_client_gone(SECOND)
             call(it, fn="g")
-            it.took.clear()
-            it.took.extend([SECOND] * taken)
+            it.recent_admissions.clear()
+            it.recent_admissions.extend([SECOND] * taken)
             given = 0
-            for worker in it.fleet:
+            for worker in it.ready_workers:
                 it.functions["g"].next_order_at = 0
                 given += it.hold(worker, it.functions["g"], 2 * SECOND)
             self.assertEqual(given, allowed, (free, ratio, taken))
@@ -270,7 +270,7 @@
     def front_end(self, pressed=0.5, copies=2, fns=("f",), **changes):
         """At which so many of a function's first stops are believed to hold a copy."""
         it = front_end(20, front_ends=100, may_probe=True, **changes)
-        it.pressed = pressed
+        it.pressure_share = pressed
         for n in range(40):
             it.admit(n * MS, f"early{n}", AGAIN.value, f"fn{n}", SECOND).on_client_gone(n * MS)
         for fn in fns:
@@ -291,7 +291,7 @@
             for seed in range(100):
                 it = self.front_end(pressed, copies, seed=seed)
                 it.crowd(crowded, SECOND)
-                it.orders += loads
+                it.open_load_orders += loads
                 asked += Action.PROBE in does(call(it, "a", SECOND)[1])
             self.assertTrue(least <= asked / 100 <= most, (pressed, copies, crowded, loads, asked))
 
@@ -324,14 +324,14 @@
             it = front_end(6, front_ends=fronts, cross_zone_fee=price, zone=zone)
             it.update_workers(0, [ready(f"w{n}", zone="ab"[n % 2]) for n in range(6)], full=True)
             it.spread = lambda fn, kind, now: setattr(fn, "spread", 6)
-            for worker in it.fleet:
+            for worker in it.ready_workers:
                 worker.warm_until["f"] = 9 * SECOND
             went = [serve(it, now=n * MS) for n in range(60)]
             self.assertEqual({it.workers[name].zone for name in went}, used, (fronts, price, zone))
             share = max(went.count(name) for name in set(went)) * len(set(went)) / len(went)
             self.assertLess(share, 1.3)                     # in turn all the same
             # What overflows is spread over the others.
-            for worker in it.fleet:
+            for worker in it.ready_workers:
                 worker.in_flight_limit = 0.0 if worker.zone == "a" else 4.0
             self.assertEqual(len({serve(it, now=n * MS, ivk=f"b{n}") for n in range(60)}), 3)
 
@@ -339,9 +339,9 @@
         for held, low, high in ((0.0, 0.0, 0.05), (9.0, 0.95, 1.0)):
             it = self.front_end(0.25)
             for n in range(40):
-                it.mean_held = 2.0
+                it.mean_reported_load = 2.0
                 it.on_report(SECOND + n, "w0", Outcome.COMPLETED, Report(held=held))
-            self.assertTrue(low <= it.pressed <= high, (held, it.pressed))
+            self.assertTrue(low <= it.pressure_share <= high, (held, it.pressure_share))
 
     def test_asks_first_and_walks_past_what_is_pressed(self):
         # what the home asked tells (None: nothing in time, so the other copy is next), whether it gets the send
@@ -388,7 +388,7 @@
     def test_loads_at_once_are_bounded_over_all(self):
         # front ends, loads that each may have out on twenty workers
         for fronts, most in ((1, 20), (3, 20), (20, 3), (200, 1)):
-            self.assertEqual(front_end(20, front_ends=fronts).most_loads, most)
+            self.assertEqual(front_end(20, front_ends=fronts).max_loads, most)
 
 
 class Trouble(unittest.TestCase):
@@ -465,7 +465,7 @@
             it = front_end(12, front_ends=fronts)
             it.update_workers(0, [ready(f"w{n}", zone="ab"[n % halls]) for n in range(12)], full=True)
             del it.zones[""]                # of the list that front_end() gave
-            here = [worker for worker in it.fleet if worker.zone == "a"]
+            here = [worker for worker in it.ready_workers if worker.zone == "a"]
             for n, worker in enumerate(here[:fails]):
                 act = it.admit(SECOND + n, f"a{n}", ONCE.value, f"f{n}", 2 * SECOND)
                 self.assertTrue(it.send(act, worker, SECOND + n))
@@ -523,7 +523,7 @@
         for out, widened in ((0, True), (1, True), (2, False), (4, False)):
             it = front_end(4)
             home = it.workers[serve(it)]
-            home.in_flight_limit, it.cold_out, it.load_limit = 0.0, out, 4.0
+            home.in_flight_limit, it.open_cold_sends, it.load_limit = 0.0, out, 4.0
             self.assertEqual(len(sent(call(it, "b", SECOND)[1])) == 1, widened, out)
 
     def test_pressed_stops_take_no_call_bound_to_be_late(self):
@@ -598,11 +598,11 @@
             now += 2 * SECOND
             it.tick(now)
         out = sum(len(worker.load_orders) for worker in it.workers.values())
-        self.assertEqual(it.orders, out)
+        self.assertEqual(it.open_load_orders, out)
         for worker in it.workers.values():
             for fn in list(worker.load_orders):
                 it.on_load_ended(now, worker.name, fn, Outcome.COMPLETED, 1)
-        self.assertEqual(it.orders, 0)
+        self.assertEqual(it.open_load_orders, 0)
 
     def test_who_waits_for_a_load_at_a_suspended_worker_goes_on(self):
         for by in ("order", "send"):
@@ -621,7 +621,7 @@
         # All loads that the store bears are under way, none for this function, and one takes longer than the call
         # has left: it was kept until its time was up.
         it = front_end(4)
-        it.load_limit, it.orders, it.load_base = 1.0, 1, float(SECOND)
+        it.load_limit, it.open_load_orders, it.load_base = 1.0, 1, float(SECOND)
         act, steps = call(it, "a", 0, left=300 * MS)
         self.assertEqual(does(steps), [Action.REJECT])
         act, steps = call(it, "b", 0, left=2000 * MS)
@@ -634,7 +634,7 @@
     def test_a_load_that_was_ordered_is_coming_until_it_ended(self):
         it = front_end(2)
         act = it.admit(0, "c", Effect.REPEATABLE.value, "f", SECOND)
-        worker = it.fleet[0]
+        worker = it.ready_workers[0]
         self.assertTrue(it.hold(worker, act.function, 0))
         self.assertEqual(it.coming(0), {"f"})
         worker.suspended_until = SECOND       # suspended: what it was to load may never come
@@ -668,7 +668,7 @@
         for n in range(3000):
             serve(it, f"f{n}", n * 100 * MS, f"c{n}", tenant=f"t{n}")
         self.assertLess(max(len(worker.warm_until) for worker in it.workers.values()), 400)
-        self.assertEqual(len(it.paid), 0)
+        self.assertEqual(len(it.share_used_until), 0)
         for n in range(NAMES + 500):
             act, _ = call(it, f"d{n}", 300 * SECOND, f"g{n}")
             act.on_client_gone(300 * SECOND)
@@ -711,7 +711,7 @@
             while places := sent(steps):
                 steps = act.on_send_ended(n * MS, number, Outcome.ERROR, MS)
                 number += len(places)
-        self.assertEqual([worker.name for worker in it.fleet if worker.suspended_until > 8 * MS], [])
+        self.assertEqual([worker.name for worker in it.ready_workers if worker.suspended_until > 8 * MS], [])
 
     def test_a_name_that_nobody_serves_uses_up_no_more_than_one_further_send(self):
         # Found on a day with bad clients: names made up were tried on four workers each, and the budget for calls
@@ -748,7 +748,7 @@
                 worker.warm_until[fn] = 9 * SECOND
         for n in range(60):
             call(it, f"a{n}", n * MS // 10, "f", tenant="a", lanes=64)
-        self.assertLess(max(len(worker.sends) for worker in it.fleet), 4)
+        self.assertLess(max(len(worker.sends) for worker in it.ready_workers), 4)
         _, steps = call(it, "b", 7 * MS, "g", tenant="b", lanes=64)
         self.assertEqual(len(sent(steps)), 1)
 
@@ -757,23 +757,23 @@
         for held, asked in ((0, True), (3, True), (5, False)):
             it = front_end(8, front_ends=20, may_probe=True)
             it.functions.clear()
-            it.pressed = 1.0
+            it.pressure_share = 1.0
             for n in range(held):
                 act = it.admit(SECOND, f"h{n}", "repeatable", f"h{n}", SECOND)
-                it.send(act, it.fleet[n], SECOND)
-            it.out.clear()
-            for worker in it.fleet:
+                it.send(act, it.ready_workers[n], SECOND)
+            it.pending_steps.clear()
+            for worker in it.ready_workers:
                 worker.warm_until["f"] = 9 * SECOND
             _, steps = call(it, "a", SECOND)
             self.assertEqual(Action.PROBE in does(steps), asked, held)
 
     def test_a_heavy_call_takes_its_own_weight_of_a_cold_budget(self):
         it = front_end(1, since=SECOND, now=SECOND, front_ends=1)
-        it.done = 5.0
+        it.completed_work = 5.0
         for n in range(50):
             it.admit(SECOND, f"t{n}", "repeatable", "f", SECOND, cost_hint=10 * MS)
         act = it.admit(SECOND, "heavy", "repeatable", "f", 2 * SECOND, cost_hint=900 * MS)
-        worker = it.fleet[0]
+        worker = it.ready_workers[0]
         worker.cold_credit, worker.credit_updated_at = 0.2, SECOND
         self.assertFalse(it.cold_room(worker, act, SECOND))
         worker.cold_credit = 1.0
@@ -789,8 +789,8 @@
             for n in range(50):
                 it.admit(SECOND, f"t{n}", "repeatable", "f", SECOND, cost_hint=10 * MS)
             heavy = it.admit(SECOND, "heavy", "repeatable", "f", 2 * SECOND, cost_hint=900 * MS)
-            self.assertFalse(it.cold_room(it.fleet[0], heavy, SECOND))
-            self.assertLessEqual(it.fleet[0].cold_credit, heavy.type_stats.mean_cost)
+            self.assertFalse(it.cold_room(it.ready_workers[0], heavy, SECOND))
+            self.assertLessEqual(it.ready_workers[0].cold_credit, heavy.type_stats.mean_cost)
 
 
 if __name__ == "__main__":
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -138,8 +138,8 @@
 
     def test_an_order_and_a_question_that_nobody_answers_end(self):
         it, fleet = desk(loads_on_miss=False, may_probe=True, front_ends=100)
-        it.dispatcher.pressed = 1.0
-        for worker in it.dispatcher.fleet:      # two copies believed to stand, so an answer could move the call
+        it.dispatcher.pressure_share = 1.0
+        for worker in it.dispatcher.ready_workers:      # two copies believed to stand, so an answer could move the call
             worker.warm_until |= {"f": 3 * SECOND, "g": 3 * SECOND}
         held, now = it.take(SECOND, "a", ask()), SECOND
         fleet.asked[0].answered(now, Outcome.COMPLETED)
@@ -291,14 +291,14 @@
             given = 0
             for n in range(9):
                 fn = it.admit(now, str(n), "a", f"f{n}", SECOND).function
-                it.orders, it.load_limit = 0, 99.0      # not its own pacing, the rule's limit
+                it.open_load_orders, it.load_limit = 0, 99.0      # not its own pacing, the rule's limit
                 given += it.hold(it.workers["w"], fn, now)
             # Nine calls were taken too, which earn one and four fifths of an order.
             self.assertLessEqual(given, most + 1)
             self.assertGreaterEqual(given, most)
         it = Dispatcher(1, told._replace(load_window=0), SECOND)
         earlier.assume(it, told._replace(load_window=0), SECOND)
-        self.assertFalse(it.ordered)
+        self.assertFalse(it.recent_load_orders)
 
 
 if __name__ == "__main__":
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -299,7 +299,7 @@
         running = gevent.spawn(live.front.run)
         live.running = running
         until(lambda: live.front.links)
-        until(lambda: live.front.desk.dispatcher.fleet)
+        until(lambda: live.front.desk.dispatcher.ready_workers)
         begun.append(time.monotonic_ns())
         self.assertEqual(live.call("submit-x", time_left="900").status, 200)
         left, at = seen[0]
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -221,7 +221,7 @@
         it.run()
         oracle = it.fronts["front-0"].desk.dispatcher
         self.assertIs(oracle.network, it.network)
-        worker = oracle.fleet[0]
+        worker = oracle.ready_workers[0]
         it.network.die(worker.name)
         self.assertEqual(oracle.ends(worker, None), float("inf"))
 
@@ -252,8 +252,8 @@
         if worker.ready and fn.next_order_at <= now:
             fn.next_order_at = now + SECOND // 10
             worker.load_orders.add(fn.name)
-            self.orders += 1
-            self.out.append(Step(Action.LOAD, worker=worker.name, function=fn.name, amount=1))
+            self.open_load_orders += 1
+            self.pending_steps.append(Step(Action.LOAD, worker=worker.name, function=fn.name, amount=1))
             return True
         return False
 
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -66,7 +66,7 @@
     """One front end's decisions."""
 
     def __init__(self, seed: int, told: Deployment, now: int):
-        super().__init__(done_at=now)
+        super().__init__(completed_work_at=now)
         self.chance = random.Random(seed).random
         best = max((each.utility for each in told.types), default=0.0) or 1.0
         self.types = {each.name: TypeStats(each.target_latency, each.effect, each.dedup_scope, each.dedup_window,
@@ -90,25 +90,25 @@
 
     def steps(self, decide, *args) -> list[Step]:
         decide(*args)
-        out, self.out = self.out, []
+        out, self.pending_steps = self.pending_steps, []
         return out
 
     def due(self) -> int:
-        while self.heap and self.heap[0][2].answered:
-            heapq.heappop(self.heap)
-        return min(self.next_round, self.heap[0][0]) if self.heap else self.next_round
+        while self.timers and self.timers[0][2].answered:
+            heapq.heappop(self.timers)
+        return min(self.next_round, self.timers[0][0]) if self.timers else self.next_round
 
     def tick(self, now: int) -> list[Step]:
-        while self.heap and self.heap[0][0] <= now:
-            self.on_timeout(heapq.heappop(self.heap)[2], now)
+        while self.timers and self.timers[0][0] <= now:
+            self.on_timeout(heapq.heappop(self.timers)[2], now)
         return self.steps(self.run_health_round, now)
 
     def shorten_deadlines(self, last: int) -> None:
         """This front end ends: none may be owed an answer past `last`, as nobody would give it."""
-        for _, _, act in self.heap:
+        for _, _, act in self.timers:
             act.answer_due = min(act.answer_due, last - self.margin)
-        self.heap = [(min(at, act.answer_due), number, act) for at, number, act in self.heap]
-        heapq.heapify(self.heap)
+        self.timers = [(min(at, act.answer_due), number, act) for at, number, act in self.timers]
+        heapq.heapify(self.timers)
 
     def on_timeout(self, act: Activation, now: int) -> None:
         """Its own time is up, or it waited long enough for a worker's report, which tells that it is busy."""
@@ -133,18 +133,18 @@
                 worker.warm_until.clear()     # what we knew was of another process
                 worker.consecutive_failures = worker.consecutive_suspensions = worker.suspended_until = worker.limit_cut_at = 0
                 worker.relative_latency, worker.in_flight_limit, worker.cold_credit, worker.load_updated_at = 0.0, FIRST_LIMIT, -1.0, 0
-        self.fleet = [worker for worker in self.workers.values() if worker.ready]
+        self.ready_workers = [worker for worker in self.workers.values() if worker.ready]
         self.place_on_ring(listings)
-        self.mean_size = sum(worker.size for worker in self.fleet) / max(1, len(self.fleet))
-        self.most_workers = max(self.most_workers, len(self.fleet))
-        self.most_loads = max(1.0, len(self.fleet) * min(1.0, LOADS / self.front_ends))
-        self.load_limit = self.load_limit or self.most_loads
+        self.mean_size = sum(worker.size for worker in self.ready_workers) / max(1, len(self.ready_workers))
+        self.max_ready_workers = max(self.max_ready_workers, len(self.ready_workers))
+        self.max_loads = max(1.0, len(self.ready_workers) * min(1.0, LOADS / self.front_ends))
+        self.load_limit = self.load_limit or self.max_loads
         return []
 
     def place_on_ring(self, listings: list[WorkerListing]) -> None:
         """Adds the points of new workers; those of unready ones are passed over. Workers whose names never come back
         are forgotten once they are many: walks would pass over ever more of them."""
-        if len(self.workers) - len(self.fleet) > max(LEFT, len(self.fleet)):
+        if len(self.workers) - len(self.ready_workers) > max(LEFT, len(self.ready_workers)):
             self.forget_workers()
         added = [worker for told in listings if (worker := self.workers.get(told.worker)) is not None
                  and worker.ready and worker.ring_number < 0]
@@ -153,23 +153,23 @@
         for worker in added:
             worker.ring_number = self.ring.add(worker.name, worker)
         if self.ring.tidy() or added:
-            self.version += 1
+            self.ring_version += 1
 
     def forget_workers(self) -> None:
         left = [worker for worker in self.workers.values() if worker.gone and not (
             worker.sends or worker.load_orders or worker.open_probes)]
-        if len(left) <= max(LEFT, len(self.fleet)):
+        if len(left) <= max(LEFT, len(self.ready_workers)):
             return
         for worker in left:
             del self.workers[worker.name]
             if worker.ring_number >= 0:
                 self.ring.remove(worker.ring_number)
-        self.version += 1
+        self.ring_version += 1
 
     def walk(self, fn: Function) -> Iterator[Worker]:
         """Distinct ready workers clockwise from its hash, worked out no further than asked for."""
-        if fn.ring_version != self.version:
-            fn.candidates, fn.ring_version = {}, self.version
+        if fn.ring_version != self.ring_version:
+            fn.candidates, fn.ring_version = {}, self.ring_version
             fn.cursor = self.ring.after(fn.ring_point)
         yield from [worker for worker in fn.candidates if worker.ready]
         # Once all have come it ends: the points that are left, most of them, are of workers that came before.
@@ -198,8 +198,8 @@
             for worker in self.workers.values():
                 worker.warm_until = {name: until for name, until in worker.warm_until.items() if until > now}
         self.sketch.add(fn.sketch_cells)
-        self.took.append(now)
-        self.recent(self.took, now)     # orders may be rare: without this the times would pile up
+        self.recent_admissions.append(now)
+        self.recent(self.recent_admissions, now)     # orders may be rare: without this the times would pile up
         kind = self.types[type_name]
         if cost_hint:
             kind.mean_cost_hint += TREND * (cost_hint - kind.mean_cost_hint) if kind.mean_cost_hint else cost_hint
@@ -208,7 +208,7 @@
         self.spread(fn, kind, now)
         act = Activation(self, ivk, kind, fn, now, now + max(0, left - self.margin), cost_hint,
                          is_client_retry or self.beyond_share(tenant, now), fn.turn)
-        heapq.heappush(self.heap, (act.answer_due, self.number(), act))
+        heapq.heappush(self.timers, (act.answer_due, self.next_serial(), act))
         return act
 
     def beyond_share(self, tenant: str, now: int) -> bool:
@@ -216,9 +216,9 @@
         pays = self.shares.get(tenant)
         if not pays:        # calls of nobody are worth least, where there are shares; else names are not kept
             return pays is None and bool(self.shares)
-        paid = max(self.paid.get(tenant, -SECOND), now - max(SECOND, SAVED * pays))
+        paid = max(self.share_used_until.get(tenant, -SECOND), now - max(SECOND, SAVED * pays))
         if paid <= now:
-            self.paid[tenant] = paid + pays
+            self.share_used_until[tenant] = paid + pays
         return paid > now
 
     def spread(self, fn: Function, kind: TypeStats, now: int) -> None:
@@ -228,7 +228,7 @@
         where it sees little of a stop, what all others send there keeps a copy: the ring is evidence."""
         seen = self.before.count(fn.sketch_cells) + self.sketch.count(fn.sketch_cells)
         share = (seen - 1) / (self.before.total + self.sketch.total + SKETCH_PRIOR)
-        part = share * len(self.fleet) * kind.mean_cost / self.mean_cost
+        part = share * len(self.ready_workers) * kind.mean_cost / self.mean_cost
         fn.spread = max(1 + (share > HOT_SHARE) + (share > 2 * HOT_SHARE),
                        round(part / max(SLICE, KNOWN / self.front_ends)))
         ours = seen * self.keep / max(self.keep, now - self.before.since, 1) / fn.spread
@@ -240,7 +240,7 @@
 
     def cap(self, worker: Worker, now: int) -> float:
         """The design's cap, by told size; from one upwards for a worker that has just started."""
-        cap = max(1.0, len(self.flying) / len(self.fleet)) * (1 + EPSILON) * worker.size / self.mean_size
+        cap = max(1.0, len(self.in_flight) / len(self.ready_workers)) * (1 + EPSILON) * worker.size / self.mean_size
         return min(cap, 1.0 + max(0.0, cap - 1.0) * self.age(worker, now))
 
     def age(self, worker: Worker, now: int) -> float:    # share of its warming that is over, at the latest
@@ -253,7 +253,7 @@
         if age >= 1:
             return True
         able = (self.cold_share + (1 - self.cold_share) * age) * min(1.0, worker.size / self.mean_size)
-        budget = self.cold_factor * able * self.done / self.most_workers
+        budget = self.cold_factor * able * self.completed_work / self.max_ready_workers
         if worker.cold_credit < 0:
             worker.cold_credit, worker.credit_updated_at = mean * self.chance(), now
         gain = max(COLD_RATE * budget, mean / self.front_ends) * (now - worker.credit_updated_at) / self.fall_time
@@ -276,7 +276,7 @@
         return worker.suspended_until <= now and hall.suspended_until <= now and self.cold_room(worker, act, now) and (
             # Suspended before, it is on trial: one repeatable send at a time until an answer. So is its hall.
             not worker.consecutive_suspensions or not worker.sends and trial) and (
-            not hall.consecutive_suspensions or trial and all(send.worker.zone != worker.zone for send in self.flying))
+            not hall.consecutive_suspensions or trial and all(send.worker.zone != worker.zone for send in self.in_flight))
 
     def room(self, worker: Worker, now: int, heft: float = 1.0) -> bool:
         return len(worker.sends) < min(self.cap(worker, now), worker.in_flight_limit) and (
@@ -287,7 +287,7 @@
         """Whether our own counts say little of a worker's load: many front ends, few calls of ours a worker.
 
         Else reports, late and rough, bar workers that our own counts and answers show to be free."""
-        return self.many and len(self.flying) < SEEN * len(self.fleet)
+        return self.many and len(self.in_flight) < SEEN * len(self.ready_workers)
 
     def press(self, worker: Worker, now: int) -> float:
         """How hard others press it, 1 being what it should carry, by its answers and its last report."""
@@ -368,10 +368,10 @@
         return act.answer_due - now < SOON * (act.function.load_time or self.load_base)
 
     def may_load(self, now: int, part: float = 1.0) -> bool:
-        room, out = self.load_limit * part, self.orders + self.cold_out
+        room, out = self.load_limit * part, self.open_load_orders + self.open_cold_sends
         # Room for less than one: one at a time, then none for as long as makes up for it. A least of one
         # each, by all together, is what crowds a store.
-        return out < room if room >= 1 else not out and now - self.load_at >= self.load_base * (1 / room - 1)
+        return out < room if room >= 1 else not out and now - self.last_load_at >= self.load_base * (1 / room - 1)
 
     def recent(self, times: deque[int], now: int) -> int:
         while times and times[0] <= now - self.load_window:
@@ -380,24 +380,24 @@
 
     def hold(self, worker: Worker, fn: Function, now: int) -> bool:
         """Every load order passes here: rationed by rule, paced by us, one a function at a time."""
-        most = self.load_free + self.load_ratio * self.recent(self.took, now)
+        most = self.load_free + self.load_ratio * self.recent(self.recent_admissions, now)
         if not worker.ready or fn.next_order_at > now or fn.name in worker.load_orders or not self.may_load(now, WIDEN) or (
-                self.recent(self.ordered, now) + 1 > most):
+                self.recent(self.recent_load_orders, now) + 1 > most):
             return False
         worker.load_orders.add(fn.name)
-        self.ordered_from[worker] = None
+        self.workers_with_orders[worker] = None
         fn.next_order_at = now + int(fn.load_time or self.load_base)
-        self.orders, self.load_at = self.orders + 1, now
-        self.ordered.append(now)
-        self.out.append(Step(Action.LOAD, worker=worker.name, function=fn.name, amount=1))
+        self.open_load_orders, self.last_load_at = self.open_load_orders + 1, now
+        self.recent_load_orders.append(now)
+        self.pending_steps.append(Step(Action.LOAD, worker=worker.name, function=fn.name, amount=1))
         return True
 
     def on_load_ended(self, now: int, name: str, fn_name: str, outcome: Outcome, copies: int) -> list[Step]:
         worker = self.workers[name]
-        self.orders -= fn_name in worker.load_orders
+        self.open_load_orders -= fn_name in worker.load_orders
         worker.load_orders.discard(fn_name)
         if not worker.load_orders:
-            self.ordered_from.pop(worker, None)
+            self.workers_with_orders.pop(worker, None)
         if outcome is Outcome.COMPLETED and copies:
             worker.warm_until[fn_name] = now + self.keep
         return self.steps(self.wake, self.functions.get(fn_name), now)
@@ -423,11 +423,11 @@
         wait = min(spans, default=0) if act.type_stats.effect is Effect.DEDUPLICATED else 0
         send = Send(act, len(act.sends), worker, now, self.stands(worker, act.function, now))
         act.sends.append(send)
-        worker.sends[send] = self.flying[send] = None
-        act.open_send_count, self.cold_out = act.open_send_count + 1, self.cold_out + (not send.warm)
-        self.load_at = self.load_at if send.warm else now
+        worker.sends[send] = self.in_flight[send] = None
+        act.open_send_count, self.open_cold_sends = act.open_send_count + 1, self.open_cold_sends + (not send.warm)
+        self.last_load_at = self.last_load_at if send.warm else now
         worker.cold_credit = max(0.0, worker.cold_credit - self.weight(act))
-        self.out.append(Step(Action.SEND, act, worker.name, amount=wait))
+        self.pending_steps.append(Step(Action.SEND, act, worker.name, amount=wait))
         return True
 
     def go_on(self, act: Activation, now: int) -> None:
@@ -462,8 +462,8 @@
 
     def on_client_gone(self, act: Activation) -> None:
         """Its client is gone. It earns no load orders: hundreds withdrawn at once would widen the ration."""
-        if not act.answered and act.admitted_at in self.took:
-            self.took.remove(act.admitted_at)
+        if not act.answered and act.admitted_at in self.recent_admissions:
+            self.recent_admissions.remove(act.admitted_at)
         self.close(act, None)
 
     def close(self, act: Activation, how: Action | None) -> None:
@@ -473,18 +473,18 @@
         act.answered = True
         if how:
             told = self.advice * (1 - ADVICE * self.chance()) if how is Action.REJECT else 0
-            self.out.append(Step(how, act, amount=int(told)))
+            self.pending_steps.append(Step(how, act, amount=int(told)))
         for send in act.sends if self.may_cancel and not act.answer_started else ():
             if send.is_open:
-                self.out.append(Step(Action.CANCEL, act, send.worker.name, amount=send.number))
+                self.pending_steps.append(Step(Action.CANCEL, act, send.worker.name, amount=send.number))
 
     def on_send_ended(self, send: Send, now: int, outcome: Outcome, waited: int, copy: Copy, final: bool,
               report: Report | None) -> None:
         act, worker, fn = send.activation, send.worker, send.activation.function
         if not send.is_open:
             return
-        send.is_open, act.open_send_count, self.cold_out = False, act.open_send_count - 1, self.cold_out - (not send.warm)
-        del worker.sends[send], self.flying[send]
+        send.is_open, act.open_send_count, self.open_cold_sends = False, act.open_send_count - 1, self.open_cold_sends - (not send.warm)
+        del worker.sends[send], self.in_flight[send]
         self.record_report(worker, now, report)
         self.learn(send, now, outcome, waited, copy)
         if outcome not in NEVER_RAN:
@@ -514,8 +514,8 @@
             worker.consecutive_failures = worker.consecutive_suspensions = 0
             worker.warm_until[fn.name], fn.last_completed_at = now + self.keep, now
             self.budget = min(BUDGET_MOST, self.budget + BUDGET_SHARE)
-            self.done *= max(0.0, 1 - (now - self.done_at) / RATE_MEMORY)
-            self.done, self.done_at = self.done + act.type_stats.mean_cost, now
+            self.completed_work *= max(0.0, 1 - (now - self.completed_work_at) / RATE_MEMORY)
+            self.completed_work, self.completed_work_at = self.completed_work + act.type_stats.mean_cost, now
             if copy is Copy.FOUND or (copy is Copy.UNKNOWN and send.warm):
                 ratio = self.pace(send, waited, now)
                 act.type_stats.typical_latency *= 1 + TREND * (min(ratio, PATIENCE) - 1)
@@ -550,9 +550,9 @@
             loading = max(loading, report.waiting or 0.0)
         load, waits = (max(0.0, each - loading) * rate for each in (held, report.waiting or 0.0))
         part = min(1 + EPSILON, *(EASE * kind.target_latency / kind.typical_latency for kind in self.types.values()))
-        worker.reported_load, worker.load_updated_at = max(load / max(HELD, self.mean_held * part), waits / WAITING), now
-        self.mean_held += TREND * (load - self.mean_held)
-        self.pressed += TELLS * ((worker.reported_load > 1) - self.pressed)
+        worker.reported_load, worker.load_updated_at = max(load / max(HELD, self.mean_reported_load * part), waits / WAITING), now
+        self.mean_reported_load += TREND * (load - self.mean_reported_load)
+        self.pressure_share += TELLS * ((worker.reported_load > 1) - self.pressure_share)
 
     def ask(self, worker: Worker, act: Activation, now: int) -> bool:
         """Whether the activation waits a moment for a report, where the last one is too old to go by."""
@@ -560,14 +560,14 @@
                 now - max(worker.load_updated_at, worker.last_probe_at) < FRESH_FOR) or (
                 # Nothing hangs on the answer where all are calm, or no second copy stands and none could be
                 # loaded now: the store is crowded, or our loads are under way.
-                self.chance() >= ASKED * self.pressed or not self.choosable(act.function, now) and (
-                    self.load_limit < self.most_loads or not self.may_load(now, WIDEN))):
+                self.chance() >= ASKED * self.pressure_share or not self.choosable(act.function, now) and (
+                    self.load_limit < self.max_loads or not self.may_load(now, WIDEN))):
             return False
         act.probe_count, act.awaited_worker = act.probe_count + 1, worker
         if not worker.awaiting_report:
             self.question(worker, now)
         worker.awaiting_report.append(act)
-        heapq.heappush(self.heap, (worker.last_probe_at + ASK_WAIT, self.number(), act))
+        heapq.heappush(self.timers, (worker.last_probe_at + ASK_WAIT, self.next_serial(), act))
         return True
 
     def on_report(self, now: int, name: str, outcome: Outcome, report: Report | None) -> list[Step]:
@@ -594,9 +594,9 @@
 
     def crowd(self, crowded: bool, now: int) -> None:    # lengthening or failing loads mean fewer at once
         if not crowded:
-            self.load_limit = min(self.load_limit + min(1.0, 1 / self.load_limit), self.most_loads)
-        elif now - self.load_cut >= CUT_PAUSE:
-            self.load_limit, self.load_cut = max(self.least_loads, CUT * self.load_limit), now
+            self.load_limit = min(self.load_limit + min(1.0, 1 / self.load_limit), self.max_loads)
+        elif now - self.load_limit_cut_at >= CUT_PAUSE:
+            self.load_limit, self.load_limit_cut_at = max(self.least_loads, CUT * self.load_limit), now
 
     def ease(self, worker: Worker, now: int) -> None:
         """Too much for it, whether small, slow, full or pressed by others: it gets fewer at a time."""
@@ -631,7 +631,7 @@
         if now < self.next_round:
             return
         self.next_round = now + ROUND
-        for send in list(self.flying):
+        for send in list(self.in_flight):
             worker, waited, (asks, loads) = send.worker, now - send.sent_at, self.patience(send)
             if waited <= asks:
                 continue
@@ -657,8 +657,8 @@
     def coming(self, now: int) -> set[str]:
         """Functions of which a load may be under way. A suspended worker is not waited for: what it was to load may
         never come."""
-        named = chain(((send.worker, send.activation.function.name) for send in self.flying),
-                      ((worker, name) for worker in self.ordered_from for name in worker.load_orders))
+        named = chain(((send.worker, send.activation.function.name) for send in self.in_flight),
+                      ((worker, name) for worker in self.workers_with_orders for name in worker.load_orders))
         return {name for worker, name in named if worker.ready and worker.suspended_until <= now}
 
     def probe(self, worker: Worker, send: Send, now: int) -> bool:
@@ -671,7 +671,7 @@
 
     def question(self, worker: Worker, now: int) -> None:
         worker.last_probe_at, worker.open_probes = now, worker.open_probes + 1    # while one is out it is not forgotten
-        self.out.append(Step(Action.PROBE, worker=worker.name))
+        self.pending_steps.append(Step(Action.PROBE, worker=worker.name))
 
     def move(self, send: Send, now: int) -> None:    # off a suspended worker
         act = send.activation
@@ -682,4 +682,4 @@
             act.possible_runs.append(send)      # it may be running, so the second send is budgeted
             self.go_on(act, now)
         elif self.may_cancel:
-            self.out.append(Step(Action.CANCEL, act, send.worker.name, amount=send.number))
+            self.pending_steps.append(Step(Action.CANCEL, act, send.worker.name, amount=send.number))
--- a/threadshift/desk/earlier.py
+++ b/threadshift/desk/earlier.py
@@ -15,4 +15,4 @@
     The price is paid by a fleet that loads by order alone: until the window has passed, one call in 1/ratio brings a
     copy. Where workers load on a miss themselves, the first calls load all the same."""
     if told.load_window:
-        dispatcher.ordered.extend([now] * int(told.load_free))
+        dispatcher.recent_load_orders.extend([now] * int(told.load_free))
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -77,7 +77,7 @@
 
     @property
     def ready_workers(self) -> int:
-        return len(self.desk.dispatcher.fleet)
+        return len(self.desk.dispatcher.ready_workers)
 
     def link(self, it: Entry) -> Link:
         return Link(it.worker, it.address, self.bounds, self, self.chance, self.bits)
@@ -151,7 +151,7 @@
     def ready(self) -> bool:
         # A list that is late or empty is waited for, not for ever: refused for it, a whole fleet would never start.
         return self.listening is not None and not self.leaving.since and not self.list_is_stale() and (
-            bool(self.desk.dispatcher.fleet) or time.monotonic_ns() >= self.ready_by)
+            bool(self.desk.dispatcher.ready_workers) or time.monotonic_ns() >= self.ready_by)
 
     # Signals.
 
@@ -231,10 +231,10 @@
         dispatcher, now = self.desk.dispatcher, time.monotonic_ns()
         workers = dispatcher.workers.values()
         return {"owed": self.desk.owed, "held": len(self.desk.held), "connections": len(self.door.connections),
-                "flying": len(dispatcher.flying), "links": len(self.links),
+                "flying": len(dispatcher.in_flight), "links": len(self.links),
                 "up": sum(link.up for link in self.connected),
                 "worker_connections": self.dialled, "dialled_in_all": self.dialled_in_all,
-                "ready": len(dispatcher.fleet), "suspended": sum(it.suspended_until > now for it in workers),
+                "ready": len(dispatcher.ready_workers), "suspended": sum(it.suspended_until > now for it in workers),
                 "functions": len(dispatcher.functions), "roster_lost": self.roster_lost,
                 "lag_ms": round(self.admission.lag / MS, 1), "part": round(self.admission.part, 3),
                 "stalls": self.stalls, "longest_stall_ms": self.longest_stall // MS,
--- a/threadshift/state.py
+++ b/threadshift/state.py
@@ -124,30 +124,30 @@
 class DispatcherState:
     """What a front end remembers beside its settings."""
 
-    done_at: int                 # until when completed work, which fades, was brought up to date
-    done: float = 0.0
+    completed_work_at: int                 # until when completed work, which fades, was brought up to date
+    completed_work: float = 0.0
     workers: dict[str, Worker] = field(default_factory=dict)
     functions: dict[str, Function] = field(default_factory=dict)
     zones: dict[str, Zone] = field(default_factory=dict)
-    fleet: list[Worker] = field(default_factory=list)           # workers that are ready
-    most_workers: int = 0        # ready at once, so far
+    ready_workers: list[Worker] = field(default_factory=list)           # workers that are ready
+    max_ready_workers: int = 0        # ready at once, so far
     mean_size: float = 1.0       # of those that are ready
     ring: HashRing[Worker] = field(default_factory=HashRing)
-    version: int = 0             # of the ring
-    paid: dict[str, int] = field(default_factory=dict)          # until when a tenant's share is used up
+    ring_version: int = 0             # of the ring
+    share_used_until: dict[str, int] = field(default_factory=dict)          # until when a tenant's share is used up
     mean_cost: float = 0.0           # what a call weighs, over all types
-    mean_held: float = 0.0       # calls usually held by a worker of mean size, by reports
-    pressed: float = 0.25        # share of reports, lately, that told of press
-    took: deque[int] = field(default_factory=deque)             # times of activations in the load window
-    ordered: deque[int] = field(default_factory=deque)          # times of load orders in it
-    orders: int = 0              # load orders out
-    ordered_from: dict[Worker, None] = field(default_factory=dict)  # workers with load orders of ours out
-    cold_out: int = 0            # sends out with no copy believed there
-    most_loads: float = 1.0      # how many of both there may be at most ...
+    mean_reported_load: float = 0.0       # calls usually held by a worker of mean size, by reports
+    pressure_share: float = 0.25        # share of reports, lately, that told of press
+    recent_admissions: deque[int] = field(default_factory=deque)             # times of activations in the load window
+    recent_load_orders: deque[int] = field(default_factory=deque)          # times of load orders in it
+    open_load_orders: int = 0              # load orders out
+    workers_with_orders: dict[Worker, None] = field(default_factory=dict)  # workers with load orders of ours out
+    open_cold_sends: int = 0            # sends out with no copy believed there
+    max_loads: float = 1.0      # how many of both there may be at most ...
     load_limit: float = 0.0      # ... how many the store bears now ...
-    load_cut: int = 0            # ... when that was last cut ...
-    load_at: int = 0             # ... and when one was last begun
-    heap: list[tuple[int, int, Activation]] = field(default_factory=list)   # (due, serial, activation)
-    number: Callable[[], int] = field(default_factory=lambda: count().__next__)     # serials
-    flying: dict[Send, None] = field(default_factory=dict)      # all sends in flight, oldest first
-    out: list[Step] = field(default_factory=list)               # to be carried out
+    load_limit_cut_at: int = 0            # ... when that was last cut ...
+    last_load_at: int = 0             # ... and when one was last begun
+    timers: list[tuple[int, int, Activation]] = field(default_factory=list)   # (due, serial, activation)
+    next_serial: Callable[[], int] = field(default_factory=lambda: count().__next__)     # serials
+    in_flight: dict[Send, None] = field(default_factory=dict)      # all sends in flight, oldest first
+    pending_steps: list[Step] = field(default_factory=list)               # to be carried out
--- a/threadshift/trials/policies.py
+++ b/threadshift/trials/policies.py
@@ -30,7 +30,7 @@
         return self.pick(act, able, now) if able else None
 
     def candidates(self, act: Activation) -> list[Worker]:
-        return self.fleet
+        return self.ready_workers
 
     def pick(self, act: Activation, able: list[Worker], now: int) -> Worker:
         raise NotImplementedError
