--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -178,7 +178,7 @@
                 worker, budget = it.workers["w0"], 10 * rate / fronts
                 for n in range(24):
                     now = start + age + n * 125 * MS
-                    it.completed_work, it.completed_work_at, it.budget = budget, now, 10.0
+                    it.completed_work, it.completed_work_at, it.retry_budget = budget, now, 10.0
                     act, steps = call(it, f"c{n}", now, fn=f"fn{n}")
                     sends += [now - start - age] * len(sent(steps))
                     act.on_send_ended(now, 0, Outcome.FULL, 0) if sent(steps) else None
@@ -307,7 +307,7 @@
                 act, steps = call(it, f"a{n}", now, fn=f"new{n}", left=600 * MS)
                 if sent(steps):
                     begun += 1
-                    it.load_base = float(SECOND)
+                    it.typical_load_time = float(SECOND)
                     act.on_send_ended(now + SECOND, 0, Outcome.COMPLETED, SECOND // 2, copy=Copy.UNKNOWN)
                     now += SECOND - 100 * MS
                 now += 100 * MS
@@ -315,7 +315,7 @@
                 if now >= 300 * SECOND:
                     break
             self.assertTrue(least <= begun <= most, (fronts, crowds, begun, it.load_limit))
-            self.assertGreaterEqual(it.load_limit, it.least_loads)
+            self.assertGreaterEqual(it.load_limit, it.min_load_limit)
 
     def test_own_hall_first_where_crossing_is_priced(self):
         # front ends, price, the own hall, halls of the stops used: all three stops hold a copy and are idle
@@ -448,7 +448,7 @@
                 (100, Outcome.TIMEOUT, 600, 900), (100, None, 600, 900), (100, Outcome.COMPLETED, 3_000, 5_000),
                 (3, Outcome.TIMEOUT, 3_000, 5_000)):
             it = front_end(20, front_ends=fronts, may_probe=True)
-            it.may_ask = 0
+            it.probe_allowance = 0
             act, steps = call(it, "a", SECOND, left=9 * SECOND)
             home, now = sent(steps)[0], SECOND
             while Action.CANCEL not in does(steps) and now < 9 * SECOND:
@@ -621,7 +621,7 @@
         # All loads that the store bears are under way, none for this function, and one takes longer than the call
         # has left: it was kept until its time was up.
         it = front_end(4)
-        it.load_limit, it.open_load_orders, it.load_base = 1.0, 1, float(SECOND)
+        it.load_limit, it.open_load_orders, it.typical_load_time = 1.0, 1, float(SECOND)
         act, steps = call(it, "a", 0, left=300 * MS)
         self.assertEqual(does(steps), [Action.REJECT])
         act, steps = call(it, "b", 0, left=2000 * MS)
@@ -720,7 +720,7 @@
         serve(it, "real", ivk="first")
         for fn, sends in (("made-up", 2), ("real", 4)):
             act, steps = call(it, fn, fn=fn, now=SECOND)
-            it.budget = 10.0
+            it.retry_budget = 10.0
             while sent(steps):
                 steps = act.on_send_ended(SECOND, len(act.sends) - 1, Outcome.ERROR, MS)
             self.assertEqual((len(act.sends), does(steps)[-1]), (sends, Action.REJECT))
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -104,7 +104,7 @@
 
     def test_without_the_budget_of_further_sends_the_bound_is_passed(self):
         class Unbounded(Dispatcher):
-            budget = property(lambda self: 1e9, lambda self, value: None)
+            retry_budget = property(lambda self: 1e9, lambda self, value: None)
         _, worst = self.sends(STORMS["hang"], 1, Unbounded)
         self.assertGreater(worst, 6)
 
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -67,26 +67,26 @@
 
     def __init__(self, seed: int, told: Deployment, now: int):
         super().__init__(completed_work_at=now)
-        self.chance = random.Random(seed).random
+        self.random = random.Random(seed).random
         best = max((each.utility for each in told.types), default=0.0) or 1.0
         self.types = {each.name: TypeStats(each.target_latency, each.effect, each.dedup_scope, each.dedup_window,
                                       each.utility / best, TYPICAL_START * each.target_latency)
                       for each in told.types}
-        self.margin, self.front_ends, self.keep = 2 * told.tick, told.front_ends, told.idle_keep_alive
-        self.max_sends, self.may_cancel, self.may_twice = told.max_sends, told.may_cancel, told.may_duplicate
-        self.many = told.front_ends * (1 + EPSILON) > FIRST_LIMIT       # caps of all together bound no load
-        self.zone = told.zone if told.cross_zone_fee and self.many else None  # own hall first, others being priced
-        self.advice, self.loads_itself = told.max_retry_after, told.loads_on_miss
+        self.deadline_margin, self.front_ends, self.idle_keep_alive = 2 * told.tick, told.front_ends, told.idle_keep_alive
+        self.max_sends, self.may_cancel, self.may_duplicate = told.max_sends, told.may_cancel, told.may_duplicate
+        self.has_many_front_ends = told.front_ends * (1 + EPSILON) > FIRST_LIMIT       # caps of all together bound no load
+        self.preferred_zone = told.zone if told.cross_zone_fee and self.has_many_front_ends else None  # own hall first, others being priced
+        self.max_retry_after, self.loads_on_miss = told.max_retry_after, told.loads_on_miss
         self.load_window, self.load_ratio = told.load_window or 1, told.load_ratio
-        self.least_loads = min(1.0, max(LEAST_LOADS, LOADS / told.front_ends))  # when crowded
+        self.min_load_limit = min(1.0, max(LEAST_LOADS, LOADS / told.front_ends))  # when crowded
         self.load_free = -1.0 if not told.may_order_loads else told.load_free if told.load_window else float("inf")
         self.cold_share, self.cold_time, self.fall_time = told.cold_share, told.cold_time, told.fall_time
         self.cold_factor = told.fall_multiple * told.fall_time / RATE_MEMORY
-        self.shares = {each.name: int(SECOND * told.front_ends / SKEW / each.per_second)    # ns a call takes
+        self.share_intervals = {each.name: int(SECOND * told.front_ends / SKEW / each.per_second)    # ns a call takes
                        if each.per_second > 0 else 0 for each in told.tenants}      # within our part; 0: any
-        self.may_ask, self.may_probe = UNTOLD if told.may_probe and self.many else 0, told.may_probe
-        self.before, self.sketch = (CountMinSketch(SKETCH_DEPTH, SKETCH_WIDTH, now) for _ in range(2))
-        self.next_round, self.budget, self.load_base = now + ROUND, BUDGET_MOST / 2, float(LOAD_START)
+        self.probe_allowance, self.may_probe = UNTOLD if told.may_probe and self.has_many_front_ends else 0, told.may_probe
+        self.previous_sketch, self.sketch = (CountMinSketch(SKETCH_DEPTH, SKETCH_WIDTH, now) for _ in range(2))
+        self.next_health_round, self.retry_budget, self.typical_load_time = now + ROUND, BUDGET_MOST / 2, float(LOAD_START)
 
     def steps(self, decide, *args) -> list[Step]:
         decide(*args)
@@ -96,7 +96,7 @@
     def due(self) -> int:
         while self.timers and self.timers[0][2].answered:
             heapq.heappop(self.timers)
-        return min(self.next_round, self.timers[0][0]) if self.timers else self.next_round
+        return min(self.next_health_round, self.timers[0][0]) if self.timers else self.next_health_round
 
     def tick(self, now: int) -> list[Step]:
         while self.timers and self.timers[0][0] <= now:
@@ -106,7 +106,7 @@
     def shorten_deadlines(self, last: int) -> None:
         """This front end ends: none may be owed an answer past `last`, as nobody would give it."""
         for _, _, act in self.timers:
-            act.answer_due = min(act.answer_due, last - self.margin)
+            act.answer_due = min(act.answer_due, last - self.deadline_margin)
         self.timers = [(min(at, act.answer_due), number, act) for at, number, act in self.timers]
         heapq.heapify(self.timers)
 
@@ -187,14 +187,14 @@
             at, spread = pair_of_points(fn_name)
             fn = Function(
                 fn_name, max(1, lanes), max(1, lanes // self.front_ends), load_time, at,
-                self.sketch.cells(spread), turn=int(self.chance() * TURNS))
+                self.sketch.cells(spread), turn=int(self.random() * TURNS))
         fn.turn += 1
         self.functions[fn_name] = fn    # the latest called stands last; the first go when they are too many
         while len(self.functions) > NAMES:
             for act in self.waiting(self.functions.pop(next(iter(self.functions)))):
                 self.give_up(act, now)
         if now - self.sketch.since >= SKETCH_WINDOW and self.sketch.total >= SKETCH_LEAST:
-            self.before, self.sketch = self.sketch, CountMinSketch(SKETCH_DEPTH, SKETCH_WIDTH, now)
+            self.previous_sketch, self.sketch = self.sketch, CountMinSketch(SKETCH_DEPTH, SKETCH_WIDTH, now)
             for worker in self.workers.values():
                 worker.warm_until = {name: until for name, until in worker.warm_until.items() if until > now}
         self.sketch.add(fn.sketch_cells)
@@ -206,16 +206,16 @@
             kind.mean_cost = kind.mean_cost_hint / SECOND
         self.mean_cost += TREND * (kind.mean_cost - self.mean_cost) if self.mean_cost else kind.mean_cost
         self.spread(fn, kind, now)
-        act = Activation(self, ivk, kind, fn, now, now + max(0, left - self.margin), cost_hint,
+        act = Activation(self, ivk, kind, fn, now, now + max(0, left - self.deadline_margin), cost_hint,
                          is_client_retry or self.beyond_share(tenant, now), fn.turn)
         heapq.heappush(self.timers, (act.answer_due, self.next_serial(), act))
         return act
 
     def beyond_share(self, tenant: str, now: int) -> bool:
         """Whether this is more than our part of what its tenant may ask; some are saved up for chance."""
-        pays = self.shares.get(tenant)
+        pays = self.share_intervals.get(tenant)
         if not pays:        # calls of nobody are worth least, where there are shares; else names are not kept
-            return pays is None and bool(self.shares)
+            return pays is None and bool(self.share_intervals)
         paid = max(self.share_used_until.get(tenant, -SECOND), now - max(SECOND, SAVED * pays))
         if paid <= now:
             self.share_used_until[tenant] = paid + pays
@@ -226,12 +226,12 @@
 
         The less one front end sees, the thinner: all would send to the same three of a hundred workers. And
         where it sees little of a stop, what all others send there keeps a copy: the ring is evidence."""
-        seen = self.before.count(fn.sketch_cells) + self.sketch.count(fn.sketch_cells)
-        share = (seen - 1) / (self.before.total + self.sketch.total + SKETCH_PRIOR)
+        seen = self.previous_sketch.count(fn.sketch_cells) + self.sketch.count(fn.sketch_cells)
+        share = (seen - 1) / (self.previous_sketch.total + self.sketch.total + SKETCH_PRIOR)
         part = share * len(self.ready_workers) * kind.mean_cost / self.mean_cost
         fn.spread = max(1 + (share > HOT_SHARE) + (share > 2 * HOT_SHARE),
                        round(part / max(SLICE, KNOWN / self.front_ends)))
-        ours = seen * self.keep / max(self.keep, now - self.before.since, 1) / fn.spread
+        ours = seen * self.idle_keep_alive / max(self.idle_keep_alive, now - self.previous_sketch.since, 1) / fn.spread
         fn.kept_warm_by_others = ours <= 1 and ours * (self.front_ends - 1) >= KEPT
 
     def expected(self, act: Activation) -> float:
@@ -255,7 +255,7 @@
         able = (self.cold_share + (1 - self.cold_share) * age) * min(1.0, worker.size / self.mean_size)
         budget = self.cold_factor * able * self.completed_work / self.max_ready_workers
         if worker.cold_credit < 0:
-            worker.cold_credit, worker.credit_updated_at = mean * self.chance(), now
+            worker.cold_credit, worker.credit_updated_at = mean * self.random(), now
         gain = max(COLD_RATE * budget, mean / self.front_ends) * (now - worker.credit_updated_at) / self.fall_time
         worker.cold_credit, worker.credit_updated_at = min(max(units, COLD_BURST * budget), worker.cold_credit + gain), now
         return worker.cold_credit >= units
@@ -287,7 +287,7 @@
         """Whether our own counts say little of a worker's load: many front ends, few calls of ours a worker.
 
         Else reports, late and rough, bar workers that our own counts and answers show to be free."""
-        return self.many and len(self.in_flight) < SEEN * len(self.ready_workers)
+        return self.has_many_front_ends and len(self.in_flight) < SEEN * len(self.ready_workers)
 
     def press(self, worker: Worker, now: int) -> float:
         """How hard others press it, 1 being what it should carry, by its answers and its last report."""
@@ -308,13 +308,13 @@
         ready = list(self.reach(fn))
         group = ready[:fn.spread]
         fn.primaries = dict.fromkeys(group)
-        near = [worker for worker in group if worker.zone == self.zone]     # far ones are for what overflows
-        near, far = near or group, [worker for worker in group if worker.zone != self.zone] if near else []
+        near = [worker for worker in group if worker.zone == self.preferred_zone]     # far ones are for what overflows
+        near, far = near or group, [worker for worker in group if worker.zone != self.preferred_zone] if near else []
         sizes = list(accumulate(worker.size for worker in near)) or [0.0]   # in turn, the larger more often
         shift = min(bisect.bisect(sizes, act.turn * GOLDEN % 1.0 * sizes[-1]), len(sizes) - 1)
         on = act.turn % max(1, len(far))
         # Heard of a copy since, as by our order after a 'miss', a worker is worth trying again.
-        tried = [send.worker for send in act.sends if not send.worker.has_copy(fn, send.sent_at + self.keep)]
+        tried = [send.worker for send in act.sends if not send.worker.has_copy(fn, send.sent_at + self.idle_keep_alive)]
         heft = max(1.0, self.expected(act) / act.type_stats.typical_latency) / (SPARE if act.low_priority else 1.0)
         turned = (one for one in chain(
             near[shift:], near[:shift], far[on:], far[:on], ready[fn.spread:]) if one not in tried)
@@ -365,13 +365,13 @@
 
     def hopeless(self, act: Activation, now: int) -> bool:
         """Whether it could only wait for its time to end: no load is under way, and none could be in time."""
-        return act.answer_due - now < SOON * (act.function.load_time or self.load_base)
+        return act.answer_due - now < SOON * (act.function.load_time or self.typical_load_time)
 
     def may_load(self, now: int, part: float = 1.0) -> bool:
         room, out = self.load_limit * part, self.open_load_orders + self.open_cold_sends
         # Room for less than one: one at a time, then none for as long as makes up for it. A least of one
         # each, by all together, is what crowds a store.
-        return out < room if room >= 1 else not out and now - self.last_load_at >= self.load_base * (1 / room - 1)
+        return out < room if room >= 1 else not out and now - self.last_load_at >= self.typical_load_time * (1 / room - 1)
 
     def recent(self, times: deque[int], now: int) -> int:
         while times and times[0] <= now - self.load_window:
@@ -386,7 +386,7 @@
             return False
         worker.load_orders.add(fn.name)
         self.workers_with_orders[worker] = None
-        fn.next_order_at = now + int(fn.load_time or self.load_base)
+        fn.next_order_at = now + int(fn.load_time or self.typical_load_time)
         self.open_load_orders, self.last_load_at = self.open_load_orders + 1, now
         self.recent_load_orders.append(now)
         self.pending_steps.append(Step(Action.LOAD, worker=worker.name, function=fn.name, amount=1))
@@ -399,18 +399,18 @@
         if not worker.load_orders:
             self.workers_with_orders.pop(worker, None)
         if outcome is Outcome.COMPLETED and copies:
-            worker.warm_until[fn_name] = now + self.keep
+            worker.warm_until[fn_name] = now + self.idle_keep_alive
         return self.steps(self.wake, self.functions.get(fn_name), now)
 
     def may_send(self, act: Activation, worker: Worker, now: int) -> bool:
         """Rules 1 to 3 for one send; true only where nothing can happen twice that must not."""
         kind, maybe = act.type_stats, self.maybe(act)
         if act.answered or act.answer_started or not worker.ready or act.answer_due <= now or (
-                len(act.sends) >= self.max_sends) or (act.open_send_count and not self.may_twice):
+                len(act.sends) >= self.max_sends) or (act.open_send_count and not self.may_duplicate):
             return False
         return not maybe or kind.effect is Effect.REPEATABLE or kind.effect is Effect.DEDUPLICATED and all(
             (kind.dedup_scope == "all" or getattr(send.worker, kind.dedup_scope) == getattr(worker, kind.dedup_scope))
-            and now + self.margin < send.sent_at + kind.dedup_window for send in maybe)
+            and now + self.deadline_margin < send.sent_at + kind.dedup_window for send in maybe)
 
     def maybe(self, act: Activation) -> list[Send]:     # sends that may have run, or may run yet
         return act.possible_runs + [send for send in act.sends if send.is_open]
@@ -419,7 +419,7 @@
         if not self.may_send(act, worker, now):
             return False
         # A repeat that waits for its connection must have left while the earlier ones are remembered.
-        spans = [one.sent_at + act.type_stats.dedup_window - self.margin - now for one in self.maybe(act)]
+        spans = [one.sent_at + act.type_stats.dedup_window - self.deadline_margin - now for one in self.maybe(act)]
         wait = min(spans, default=0) if act.type_stats.effect is Effect.DEDUPLICATED else 0
         send = Send(act, len(act.sends), worker, now, self.stands(worker, act.function, now))
         act.sends.append(send)
@@ -437,8 +437,8 @@
             return
         # Work done again, and load after load begun on one walk, would feed a storm: both are budgeted.
         cost = bool(act.possible_runs) + (not self.stands(worker, fn, now)) if worker and act.sends else 0
-        if worker is not None and self.budget >= cost and self.send(act, worker, now):
-            self.budget -= cost
+        if worker is not None and self.retry_budget >= cost and self.send(act, worker, now):
+            self.retry_budget -= cost
         elif not act.open_send_count:
             self.give_up(act, now)
 
@@ -472,7 +472,7 @@
             return
         act.answered = True
         if how:
-            told = self.advice * (1 - ADVICE * self.chance()) if how is Action.REJECT else 0
+            told = self.max_retry_after * (1 - ADVICE * self.random()) if how is Action.REJECT else 0
             self.pending_steps.append(Step(how, act, amount=int(told)))
         for send in act.sends if self.may_cancel and not act.answer_started else ():
             if send.is_open:
@@ -497,7 +497,7 @@
         elif outcome is Outcome.ERROR and len(act.possible_runs) > 1 and not fn.last_completed_at:
             # Never completed, failed by two workers: names made up would use up what may be sent again.
             self.give_up(act, now)
-        elif outcome is Outcome.MISS and not self.loads_itself and copy is not Copy.LOAD_FAILED and (
+        elif outcome is Outcome.MISS and not self.loads_on_miss and copy is not Copy.LOAD_FAILED and (
                 self.hold(worker, fn, now) or fn.name in worker.load_orders):
             fn.parked.append(act)
         else:
@@ -512,8 +512,8 @@
             hall.consecutive_suspensions = hall.suspended_until = 0
         if outcome is Outcome.COMPLETED:
             worker.consecutive_failures = worker.consecutive_suspensions = 0
-            worker.warm_until[fn.name], fn.last_completed_at = now + self.keep, now
-            self.budget = min(BUDGET_MOST, self.budget + BUDGET_SHARE)
+            worker.warm_until[fn.name], fn.last_completed_at = now + self.idle_keep_alive, now
+            self.retry_budget = min(BUDGET_MOST, self.retry_budget + BUDGET_SHARE)
             self.completed_work *= max(0.0, 1 - (now - self.completed_work_at) / RATE_MEMORY)
             self.completed_work, self.completed_work_at = self.completed_work + act.type_stats.mean_cost, now
             if copy is Copy.FOUND or (copy is Copy.UNKNOWN and send.warm):
@@ -522,8 +522,8 @@
                 if worker.relative_latency <= EASE and len(worker.sends) + 1 >= worker.in_flight_limit:
                     worker.in_flight_limit += 1 / worker.in_flight_limit if worker.limit_cut_at else 1
             elif copy is Copy.LOAD_STARTED:
-                self.load_base *= 1 - TREND if waited < self.load_base else 1 + TREND / 2
-                self.crowd(waited > CROWDED * self.load_base, now)
+                self.typical_load_time *= 1 - TREND if waited < self.typical_load_time else 1 + TREND / 2
+                self.crowd(waited > CROWDED * self.typical_load_time, now)
         elif outcome is Outcome.CANCELLED and send.warm and waited > self.expected(act):
             self.pace(send, waited, now)    # longer still: else one that seldom answers looks fast
         elif outcome is Outcome.FULL:
@@ -556,11 +556,11 @@
 
     def ask(self, worker: Worker, act: Activation, now: int) -> bool:
         """Whether the activation waits a moment for a report, where the last one is too old to go by."""
-        if not self.blind or min(self.may_ask, ASKS - act.probe_count) <= 0 or (
+        if not self.blind or min(self.probe_allowance, ASKS - act.probe_count) <= 0 or (
                 now - max(worker.load_updated_at, worker.last_probe_at) < FRESH_FOR) or (
                 # Nothing hangs on the answer where all are calm, or no second copy stands and none could be
                 # loaded now: the store is crowded, or our loads are under way.
-                self.chance() >= ASKED * self.pressure_share or not self.choosable(act.function, now) and (
+                self.random() >= ASKED * self.pressure_share or not self.choosable(act.function, now) and (
                     self.load_limit < self.max_loads or not self.may_load(now, WIDEN))):
             return False
         act.probe_count, act.awaited_worker = act.probe_count + 1, worker
@@ -579,7 +579,7 @@
             worker.reported_load, worker.load_updated_at = SILENT, now
         elif report and report.loading and report.busy is not None and report.busy < IDLE:
             worker.last_answer_at = now      # cores are free, so what it has not answered for long waits for a load
-        self.may_ask = UNTOLD if worker.load_updated_at == now else self.may_ask - 1   # some places' probes tell no load
+        self.probe_allowance = UNTOLD if worker.load_updated_at == now else self.probe_allowance - 1   # some places' probes tell no load
         askers, worker.awaiting_report = worker.awaiting_report, []
         return self.steps(lambda: [self.go_on(act, now) for act in askers if act.awaited_worker is worker])
 
@@ -596,7 +596,7 @@
         if not crowded:
             self.load_limit = min(self.load_limit + min(1.0, 1 / self.load_limit), self.max_loads)
         elif now - self.load_limit_cut_at >= CUT_PAUSE:
-            self.load_limit, self.load_limit_cut_at = max(self.least_loads, CUT * self.load_limit), now
+            self.load_limit, self.load_limit_cut_at = max(self.min_load_limit, CUT * self.load_limit), now
 
     def ease(self, worker: Worker, now: int) -> None:
         """Too much for it, whether small, slow, full or pressed by others: it gets fewer at a time."""
@@ -609,7 +609,7 @@
         worker.consecutive_failures += 1
         hall = self.zones[worker.zone]
         hall.failed_workers.add(worker)
-        if self.many and len(hall.failed_workers) >= DOUBT and hall.suspended_until <= now and len(self.zones) > 1:
+        if self.has_many_front_ends and len(hall.failed_workers) >= DOUBT and hall.suspended_until <= now and len(self.zones) > 1:
             self.suspend(hall, now)
         if worker.suspended_until > now or (worker.consecutive_failures < STRIKES and not worker.consecutive_suspensions):
             return
@@ -617,20 +617,20 @@
         worker.warm_until.clear()
 
     def suspend(self, it: Worker | Zone, now: int) -> None:
-        length = min(SUSPEND_MOST, SUSPEND << min(it.consecutive_suspensions, 8)) * (0.75 + 0.5 * self.chance())
+        length = min(SUSPEND_MOST, SUSPEND << min(it.consecutive_suspensions, 8)) * (0.75 + 0.5 * self.random())
         it.suspended_until, it.consecutive_suspensions = now + int(length), it.consecutive_suspensions + 1
 
     def patience(self, send: Send) -> tuple[float, float]:
         """From when on its worker is asked whether it is there; and until when it may be loading for it."""
         usual = max(PATIENCE * self.expected(send.activation), EASE * send.activation.type_stats.target_latency)
-        load = 0 if send.warm and not send.activation.function.kept_warm_by_others else 2 * CROWDED * (send.activation.function.load_time or self.load_base)
-        return usual + (0 if self.may_probe and self.many else load), usual + load
+        load = 0 if send.warm and not send.activation.function.kept_warm_by_others else 2 * CROWDED * (send.activation.function.load_time or self.typical_load_time)
+        return usual + (0 if self.may_probe and self.has_many_front_ends else load), usual + load
 
     def run_health_round(self, now: int) -> None:
         """Looks for workers that answer nothing and moves what may be moved away from them."""
-        if now < self.next_round:
+        if now < self.next_health_round:
             return
-        self.next_round = now + ROUND
+        self.next_health_round = now + ROUND
         for send in list(self.in_flight):
             worker, waited, (asks, loads) = send.worker, now - send.sent_at, self.patience(send)
             if waited <= asks:
@@ -676,9 +676,9 @@
     def move(self, send: Send, now: int) -> None:    # off a suspended worker
         act = send.activation
         if act.answered or act.answer_started or act.open_send_count > 1 or act.type_stats.effect is not Effect.REPEATABLE or (
-                self.budget < 1 or act.answer_due <= now or len(act.sends) >= self.max_sends):
+                self.retry_budget < 1 or act.answer_due <= now or len(act.sends) >= self.max_sends):
             return
-        if self.may_twice:
+        if self.may_duplicate:
             act.possible_runs.append(send)      # it may be running, so the second send is budgeted
             self.go_on(act, now)
         elif self.may_cancel:
--- a/threadshift/trials/policies.py
+++ b/threadshift/trials/policies.py
@@ -21,7 +21,7 @@
 
     def __init__(self, seed: int, told: Deployment, now: int):
         super().__init__(seed, told, now)
-        self.may_ask = 0
+        self.probe_allowance = 0
 
     def place(self, act: Activation, now: int) -> Worker | None:
         tried = {send.worker for send in act.sends}
@@ -38,7 +38,7 @@
 
 class Random(Baseline):
     def pick(self, act: Activation, able: list[Worker], now: int) -> Worker:
-        return able[int(self.chance() * len(able))]
+        return able[int(self.random() * len(able))]
 
 
 class LeastInFlight(Baseline):
@@ -47,14 +47,14 @@
     def pick(self, act: Activation, able: list[Worker], now: int) -> Worker:
         least = min(len(worker.sends) for worker in able)
         idle = [worker for worker in able if len(worker.sends) == least]
-        return idle[int(self.chance() * len(idle))]
+        return idle[int(self.random() * len(idle))]
 
 
 class PowerOfTwo(Baseline):
     """The less loaded of two drawn (Mitzenmacher 2001)."""
 
     def pick(self, act: Activation, able: list[Worker], now: int) -> Worker:
-        one, other = (able[int(self.chance() * len(able))] for _ in range(2))
+        one, other = (able[int(self.random() * len(able))] for _ in range(2))
         return one if len(one.sends) <= len(other.sends) else other
 
 
