--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -29,7 +29,7 @@
     def test_a_worker_stands_once_in_a_walk(self):
         it = front_end(5)
         act, _ = call(it)
-        names = [worker.name for worker in it.walk(act.function)]
+        names = [worker.name for worker in it.clockwise_workers(act.function)]
         self.assertEqual(sorted(names), [f"w{n}" for n in range(5)])
 
     def test_cap_and_walk(self):
@@ -39,7 +39,7 @@
             it = front_end(4, front_ends=fronts)
             it.sketch.total = 1000
             home = serve(it, lanes=lanes)
-            stops = [worker.name for worker in it.walk(it.functions["f"])]
+            stops = [worker.name for worker in it.clockwise_workers(it.functions["f"])]
             it.workers[stops[1]].warm_until["f"] = 10 * SECOND
             went = [place for n in range(held) for place in sent(call(it, f"c{n}", fn="f")[1])]
             self.assertEqual((went[0], len(set(went))), (home, used), (held, fronts, lanes))
@@ -49,10 +49,10 @@
         # budget or suspended as it was.
         for why, seed in ((why, seed) for why in ("cold", "suspended") for seed in range(4)):
             it = front_end(4, seed=seed)
-            it.spread = lambda fn, kind, now: setattr(fn, "spread", 2)
+            it.update_spread = lambda fn, kind, now: setattr(fn, "spread", 2)
             act, _ = call(it, now=SECOND)
             act.on_send_ended(SECOND, 0, Outcome.COMPLETED, 0, final=True)
-            home, *others = it.walk(act.function)
+            home, *others = it.clockwise_workers(act.function)
             for worker in others:
                 worker.in_flight_limit = 0.0
             for worker in (home, *others):
@@ -87,13 +87,13 @@
             it = front_end(workers, front_ends=3 if workers < 20 else 100)
             for n in range(seen):
                 it.admit(n * MS, str(n), AGAIN.value, "f" if n < own else f"other{n}", SECOND)
-            it.spread(it.functions["f"], it.types[AGAIN.value], SECOND)
+            it.update_spread(it.functions["f"], it.types[AGAIN.value], SECOND)
             self.assertEqual(it.functions["f"].spread, stops, (workers, seen, own))
 
     def test_warm_stop_before_a_cold_home_and_an_order_for_home(self):
         it = front_end(4)
         serve(it)
-        home, other = list(it.walk(it.functions["f"]))[:2]
+        home, other = list(it.clockwise_workers(it.functions["f"]))[:2]
         home.warm_until.clear()
         other.warm_until["f"] = 10 * SECOND
         _, steps = call(it, now=2 * SECOND)
@@ -162,7 +162,7 @@
             for n in range(20):
                 fn = f"fn{n}"
                 self.assertEqual(serve(it, fn), "w1")
-                self.assertFalse(it.hold(it.workers["w0"], it.functions[fn], 0))
+                self.assertFalse(it.order_load(it.workers["w0"], it.functions[fn], 0))
 
     def test_empty_ring_rejects_at_once(self):
         self.assertEqual(does(call(front_end(0))[1]), [Action.REJECT])
@@ -203,13 +203,13 @@
             it.load_limit = 1000.0
             acts = [it.admit(SECOND + n, str(n), AGAIN.value, "f", 3 * SECOND) for n in range(400)]
             for act in acts[:answered]:
-                it.close(act, Action.REJECT)        # those that have their answer were calls like any other
+                it.finish(act, Action.REJECT)        # those that have their answer were calls like any other
             for act in acts[:withdrawn]:
                 act.on_client_gone(2 * SECOND)
             given = 0
             for worker in it.ready_workers:
                 it.functions["f"].next_order_at = 0
-                given += it.hold(worker, it.functions["f"], 2 * SECOND)
+                given += it.order_load(worker, it.functions["f"], 2 * SECOND)
             self.assertEqual(given, allowed, (withdrawn, answered))
 
     def test_load_orders_at_the_edge_of_the_ration(self):
@@ -226,7 +226,7 @@
             given = 0
             for worker in it.ready_workers:
                 it.functions["g"].next_order_at = 0
-                given += it.hold(worker, it.functions["g"], 2 * SECOND)
+                given += it.order_load(worker, it.functions["g"], 2 * SECOND)
             self.assertEqual(given, allowed, (free, ratio, taken))
 
     def test_one_final_answer_whatever_happens(self):
@@ -276,7 +276,7 @@
         for fn in fns:
             early = it.admit(MS, f"early-{fn}", AGAIN.value, fn, SECOND)
             early.on_client_gone(MS)
-            for worker in islice(it.walk(early.function), copies):
+            for worker in islice(it.clockwise_workers(early.function), copies):
                 worker.warm_until[fn] = 3600 * SECOND
         return it
 
@@ -290,7 +290,7 @@
             asked = 0
             for seed in range(100):
                 it = self.front_end(pressed, copies, seed=seed)
-                it.crowd(crowded, SECOND)
+                it.adjust_load_limit(crowded, SECOND)
                 it.open_load_orders += loads
                 asked += Action.PROBE in does(call(it, "a", SECOND)[1])
             self.assertTrue(least <= asked / 100 <= most, (pressed, copies, crowded, loads, asked))
@@ -299,9 +299,9 @@
         # front ends, loads that crowd, loads begun in 100 s of calls of functions never seen, each load of a second
         for fronts, crowds, least, most in ((1, 99, 90, 101), (3, 99, 90, 101), (100, 0, 90, 101), (100, 99, 8, 12)):
             it = front_end(20, front_ends=fronts)
-            it.spread = lambda fn, kind, now: None       # none kept by others
+            it.update_spread = lambda fn, kind, now: None       # none kept by others
             for n in range(crowds):
-                it.crowd(True, n * SECOND)
+                it.adjust_load_limit(True, n * SECOND)
             begun, now = 0, 200 * SECOND
             for n in range(1000):
                 act, steps = call(it, f"a{n}", now, fn=f"new{n}", left=600 * MS)
@@ -323,7 +323,7 @@
                                           (3, 0.03, "a", {"a", "b"}), (100, 0.03, "c", {"a", "b"})):
             it = front_end(6, front_ends=fronts, cross_zone_fee=price, zone=zone)
             it.update_workers(0, [ready(f"w{n}", zone="ab"[n % 2]) for n in range(6)], full=True)
-            it.spread = lambda fn, kind, now: setattr(fn, "spread", 6)
+            it.update_spread = lambda fn, kind, now: setattr(fn, "spread", 6)
             for worker in it.ready_workers:
                 worker.warm_until["f"] = 9 * SECOND
             went = [serve(it, now=n * MS) for n in range(60)]
@@ -405,7 +405,7 @@
             later = 5 * SECOND
             worker = it.workers[home]
             for effect, fits in ((AGAIN, True), (ONCE, False)):
-                self.assertEqual(it.fit(worker, it.admit(later, "z", effect.value, "f", SECOND), later), fits)
+                self.assertEqual(it.is_eligible(worker, it.admit(later, "z", effect.value, "f", SECOND), later), fits)
 
     def test_silent_worker_is_left_and_its_repeatable_calls_are_moved(self):
         it = front_end(4)
@@ -471,20 +471,20 @@
                 self.assertTrue(it.send(act, worker, SECOND + n))
                 act.on_send_ended(SECOND + MS, 0, Outcome.TIMEOUT, MS)
             act = it.admit(SECOND + 2 * MS, "x", AGAIN.value, "f", SECOND)
-            self.assertEqual(it.fit(here[-1], act, SECOND + 2 * MS), not left, (fronts, halls, fails))
+            self.assertEqual(it.is_eligible(here[-1], act, SECOND + 2 * MS), not left, (fronts, halls, fails))
             if not left:
                 continue
             # Later one repeatable send is let go there, alone; its answer ends the doubt, its loss doubles it.
             for outcome, free in ((Outcome.TIMEOUT, False), (Outcome.COMPLETED, True)):
                 now = it.zones["a"].suspended_until
                 once = it.admit(now, "o", ONCE.value, "f", SECOND)
-                self.assertFalse(it.fit(here[-1], once, now))
+                self.assertFalse(it.is_eligible(here[-1], once, now))
                 trial = it.admit(now, f"t{outcome}", AGAIN.value, "f", SECOND)
-                self.assertTrue(it.fit(here[-1], trial, now) and it.send(trial, here[-1], now))
+                self.assertTrue(it.is_eligible(here[-1], trial, now) and it.send(trial, here[-1], now))
                 here[-2].suspended_until = 0
-                self.assertFalse(it.fit(here[-2], act, now))
+                self.assertFalse(it.is_eligible(here[-2], act, now))
                 trial.on_send_ended(now + MS, 0, outcome, MS)
-                self.assertEqual(it.fit(here[-2], once, now + MS), free, outcome)
+                self.assertEqual(it.is_eligible(here[-2], once, now + MS), free, outcome)
 
     def test_a_worker_is_not_forgotten_while_a_question_to_it_is_out(self):
         # Found by a drawn day with a hall lost under a deploy: the answer named a worker that was forgotten.
@@ -610,7 +610,7 @@
             first, steps = call(it, "a", 0, lanes=1)
             home = it.workers[sent(steps)[0]]
             if by == "order":
-                it.hold(home, first.function, 0)
+                it.order_load(home, first.function, 0)
             second, steps = call(it, "b", MS)
             self.assertEqual(sent(steps), [])
             home.suspended_until = 9 * SECOND         # it answers nothing
@@ -635,13 +635,13 @@
         it = front_end(2)
         act = it.admit(0, "c", Effect.REPEATABLE.value, "f", SECOND)
         worker = it.ready_workers[0]
-        self.assertTrue(it.hold(worker, act.function, 0))
-        self.assertEqual(it.coming(0), {"f"})
+        self.assertTrue(it.order_load(worker, act.function, 0))
+        self.assertEqual(it.loads_under_way(0), {"f"})
         worker.suspended_until = SECOND       # suspended: what it was to load may never come
-        self.assertEqual(it.coming(0), set())
+        self.assertEqual(it.loads_under_way(0), set())
         worker.suspended_until = 0
         it.on_load_ended(MS, worker.name, "f", Outcome.COMPLETED, 1)
-        self.assertEqual(it.coming(MS), set())
+        self.assertEqual(it.loads_under_way(MS), set())
 
     def test_calls_that_ended_while_they_waited_take_no_place(self):
         it = front_end(4)
@@ -689,7 +689,7 @@
         self.assertEqual(len(it.ring), sum(map(len, it.ring.sections)))
         self.assertLess(len(it.ring), 20 * POINTS)
         act, _ = call(it, now=200 * SECOND)
-        self.assertEqual({worker.name for worker in it.walk(act.function)}, {"w0", "w1", "w2", "w3", "n199"})
+        self.assertEqual({worker.name for worker in it.clockwise_workers(act.function)}, {"w0", "w1", "w2", "w3", "n199"})
 
     def test_a_worker_gone_with_something_out_is_kept_until_it_ended(self):
         it = front_end(2)
@@ -775,9 +775,9 @@
         act = it.admit(SECOND, "heavy", "repeatable", "f", 2 * SECOND, cost_hint=900 * MS)
         worker = it.ready_workers[0]
         worker.cold_credit, worker.credit_updated_at = 0.2, SECOND
-        self.assertFalse(it.cold_room(worker, act, SECOND))
+        self.assertFalse(it.has_cold_capacity(worker, act, SECOND))
         worker.cold_credit = 1.0
-        self.assertTrue(it.cold_room(worker, act, SECOND))
+        self.assertTrue(it.has_cold_capacity(worker, act, SECOND))
         it.send(act, worker, SECOND)
         self.assertLess(worker.cold_credit, 0.15)
 
@@ -789,7 +789,7 @@
             for n in range(50):
                 it.admit(SECOND, f"t{n}", "repeatable", "f", SECOND, cost_hint=10 * MS)
             heavy = it.admit(SECOND, "heavy", "repeatable", "f", 2 * SECOND, cost_hint=900 * MS)
-            self.assertFalse(it.cold_room(it.ready_workers[0], heavy, SECOND))
+            self.assertFalse(it.has_cold_capacity(it.ready_workers[0], heavy, SECOND))
             self.assertLessEqual(it.ready_workers[0].cold_credit, heavy.type_stats.mean_cost)
 
 
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -133,7 +133,7 @@
             it, fleet = desk(workers=1)
             fleet.moot = moot
             held = it.take(0, "a", ask())
-            it.carry(0, it.dispatcher.steps(it.dispatcher.close, held.act, None))
+            it.carry(0, it.dispatcher.collect_steps(it.dispatcher.finish, held.act, None))
             self.assertEqual(held.sends[0].outcome in NEVER_RAN, moot)
 
     def test_an_order_and_a_question_that_nobody_answers_end(self):
@@ -292,7 +292,7 @@
             for n in range(9):
                 fn = it.admit(now, str(n), "a", f"f{n}", SECOND).function
                 it.open_load_orders, it.load_limit = 0, 99.0      # not its own pacing, the rule's limit
-                given += it.hold(it.workers["w"], fn, now)
+                given += it.order_load(it.workers["w"], fn, now)
             # Nine calls were taken too, which earn one and four fifths of an order.
             self.assertLessEqual(given, most + 1)
             self.assertGreaterEqual(given, most)
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -139,7 +139,7 @@
             self.assertLess(Fleet(live, 7, told, cold=20, at=0.0).play().nearest(), 1.0)
 
     def test_without_the_shares_a_worker_falls(self):
-        with mock.patch.object(Dispatcher, "cold_room", lambda *_: True):
+        with mock.patch.object(Dispatcher, "has_cold_capacity", lambda *_: True):
             self.assertGreater(Fleet(30, 7, cold=8, at=2.0, busy=0.9).play().nearest(), 1.0)
 
 
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -259,15 +259,15 @@
 
     def test_a_call_that_finds_no_room_looks_at_some_workers_only(self):
         dispatcher, act = self.one_call(self.WORKERS)
-        with mock.patch.object(dispatcher, "cold_room", return_value=False) as looked, mock.patch.object(
-                dispatcher, "fit", return_value=False):
+        with mock.patch.object(dispatcher, "has_cold_capacity", return_value=False) as looked, mock.patch.object(
+                dispatcher, "is_eligible", return_value=False):
             act.start(0)
         self.assertEqual(looked.call_count, FAR_REACH)
 
     def test_a_walk_comes_to_every_worker_once_and_ends(self):
         dispatcher, act = self.one_call(50)
         with mock.patch.object(dispatcher.ring, "next", wraps=dispatcher.ring.next) as steps:
-            self.assertEqual(sorted(worker.name for worker in dispatcher.walk(act.function)),
+            self.assertEqual(sorted(worker.name for worker in dispatcher.clockwise_workers(act.function)),
                              sorted(f"s-{n}" for n in range(50)))
         self.assertLess(steps.call_count, 50 * POINTS // 4)
 
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -235,7 +235,7 @@
         return not act.answered and worker.ready and act.answer_due > now and len(act.sends) < 4
 
     def give_up(self, act, now):
-        self.close(act, Action.REJECT if act.type_stats.effect is not Effect.ONCE_ONLY else Action.ABORT)
+        self.finish(act, Action.REJECT if act.type_stats.effect is not Effect.ONCE_ONLY else Action.ABORT)
 
 
 class Deaf(Dispatcher):
@@ -248,7 +248,7 @@
 class Greedy(Dispatcher):
     """Orders copies as if no window limited it."""
 
-    def hold(self, worker, fn, now):
+    def order_load(self, worker, fn, now):
         if worker.ready and fn.next_order_at <= now:
             fn.next_order_at = now + SECOND // 10
             worker.load_orders.add(fn.name)
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -88,7 +88,7 @@
         self.previous_sketch, self.sketch = (CountMinSketch(SKETCH_DEPTH, SKETCH_WIDTH, now) for _ in range(2))
         self.next_health_round, self.retry_budget, self.typical_load_time = now + ROUND, BUDGET_MOST / 2, float(LOAD_START)
 
-    def steps(self, decide, *args) -> list[Step]:
+    def collect_steps(self, decide, *args) -> list[Step]:
         decide(*args)
         out, self.pending_steps = self.pending_steps, []
         return out
@@ -101,7 +101,7 @@
     def tick(self, now: int) -> list[Step]:
         while self.timers and self.timers[0][0] <= now:
             self.on_timeout(heapq.heappop(self.timers)[2], now)
-        return self.steps(self.run_health_round, now)
+        return self.collect_steps(self.run_health_round, now)
 
     def shorten_deadlines(self, last: int) -> None:
         """This front end ends: none may be owed an answer past `last`, as nobody would give it."""
@@ -116,7 +116,7 @@
             self.give_up(act, now)
         elif act.awaited_worker is not None and not act.answered and now - act.awaited_worker.last_probe_at >= ASK_WAIT:
             act.awaited_worker.reported_load, act.awaited_worker.load_updated_at = SILENT, now
-            self.go_on(act, now)
+            self.dispatch(act, now)
 
     def update_workers(self, now: int, listings: list[WorkerListing], full: bool) -> list[Step]:
         for worker in self.workers.values() if full else ():
@@ -145,7 +145,7 @@
         """Adds the points of new workers; those of unready ones are passed over. Workers whose names never come back
         are forgotten once they are many: walks would pass over ever more of them."""
         if len(self.workers) - len(self.ready_workers) > max(LEFT, len(self.ready_workers)):
-            self.forget_workers()
+            self.forget_gone_workers()
         added = [worker for told in listings if (worker := self.workers.get(told.worker)) is not None
                  and worker.ready and worker.ring_number < 0]
         if self.ring.full:
@@ -155,7 +155,7 @@
         if self.ring.tidy() or added:
             self.ring_version += 1
 
-    def forget_workers(self) -> None:
+    def forget_gone_workers(self) -> None:
         left = [worker for worker in self.workers.values() if worker.gone and not (
             worker.sends or worker.load_orders or worker.open_probes)]
         if len(left) <= max(LEFT, len(self.ready_workers)):
@@ -166,7 +166,7 @@
                 self.ring.remove(worker.ring_number)
         self.ring_version += 1
 
-    def walk(self, fn: Function) -> Iterator[Worker]:
+    def clockwise_workers(self, fn: Function) -> Iterator[Worker]:
         """Distinct ready workers clockwise from its hash, worked out no further than asked for."""
         if fn.ring_version != self.ring_version:
             fn.candidates, fn.ring_version = {}, self.ring_version
@@ -191,7 +191,7 @@
         fn.turn += 1
         self.functions[fn_name] = fn    # the latest called stands last; the first go when they are too many
         while len(self.functions) > NAMES:
-            for act in self.waiting(self.functions.pop(next(iter(self.functions)))):
+            for act in self.parked_activations(self.functions.pop(next(iter(self.functions)))):
                 self.give_up(act, now)
         if now - self.sketch.since >= SKETCH_WINDOW and self.sketch.total >= SKETCH_LEAST:
             self.previous_sketch, self.sketch = self.sketch, CountMinSketch(SKETCH_DEPTH, SKETCH_WIDTH, now)
@@ -199,19 +199,19 @@
                 worker.warm_until = {name: until for name, until in worker.warm_until.items() if until > now}
         self.sketch.add(fn.sketch_cells)
         self.recent_admissions.append(now)
-        self.recent(self.recent_admissions, now)     # orders may be rare: without this the times would pile up
+        self.count_recent(self.recent_admissions, now)     # orders may be rare: without this the times would pile up
         kind = self.types[type_name]
         if cost_hint:
             kind.mean_cost_hint += TREND * (cost_hint - kind.mean_cost_hint) if kind.mean_cost_hint else cost_hint
             kind.mean_cost = kind.mean_cost_hint / SECOND
         self.mean_cost += TREND * (kind.mean_cost - self.mean_cost) if self.mean_cost else kind.mean_cost
-        self.spread(fn, kind, now)
+        self.update_spread(fn, kind, now)
         act = Activation(self, ivk, kind, fn, now, now + max(0, left - self.deadline_margin), cost_hint,
-                         is_client_retry or self.beyond_share(tenant, now), fn.turn)
+                         is_client_retry or self.exceeds_share(tenant, now), fn.turn)
         heapq.heappush(self.timers, (act.answer_due, self.next_serial(), act))
         return act
 
-    def beyond_share(self, tenant: str, now: int) -> bool:
+    def exceeds_share(self, tenant: str, now: int) -> bool:
         """Whether this is more than our part of what its tenant may ask; some are saved up for chance."""
         pays = self.share_intervals.get(tenant)
         if not pays:        # calls of nobody are worth least, where there are shares; else names are not kept
@@ -221,7 +221,7 @@
             self.share_used_until[tenant] = paid + pays
         return paid > now
 
-    def spread(self, fn: Function, kind: TypeStats, now: int) -> None:
+    def update_spread(self, fn: Function, kind: TypeStats, now: int) -> None:
         """Over how many stops: when hot, by the sketch, two or three, or by its part of the fleet's work.
 
         The less one front end sees, the thinner: all would send to the same three of a hundred workers. And
@@ -234,22 +234,22 @@
         ours = seen * self.idle_keep_alive / max(self.idle_keep_alive, now - self.previous_sketch.since, 1) / fn.spread
         fn.kept_warm_by_others = ours <= 1 and ours * (self.front_ends - 1) >= KEPT
 
-    def expected(self, act: Activation) -> float:
+    def expected_latency(self, act: Activation) -> float:
         hint = act.cost_hint / act.type_stats.mean_cost_hint if act.cost_hint and act.type_stats.mean_cost_hint else 1.0
         return act.type_stats.typical_latency * (0.5 + 0.5 * hint)
 
-    def cap(self, worker: Worker, now: int) -> float:
+    def in_flight_cap(self, worker: Worker, now: int) -> float:
         """The design's cap, by told size; from one upwards for a worker that has just started."""
         cap = max(1.0, len(self.in_flight) / len(self.ready_workers)) * (1 + EPSILON) * worker.size / self.mean_size
-        return min(cap, 1.0 + max(0.0, cap - 1.0) * self.age(worker, now))
+        return min(cap, 1.0 + max(0.0, cap - 1.0) * self.warmup_progress(worker, now))
 
-    def age(self, worker: Worker, now: int) -> float:    # share of its warming that is over, at the latest
+    def warmup_progress(self, worker: Worker, now: int) -> float:    # share of its warming that is over, at the latest
         return min(1.0, (now - worker.started_at) / self.cold_time) if worker.started_at and self.cold_time else 1.0
 
-    def cold_room(self, worker: Worker, act: Activation, now: int) -> bool:
+    def has_cold_capacity(self, worker: Worker, act: Activation, now: int) -> bool:
         """Our part of what a just started worker can surely take is earned over time, from a point drawn by
         chance: one send at once from each front end would push it over. Unknown: one a stretch by all."""
-        age, mean, units = self.age(worker, now), act.type_stats.mean_cost, self.weight(act)
+        age, mean, units = self.warmup_progress(worker, now), act.type_stats.mean_cost, self.cold_cost(act)
         if age >= 1:
             return True
         able = (self.cold_share + (1 - self.cold_share) * age) * min(1.0, worker.size / self.mean_size)
@@ -260,52 +260,52 @@
         worker.cold_credit, worker.credit_updated_at = min(max(units, COLD_BURST * budget), worker.cold_credit + gain), now
         return worker.cold_credit >= units
 
-    def weight(self, act: Activation) -> float:     # on a cold worker; by its own hint where that says more
+    def cold_cost(self, act: Activation) -> float:     # on a cold worker; by its own hint where that says more
         return max(act.type_stats.mean_cost, act.cost_hint / SECOND)
 
-    def settle(self, worker: Worker, now: int) -> None:
+    def apply_elapsed_time(self, worker: Worker, now: int) -> None:
         """What time alone does: limits recover, and a pace not heard of for a while fades."""
         passed, worker.adjusted_at = now - worker.adjusted_at, now
         worker.in_flight_limit += GROW * passed / SECOND if worker.limit_cut_at else 0
         if now - worker.last_answer_at > ROUND and worker.relative_latency:
             worker.relative_latency *= 0.5 ** (passed / PACE_HALF)
 
-    def fit(self, worker: Worker, act: Activation, now: int) -> bool:
-        self.settle(worker, now)
+    def is_eligible(self, worker: Worker, act: Activation, now: int) -> bool:
+        self.apply_elapsed_time(worker, now)
         hall, trial = self.zones[worker.zone], act.type_stats.effect is not Effect.ONCE_ONLY
-        return worker.suspended_until <= now and hall.suspended_until <= now and self.cold_room(worker, act, now) and (
+        return worker.suspended_until <= now and hall.suspended_until <= now and self.has_cold_capacity(worker, act, now) and (
             # Suspended before, it is on trial: one repeatable send at a time until an answer. So is its hall.
             not worker.consecutive_suspensions or not worker.sends and trial) and (
             not hall.consecutive_suspensions or trial and all(send.worker.zone != worker.zone for send in self.in_flight))
 
-    def room(self, worker: Worker, now: int, heft: float = 1.0) -> bool:
-        return len(worker.sends) < min(self.cap(worker, now), worker.in_flight_limit) and (
-            self.press(worker, now) * heft <= 1)
+    def has_capacity(self, worker: Worker, now: int, heft: float = 1.0) -> bool:
+        return len(worker.sends) < min(self.in_flight_cap(worker, now), worker.in_flight_limit) and (
+            self.pressure(worker, now) * heft <= 1)
 
     @property
-    def blind(self) -> bool:
+    def relies_on_reports(self) -> bool:
         """Whether our own counts say little of a worker's load: many front ends, few calls of ours a worker.
 
         Else reports, late and rough, bar workers that our own counts and answers show to be free."""
         return self.has_many_front_ends and len(self.in_flight) < SEEN * len(self.ready_workers)
 
-    def press(self, worker: Worker, now: int) -> float:
+    def pressure(self, worker: Worker, now: int) -> float:
         """How hard others press it, 1 being what it should carry, by its answers and its last report."""
-        return max(worker.relative_latency / EASE, worker.reported_load if self.blind and now - worker.load_updated_at < REPORT_KEEP else 0.0)
+        return max(worker.relative_latency / EASE, worker.reported_load if self.relies_on_reports and now - worker.load_updated_at < REPORT_KEEP else 0.0)
 
-    def stands(self, worker: Worker, fn: Function, now: int) -> bool:   # by our own calls, or by others'
+    def is_warm_for(self, worker: Worker, fn: Function, now: int) -> bool:   # by our own calls, or by others'
         return worker.has_copy(fn, now) or fn.kept_warm_by_others and worker in fn.primaries
 
-    def reach(self, fn: Function) -> Iterator[Worker]:     # the stops that are looked at
-        return islice(self.walk(fn), fn.spread + REACH)
+    def ring_candidates(self, fn: Function) -> Iterator[Worker]:     # the stops that are looked at
+        return islice(self.clockwise_workers(fn), fn.spread + REACH)
 
-    def choosable(self, fn: Function, now: int) -> bool:   # whether a second copy could serve instead
-        standing = (worker for worker in self.reach(fn) if self.stands(worker, fn, now))
+    def has_second_copy(self, fn: Function, now: int) -> bool:   # whether a second copy could serve instead
+        standing = (worker for worker in self.ring_candidates(fn) if self.is_warm_for(worker, fn, now))
         return len(list(islice(standing, 2))) == 2
 
-    def place(self, act: Activation, now: int) -> Worker | None:
+    def choose_worker(self, act: Activation, now: int) -> Worker | None:
         fn, stops, chosen = act.function, [], None
-        ready = list(self.reach(fn))
+        ready = list(self.ring_candidates(fn))
         group = ready[:fn.spread]
         fn.primaries = dict.fromkeys(group)
         near = [worker for worker in group if worker.zone == self.preferred_zone]     # far ones are for what overflows
@@ -315,55 +315,55 @@
         on = act.turn % max(1, len(far))
         # Heard of a copy since, as by our order after a 'miss', a worker is worth trying again.
         tried = [send.worker for send in act.sends if not send.worker.has_copy(fn, send.sent_at + self.idle_keep_alive)]
-        heft = max(1.0, self.expected(act) / act.type_stats.typical_latency) / (SPARE if act.low_priority else 1.0)
+        heft = max(1.0, self.expected_latency(act) / act.type_stats.typical_latency) / (SPARE if act.low_priority else 1.0)
         turned = (one for one in chain(
             near[shift:], near[:shift], far[on:], far[:on], ready[fn.spread:]) if one not in tried)
-        fit = (one for one in chain(turned, tried) if one.ready and self.fit(one, act, now))
+        fit = (one for one in chain(turned, tried) if one.ready and self.is_eligible(one, act, now))
         for worker in islice(fit, REACH):
             if stops and worker in tried:
                 break
             stops.append(worker)
             home = group[0] if fn.spread > 1 else stops[0]
-            if self.stands(worker, fn, now) and worker.count_sends(fn) < fn.own_lanes and (
+            if self.is_warm_for(worker, fn, now) and worker.count_sends(fn) < fn.own_lanes and (
                     not act.low_priority or len(worker.sends) < SPARE * worker.in_flight_limit) and (
-                    self.room(worker, now, heft) or worker is home and self.age(home, now) >= 1
-                    and self.press(home, now) * heft <= 1 and len(worker.sends) < worker.in_flight_limit):
+                    self.has_capacity(worker, now, heft) or worker is home and self.warmup_progress(home, now) >= 1
+                    and self.pressure(home, now) * heft <= 1 and len(worker.sends) < worker.in_flight_limit):
                 chosen = worker
                 break
         if not stops:
             # All look bad, by a shared cause: suspensions are set aside; cold workers stay guarded.
-            return next((worker for worker in islice(self.walk(fn), FAR_REACH)
-                         if self.cold_room(worker, act, now)), None)
-        first, warm = stops[0], [worker for worker in stops if self.stands(worker, fn, now)]
+            return next((worker for worker in islice(self.clockwise_workers(fn), FAR_REACH)
+                         if self.has_cold_capacity(worker, act, now)), None)
+        first, warm = stops[0], [worker for worker in stops if self.is_warm_for(worker, fn, now)]
         if not warm:
             coming = next((worker for worker in stops if worker.is_loading(fn)), None)
             if coming is None and self.may_load(now):
                 # Not home: spread over more stops, home may be no stop at all, cold or suspended.
-                return next((worker for worker in stops if self.room(worker, now)), first)
-            if coming is None and self.hopeless(act, now):
+                return next((worker for worker in stops if self.has_capacity(worker, now)), first)
+            if coming is None and self.cannot_load_in_time(act, now):
                 return None
             if coming is not None and coming.count_sends(fn) < fn.own_lanes:
                 return coming
-            if len(self.waiting(fn)) < PARKED * fn.lanes and not act.low_priority:
+            if len(self.parked_activations(fn)) < PARKED * fn.lanes and not act.low_priority:
                 fn.parked.append(act)   # more waiting there than lanes would bring copy after copy
             return None
         if chosen is None:
             if act.low_priority:
                 return None
-            first = next((worker for worker in stops if worker not in warm and self.room(worker, now)), first)
+            first = next((worker for worker in stops if worker not in warm and self.has_capacity(worker, now)), first)
             able = [one for one in warm if len(one.sends) < one.in_flight_limit * (SPARE if act.low_priority else 1.0) and (
-                self.press(one, now) * heft * EASE <= (1.0 if self.blind else act.type_stats.relative_utility))]
-            able.sort(key=lambda one: (self.blind and self.press(one, now), len(one.sends) / one.in_flight_limit))
+                self.pressure(one, now) * heft * EASE <= (1.0 if self.relies_on_reports else act.type_stats.relative_utility))]
+            able.sort(key=lambda one: (self.relies_on_reports and self.pressure(one, now), len(one.sends) / one.in_flight_limit))
             chosen = able[0] if able else next(
-                (worker for worker in stops if self.room(worker, now) and self.may_load(now, WIDEN)), None)
-            if len(self.waiting(fn)) < fn.lanes and any(worker.count_sends(fn) for worker in warm):
+                (worker for worker in stops if self.has_capacity(worker, now) and self.may_load(now, WIDEN)), None)
+            if len(self.parked_activations(fn)) < fn.lanes and any(worker.count_sends(fn) for worker in warm):
                 fn.parked.append(act)   # sent on, it would make the worker start a copy that few calls use
                 chosen = None
-        if first not in warm and chosen is not first and self.room(first, now):
-            self.hold(first, fn, now)
+        if first not in warm and chosen is not first and self.has_capacity(first, now):
+            self.order_load(first, fn, now)
         return chosen
 
-    def hopeless(self, act: Activation, now: int) -> bool:
+    def cannot_load_in_time(self, act: Activation, now: int) -> bool:
         """Whether it could only wait for its time to end: no load is under way, and none could be in time."""
         return act.answer_due - now < SOON * (act.function.load_time or self.typical_load_time)
 
@@ -373,16 +373,16 @@
         # each, by all together, is what crowds a store.
         return out < room if room >= 1 else not out and now - self.last_load_at >= self.typical_load_time * (1 / room - 1)
 
-    def recent(self, times: deque[int], now: int) -> int:
+    def count_recent(self, times: deque[int], now: int) -> int:
         while times and times[0] <= now - self.load_window:
             times.popleft()
         return len(times)
 
-    def hold(self, worker: Worker, fn: Function, now: int) -> bool:
+    def order_load(self, worker: Worker, fn: Function, now: int) -> bool:
         """Every load order passes here: rationed by rule, paced by us, one a function at a time."""
-        most = self.load_free + self.load_ratio * self.recent(self.recent_admissions, now)
+        most = self.load_free + self.load_ratio * self.count_recent(self.recent_admissions, now)
         if not worker.ready or fn.next_order_at > now or fn.name in worker.load_orders or not self.may_load(now, WIDEN) or (
-                self.recent(self.recent_load_orders, now) + 1 > most):
+                self.count_recent(self.recent_load_orders, now) + 1 > most):
             return False
         worker.load_orders.add(fn.name)
         self.workers_with_orders[worker] = None
@@ -400,11 +400,11 @@
             self.workers_with_orders.pop(worker, None)
         if outcome is Outcome.COMPLETED and copies:
             worker.warm_until[fn_name] = now + self.idle_keep_alive
-        return self.steps(self.wake, self.functions.get(fn_name), now)
+        return self.collect_steps(self.resume_parked, self.functions.get(fn_name), now)
 
     def may_send(self, act: Activation, worker: Worker, now: int) -> bool:
         """Rules 1 to 3 for one send; true only where nothing can happen twice that must not."""
-        kind, maybe = act.type_stats, self.maybe(act)
+        kind, maybe = act.type_stats, self.all_possible_runs(act)
         if act.answered or act.answer_started or not worker.ready or act.answer_due <= now or (
                 len(act.sends) >= self.max_sends) or (act.open_send_count and not self.may_duplicate):
             return False
@@ -412,43 +412,43 @@
             (kind.dedup_scope == "all" or getattr(send.worker, kind.dedup_scope) == getattr(worker, kind.dedup_scope))
             and now + self.deadline_margin < send.sent_at + kind.dedup_window for send in maybe)
 
-    def maybe(self, act: Activation) -> list[Send]:     # sends that may have run, or may run yet
+    def all_possible_runs(self, act: Activation) -> list[Send]:     # sends that may have run, or may run yet
         return act.possible_runs + [send for send in act.sends if send.is_open]
 
     def send(self, act: Activation, worker: Worker, now: int) -> bool:   # every send passes here
         if not self.may_send(act, worker, now):
             return False
         # A repeat that waits for its connection must have left while the earlier ones are remembered.
-        spans = [one.sent_at + act.type_stats.dedup_window - self.deadline_margin - now for one in self.maybe(act)]
+        spans = [one.sent_at + act.type_stats.dedup_window - self.deadline_margin - now for one in self.all_possible_runs(act)]
         wait = min(spans, default=0) if act.type_stats.effect is Effect.DEDUPLICATED else 0
-        send = Send(act, len(act.sends), worker, now, self.stands(worker, act.function, now))
+        send = Send(act, len(act.sends), worker, now, self.is_warm_for(worker, act.function, now))
         act.sends.append(send)
         worker.sends[send] = self.in_flight[send] = None
         act.open_send_count, self.open_cold_sends = act.open_send_count + 1, self.open_cold_sends + (not send.warm)
         self.last_load_at = self.last_load_at if send.warm else now
-        worker.cold_credit = max(0.0, worker.cold_credit - self.weight(act))
+        worker.cold_credit = max(0.0, worker.cold_credit - self.cold_cost(act))
         self.pending_steps.append(Step(Action.SEND, act, worker.name, amount=wait))
         return True
 
-    def go_on(self, act: Activation, now: int) -> None:
+    def dispatch(self, act: Activation, now: int) -> None:
         act.awaited_worker, fn = None, act.function
-        worker = None if act.answered else self.place(act, now)
-        if act.answered or fn.parked and fn.parked[-1] is act or worker and self.ask(worker, act, now):
+        worker = None if act.answered else self.choose_worker(act, now)
+        if act.answered or fn.parked and fn.parked[-1] is act or worker and self.await_report(worker, act, now):
             return
         # Work done again, and load after load begun on one walk, would feed a storm: both are budgeted.
-        cost = bool(act.possible_runs) + (not self.stands(worker, fn, now)) if worker and act.sends else 0
+        cost = bool(act.possible_runs) + (not self.is_warm_for(worker, fn, now)) if worker and act.sends else 0
         if worker is not None and self.retry_budget >= cost and self.send(act, worker, now):
             self.retry_budget -= cost
         elif not act.open_send_count:
             self.give_up(act, now)
 
-    def wake(self, fn: Function | None, now: int) -> None:
+    def resume_parked(self, fn: Function | None, now: int) -> None:
         """Two of those parked go on for each answer, so that a fresh copy is not flooded at once."""
-        for act in self.waiting(fn)[:2] if fn else ():
+        for act in self.parked_activations(fn)[:2] if fn else ():
             fn.parked.remove(act)
-            self.go_on(act, now)
+            self.dispatch(act, now)
 
-    def waiting(self, fn: Function) -> list[Activation]:
+    def parked_activations(self, fn: Function) -> list[Activation]:
         """Those parked that still wait: answered ones, and ones that left, must take no place and no turn."""
         if any(act.answered for act in fn.parked):
             fn.parked = deque(act for act in fn.parked if not act.answered)
@@ -458,15 +458,15 @@
         """A rejection says that trying again is harmless, so it must be; else abort."""
         safe = act.type_stats.effect is Effect.REPEATABLE or act.type_stats.effect is Effect.DEDUPLICATED and (
             act.type_stats.dedup_scope == "all")
-        self.close(act, Action.REJECT if safe or not (act.possible_runs or act.open_send_count) else Action.ABORT)
+        self.finish(act, Action.REJECT if safe or not (act.possible_runs or act.open_send_count) else Action.ABORT)
 
     def on_client_gone(self, act: Activation) -> None:
         """Its client is gone. It earns no load orders: hundreds withdrawn at once would widen the ration."""
         if not act.answered and act.admitted_at in self.recent_admissions:
             self.recent_admissions.remove(act.admitted_at)
-        self.close(act, None)
+        self.finish(act, None)
 
-    def close(self, act: Activation, how: Action | None) -> None:
+    def finish(self, act: Activation, how: Action | None) -> None:
         """The one place that gives a final answer; None where the client has it or wants none."""
         if act.answered:
             return
@@ -486,26 +486,26 @@
         send.is_open, act.open_send_count, self.open_cold_sends = False, act.open_send_count - 1, self.open_cold_sends - (not send.warm)
         del worker.sends[send], self.in_flight[send]
         self.record_report(worker, now, report)
-        self.learn(send, now, outcome, waited, copy)
+        self.update_estimates(send, now, outcome, waited, copy)
         if outcome not in NEVER_RAN:
             act.possible_runs.append(send)
-        self.wake(fn, now)
+        self.resume_parked(fn, now)
         if final:
-            self.close(act, None)
+            self.finish(act, None)
         elif act.answered or act.open_send_count or act.answer_started:
             return
         elif outcome is Outcome.ERROR and len(act.possible_runs) > 1 and not fn.last_completed_at:
             # Never completed, failed by two workers: names made up would use up what may be sent again.
             self.give_up(act, now)
         elif outcome is Outcome.MISS and not self.loads_on_miss and copy is not Copy.LOAD_FAILED and (
-                self.hold(worker, fn, now) or fn.name in worker.load_orders):
+                self.order_load(worker, fn, now) or fn.name in worker.load_orders):
             fn.parked.append(act)
         else:
-            self.go_on(act, now)
+            self.dispatch(act, now)
 
-    def learn(self, send: Send, now: int, outcome: Outcome, waited: int, copy: Copy) -> None:
+    def update_estimates(self, send: Send, now: int, outcome: Outcome, waited: int, copy: Copy) -> None:
         worker, act, fn = send.worker, send.activation, send.activation.function
-        self.settle(worker, now)
+        self.apply_elapsed_time(worker, now)
         if outcome in (Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL, Outcome.MISS):
             worker.last_answer_at, hall = now, self.zones[worker.zone]
             hall.failed_workers.clear()
@@ -517,27 +517,27 @@
             self.completed_work *= max(0.0, 1 - (now - self.completed_work_at) / RATE_MEMORY)
             self.completed_work, self.completed_work_at = self.completed_work + act.type_stats.mean_cost, now
             if copy is Copy.FOUND or (copy is Copy.UNKNOWN and send.warm):
-                ratio = self.pace(send, waited, now)
+                ratio = self.record_latency(send, waited, now)
                 act.type_stats.typical_latency *= 1 + TREND * (min(ratio, PATIENCE) - 1)
                 if worker.relative_latency <= EASE and len(worker.sends) + 1 >= worker.in_flight_limit:
                     worker.in_flight_limit += 1 / worker.in_flight_limit if worker.limit_cut_at else 1
             elif copy is Copy.LOAD_STARTED:
                 self.typical_load_time *= 1 - TREND if waited < self.typical_load_time else 1 + TREND / 2
-                self.crowd(waited > CROWDED * self.typical_load_time, now)
-        elif outcome is Outcome.CANCELLED and send.warm and waited > self.expected(act):
-            self.pace(send, waited, now)    # longer still: else one that seldom answers looks fast
+                self.adjust_load_limit(waited > CROWDED * self.typical_load_time, now)
+        elif outcome is Outcome.CANCELLED and send.warm and waited > self.expected_latency(act):
+            self.record_latency(send, waited, now)    # longer still: else one that seldom answers looks fast
         elif outcome is Outcome.FULL:
             worker.suspended_until = max(worker.suspended_until, now + CUT_PAUSE)
             worker.relative_latency += FRESH * (1.0 - worker.relative_latency)
-            self.ease(worker, now)
+            self.cut_in_flight_limit(worker, now)
             if not send.warm:
-                self.crowd(True, now)
+                self.adjust_load_limit(True, now)
         elif outcome is Outcome.MISS:
             worker.warm_until.pop(fn.name, None)
         elif copy is not Copy.LOAD_FAILED and outcome in FAILED and not (
                 # A function that nobody serves, or a call that failed before, would suspend the whole fleet.
                 outcome is Outcome.ERROR and (act.possible_runs or not fn.last_completed_at)):
-            self.strike(worker, now)
+            self.record_failure(worker, now)
 
     def record_report(self, worker: Worker, now: int, report: Report | None) -> None:
         """Load: calls that wait, or are held, but for loads, over the usual; less as answers lengthen."""
@@ -554,18 +554,18 @@
         self.mean_reported_load += TREND * (load - self.mean_reported_load)
         self.pressure_share += TELLS * ((worker.reported_load > 1) - self.pressure_share)
 
-    def ask(self, worker: Worker, act: Activation, now: int) -> bool:
+    def await_report(self, worker: Worker, act: Activation, now: int) -> bool:
         """Whether the activation waits a moment for a report, where the last one is too old to go by."""
-        if not self.blind or min(self.probe_allowance, ASKS - act.probe_count) <= 0 or (
+        if not self.relies_on_reports or min(self.probe_allowance, ASKS - act.probe_count) <= 0 or (
                 now - max(worker.load_updated_at, worker.last_probe_at) < FRESH_FOR) or (
                 # Nothing hangs on the answer where all are calm, or no second copy stands and none could be
                 # loaded now: the store is crowded, or our loads are under way.
-                self.random() >= ASKED * self.pressure_share or not self.choosable(act.function, now) and (
+                self.random() >= ASKED * self.pressure_share or not self.has_second_copy(act.function, now) and (
                     self.load_limit < self.max_loads or not self.may_load(now, WIDEN))):
             return False
         act.probe_count, act.awaited_worker = act.probe_count + 1, worker
         if not worker.awaiting_report:
-            self.question(worker, now)
+            self.send_probe(worker, now)
         worker.awaiting_report.append(act)
         heapq.heappush(self.timers, (worker.last_probe_at + ASK_WAIT, self.next_serial(), act))
         return True
@@ -581,30 +581,30 @@
             worker.last_answer_at = now      # cores are free, so what it has not answered for long waits for a load
         self.probe_allowance = UNTOLD if worker.load_updated_at == now else self.probe_allowance - 1   # some places' probes tell no load
         askers, worker.awaiting_report = worker.awaiting_report, []
-        return self.steps(lambda: [self.go_on(act, now) for act in askers if act.awaited_worker is worker])
+        return self.collect_steps(lambda: [self.dispatch(act, now) for act in askers if act.awaited_worker is worker])
 
-    def pace(self, send: Send, waited: int, now: int) -> float:
+    def record_latency(self, send: Send, waited: int, now: int) -> float:
         """Notes what one send took, for its weight, and eases the worker; returns it over the expected."""
         worker, kind = send.worker, send.activation.type_stats
-        ratio = waited / max(1.0, self.expected(send.activation))
+        ratio = waited / max(1.0, self.expected_latency(send.activation))
         worker.relative_latency += FRESH * (min(1.0, kind.typical_latency * ratio / kind.target_latency) - worker.relative_latency)
         if worker.relative_latency > EASE:
-            self.ease(worker, now)
+            self.cut_in_flight_limit(worker, now)
         return ratio
 
-    def crowd(self, crowded: bool, now: int) -> None:    # lengthening or failing loads mean fewer at once
+    def adjust_load_limit(self, crowded: bool, now: int) -> None:    # lengthening or failing loads mean fewer at once
         if not crowded:
             self.load_limit = min(self.load_limit + min(1.0, 1 / self.load_limit), self.max_loads)
         elif now - self.load_limit_cut_at >= CUT_PAUSE:
             self.load_limit, self.load_limit_cut_at = max(self.min_load_limit, CUT * self.load_limit), now
 
-    def ease(self, worker: Worker, now: int) -> None:
+    def cut_in_flight_limit(self, worker: Worker, now: int) -> None:
         """Too much for it, whether small, slow, full or pressed by others: it gets fewer at a time."""
         if now - worker.limit_cut_at >= CUT_PAUSE:
             worker.in_flight_limit = max(1.0, CUT * min(worker.in_flight_limit, len(worker.sends) + 1))
             worker.limit_cut_at = now
 
-    def strike(self, worker: Worker, now: int) -> None:
+    def record_failure(self, worker: Worker, now: int) -> None:
         """Fast failures and silence look idle to the cap: suspend, longer each time, then one trial."""
         worker.consecutive_failures += 1
         hall = self.zones[worker.zone]
@@ -620,9 +620,9 @@
         length = min(SUSPEND_MOST, SUSPEND << min(it.consecutive_suspensions, 8)) * (0.75 + 0.5 * self.random())
         it.suspended_until, it.consecutive_suspensions = now + int(length), it.consecutive_suspensions + 1
 
-    def patience(self, send: Send) -> tuple[float, float]:
+    def silence_limits(self, send: Send) -> tuple[float, float]:
         """From when on its worker is asked whether it is there; and until when it may be loading for it."""
-        usual = max(PATIENCE * self.expected(send.activation), EASE * send.activation.type_stats.target_latency)
+        usual = max(PATIENCE * self.expected_latency(send.activation), EASE * send.activation.type_stats.target_latency)
         load = 0 if send.warm and not send.activation.function.kept_warm_by_others else 2 * CROWDED * (send.activation.function.load_time or self.typical_load_time)
         return usual + (0 if self.may_probe and self.has_many_front_ends else load), usual + load
 
@@ -632,54 +632,54 @@
             return
         self.next_health_round = now + ROUND
         for send in list(self.in_flight):
-            worker, waited, (asks, loads) = send.worker, now - send.sent_at, self.patience(send)
+            worker, waited, (asks, loads) = send.worker, now - send.sent_at, self.silence_limits(send)
             if waited <= asks:
                 continue
             if worker.last_answer_at < send.sent_at and worker.suspended_until <= now:
                 if self.zones[worker.zone].suspended_until <= now and (
-                        self.may_probe and now - worker.last_probe_at < PROBED or self.probe(worker, send, now)):
+                        self.may_probe and now - worker.last_probe_at < PROBED or self.probe_silent_worker(worker, send, now)):
                     continue
                 if waited <= loads and worker.last_probe_answer_at > send.sent_at:
                     continue        # it answers questions, so it may load
                 worker.consecutive_failures = STRIKES
-                self.strike(worker, now)
+                self.record_failure(worker, now)
             if worker.suspended_until > now or not worker.ready:
-                self.move(send, now)
+                self.reroute(send, now)
         parked = [fn for fn in self.functions.values() if fn.parked]
-        coming = self.coming(now) if parked else ()
+        coming = self.loads_under_way(now) if parked else ()
         for fn in sorted(parked, key=lambda fn: -len(fn.parked)):
             if fn.name not in coming:
-                for act in [each for each in self.waiting(fn) if not each.open_send_count and self.hopeless(each, now)]:
+                for act in [each for each in self.parked_activations(fn) if not each.open_send_count and self.cannot_load_in_time(each, now)]:
                     fn.parked.remove(act)
                     self.give_up(act, now)
-                self.wake(fn, now)
+                self.resume_parked(fn, now)
 
-    def coming(self, now: int) -> set[str]:
+    def loads_under_way(self, now: int) -> set[str]:
         """Functions of which a load may be under way. A suspended worker is not waited for: what it was to load may
         never come."""
         named = chain(((send.worker, send.activation.function.name) for send in self.in_flight),
                       ((worker, name) for worker in self.workers_with_orders for name in worker.load_orders))
         return {name for worker, name in named if worker.ready and worker.suspended_until <= now}
 
-    def probe(self, worker: Worker, send: Send, now: int) -> bool:
+    def probe_silent_worker(self, worker: Worker, send: Send, now: int) -> bool:
         """Asks a worker that seems silent, once a send, whether it loads: one whose copies were dropped does
         so for calls that we thought warm, and says nothing. Suspended for it, all would be, in turn."""
         if not self.may_probe or worker.last_probe_at > send.sent_at:
             return False
-        self.question(worker, now)
+        self.send_probe(worker, now)
         return True
 
-    def question(self, worker: Worker, now: int) -> None:
+    def send_probe(self, worker: Worker, now: int) -> None:
         worker.last_probe_at, worker.open_probes = now, worker.open_probes + 1    # while one is out it is not forgotten
         self.pending_steps.append(Step(Action.PROBE, worker=worker.name))
 
-    def move(self, send: Send, now: int) -> None:    # off a suspended worker
+    def reroute(self, send: Send, now: int) -> None:    # off a suspended worker
         act = send.activation
         if act.answered or act.answer_started or act.open_send_count > 1 or act.type_stats.effect is not Effect.REPEATABLE or (
                 self.retry_budget < 1 or act.answer_due <= now or len(act.sends) >= self.max_sends):
             return
         if self.may_duplicate:
             act.possible_runs.append(send)      # it may be running, so the second send is budgeted
-            self.go_on(act, now)
+            self.dispatch(act, now)
         elif self.may_cancel:
             self.pending_steps.append(Step(Action.CANCEL, act, send.worker.name, amount=send.number))
--- a/threadshift/gateway/fitness.py
+++ b/threadshift/gateway/fitness.py
@@ -17,4 +17,4 @@
     ready = [worker for worker in dispatcher.workers.values() if worker.ready]
     fit = [worker for worker in ready if worker.suspended_until <= now and linked(worker.name)]
     return Fitness(len(ready), len(fit),
-                   sum(dispatcher.age(worker, now) for worker in fit) / len(fit) if fit else 0.0)
+                   sum(dispatcher.warmup_progress(worker, now) for worker in fit) / len(fit) if fit else 0.0)
--- a/threadshift/interface.py
+++ b/threadshift/interface.py
@@ -181,17 +181,17 @@
         return self.answered and not self.open_send_count
 
     def start(self, now: int) -> list[Step]:
-        return self.dispatcher.steps(self.dispatcher.go_on, self, now)
+        return self.dispatcher.collect_steps(self.dispatcher.dispatch, self, now)
 
     def on_send_ended(self, now: int, number: int, outcome: Outcome, waited: int, *, copy: Copy = Copy.UNKNOWN,
                  final: bool = False, report: Report | None = None) -> list[Step]:
         send = self.sends[number]
-        return self.dispatcher.steps(self.dispatcher.on_send_ended, send, now, outcome, waited, copy, final, report)
+        return self.dispatcher.collect_steps(self.dispatcher.on_send_ended, send, now, outcome, waited, copy, final, report)
 
     def on_answer_started(self, now: int, number: int) -> list[Step]:
         self.answer_started = True
         return []
 
     def on_client_gone(self, now: int) -> list[Step]:
-        return self.dispatcher.steps(self.dispatcher.on_client_gone, self)
+        return self.dispatcher.collect_steps(self.dispatcher.on_client_gone, self)
 
--- a/threadshift/trials/policies.py
+++ b/threadshift/trials/policies.py
@@ -23,9 +23,9 @@
         super().__init__(seed, told, now)
         self.probe_allowance = 0
 
-    def place(self, act: Activation, now: int) -> Worker | None:
+    def choose_worker(self, act: Activation, now: int) -> Worker | None:
         tried = {send.worker for send in act.sends}
-        able = [worker for worker in self.candidates(act) if self.cold_room(worker, act, now)]
+        able = [worker for worker in self.candidates(act) if self.has_cold_capacity(worker, act, now)]
         able = [worker for worker in able if worker not in tried] or able
         return self.pick(act, able, now) if able else None
 
@@ -62,7 +62,7 @@
     """Consistent hashing: home, or the next clockwise that may be sent to."""
 
     def candidates(self, act: Activation) -> list[Worker]:
-        return list(self.walk(act.function))
+        return list(self.clockwise_workers(act.function))
 
     def pick(self, act: Activation, able: list[Worker], now: int) -> Worker:
         return able[0]
@@ -72,7 +72,7 @@
     """Consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam 2018), and none of our departures."""
 
     def pick(self, act: Activation, able: list[Worker], now: int) -> Worker:
-        return next((worker for worker in able if len(worker.sends) < self.cap(worker, now)), able[0])
+        return next((worker for worker in able if len(worker.sends) < self.in_flight_cap(worker, now)), able[0])
 
 
 class Oracle(Baseline):
