--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -45,7 +45,7 @@
             elif change == "remove" and name in numbers:
                 it.remove(numbers.pop(name))
             else:
-                it.tidy()
+                it.drop_removed_entries()
         plain = sorted((point, name) for name in numbers for point in plain_points(name))
         for function in functions:
             point, _ = pair_of_points(function)
@@ -61,9 +61,9 @@
         for number in numbers[1:]:
             it.remove(number)
         with mock.patch.object(ring, "TIDIED", 4 * POINTS):
-            self.assertTrue(it.tidy())
+            self.assertTrue(it.drop_removed_entries())
             self.assertGreater(len(it), POINTS)
-            while it.tidy():
+            while it.drop_removed_entries():
                 pass
         self.assertEqual(len(it), POINTS)
         self.assertEqual(sum(map(len, it.sections)), POINTS)
@@ -71,9 +71,9 @@
     def test_it_is_full_before_numbers_run_out_of_bits(self):
         it = HashRing()
         it.workers = [None] * ring.NUMBER_MASK
-        self.assertFalse(it.full)
+        self.assertFalse(it.is_full)
         it.add("s-1", "s-1")
-        self.assertTrue(it.full)
+        self.assertTrue(it.is_full)
 
 
 if __name__ == "__main__":
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -148,11 +148,11 @@
             self.forget_gone_workers()
         added = [worker for told in listings if (worker := self.workers.get(told.worker)) is not None
                  and worker.ready and worker.ring_number < 0]
-        if self.ring.full:
+        if self.ring.is_full:
             self.ring, added = HashRing(), list(self.workers.values())
         for worker in added:
             worker.ring_number = self.ring.add(worker.name, worker)
-        if self.ring.tidy() or added:
+        if self.ring.drop_removed_entries() or added:
             self.ring_version += 1
 
     def forget_gone_workers(self) -> None:
@@ -187,13 +187,13 @@
             at, spread = pair_of_points(fn_name)
             fn = Function(
                 fn_name, max(1, lanes), max(1, lanes // self.front_ends), load_time, at,
-                self.sketch.cells(spread), turn=int(self.random() * TURNS))
+                self.sketch.cells_of(spread), turn=int(self.random() * TURNS))
         fn.turn += 1
         self.functions[fn_name] = fn    # the latest called stands last; the first go when they are too many
         while len(self.functions) > NAMES:
             for act in self.parked_activations(self.functions.pop(next(iter(self.functions)))):
                 self.give_up(act, now)
-        if now - self.sketch.since >= SKETCH_WINDOW and self.sketch.total >= SKETCH_LEAST:
+        if now - self.sketch.started_at >= SKETCH_WINDOW and self.sketch.total >= SKETCH_LEAST:
             self.previous_sketch, self.sketch = self.sketch, CountMinSketch(SKETCH_DEPTH, SKETCH_WIDTH, now)
             for worker in self.workers.values():
                 worker.warm_until = {name: until for name, until in worker.warm_until.items() if until > now}
@@ -226,12 +226,12 @@
 
         The less one front end sees, the thinner: all would send to the same three of a hundred workers. And
         where it sees little of a stop, what all others send there keeps a copy: the ring is evidence."""
-        seen = self.previous_sketch.count(fn.sketch_cells) + self.sketch.count(fn.sketch_cells)
+        seen = self.previous_sketch.estimate(fn.sketch_cells) + self.sketch.estimate(fn.sketch_cells)
         share = (seen - 1) / (self.previous_sketch.total + self.sketch.total + SKETCH_PRIOR)
         part = share * len(self.ready_workers) * kind.mean_cost / self.mean_cost
         fn.spread = max(1 + (share > HOT_SHARE) + (share > 2 * HOT_SHARE),
                        round(part / max(SLICE, KNOWN / self.front_ends)))
-        ours = seen * self.idle_keep_alive / max(self.idle_keep_alive, now - self.previous_sketch.since, 1) / fn.spread
+        ours = seen * self.idle_keep_alive / max(self.idle_keep_alive, now - self.previous_sketch.started_at, 1) / fn.spread
         fn.kept_warm_by_others = ours <= 1 and ours * (self.front_ends - 1) >= KEPT
 
     def expected_latency(self, act: Activation) -> float:
--- a/threadshift/ring.py
+++ b/threadshift/ring.py
@@ -57,8 +57,8 @@
 
     def __init__(self) -> None:
         self.sections = [array("Q") for _ in range(SECTIONS)]
-        self.untidy = bytearray(SECTIONS)       # sections with entries out of order, or of workers removed
-        self.untidied = SECTIONS                # from this one on tidy() has to look; SECTIONS: nothing to do
+        self.unsorted = bytearray(SECTIONS)       # sections with entries out of order, or of workers removed
+        self.next_to_clean = SECTIONS                # from this one on tidy() has to look; SECTIONS: nothing to do
         self.workers: list[W | None] = []       # by number; None: removed
         self.members = 0                        # workers that were not removed
         self.entries = 0                        # kept, those of removed workers included until they are dropped
@@ -67,7 +67,7 @@
         return self.entries
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether no number is left for another worker; the ring is to be made anew."""
         return len(self.workers) > NUMBER_MASK
 
@@ -75,7 +75,7 @@
         """Adds the points of a worker; its number."""
         number = len(self.workers)
         self.workers.append(worker)
-        sections, untidy = self.sections, self.untidy
+        sections, untidy = self.sections, self.unsorted
         for point in points_of(name):
             section = point >> SHIFT
             sections[section].append(point & POINT_MASK | number)
@@ -88,30 +88,30 @@
         """Takes a worker off the ring. Its entries are passed over until tidy() has come to them."""
         self.workers[number] = None
         self.members -= 1
-        self.untidied = 0
+        self.next_to_clean = 0
 
-    def tidy(self) -> bool:
+    def drop_removed_entries(self) -> bool:
         """Drops some entries of workers that were removed, if there are any; whether any was."""
         looked, before = 0, self.entries
-        while self.untidied < SECTIONS and looked < TIDIED:
-            looked += len(self.sections[self.untidied])
-            self.untidy[self.untidied] = 1
-            self.put_in_order(self.untidied)
-            self.untidied += 1
+        while self.next_to_clean < SECTIONS and looked < TIDIED:
+            looked += len(self.sections[self.next_to_clean])
+            self.unsorted[self.next_to_clean] = 1
+            self.sort_section(self.next_to_clean)
+            self.next_to_clean += 1
         return self.entries < before
 
-    def put_in_order(self, section: int) -> None:
+    def sort_section(self, section: int) -> None:
         workers = self.workers
         kept = sorted([entry for entry in self.sections[section] if workers[entry & NUMBER_MASK] is not None])
         self.entries -= len(self.sections[section]) - len(kept)
         self.sections[section] = array("Q", kept)
-        self.untidy[section] = 0
+        self.unsorted[section] = 0
 
     def after(self, point: int) -> Cursor:
         """The place behind all entries up to this point."""
         section = point >> SHIFT
-        if self.untidy[section]:
-            self.put_in_order(section)
+        if self.unsorted[section]:
+            self.sort_section(section)
         return Cursor(section, bisect.bisect(self.sections[section], point | NUMBER_MASK))
 
     def next(self, cursor: Cursor) -> tuple[W | None, Cursor]:
@@ -122,6 +122,6 @@
             if place < len(self.sections[section]):
                 return self.workers[self.sections[section][place] & NUMBER_MASK], Cursor(section, place + 1)
             section, place = (section + 1) % SECTIONS, 0
-            if self.untidy[section]:
-                self.put_in_order(section)
+            if self.unsorted[section]:
+                self.sort_section(section)
         return None, cursor
--- a/threadshift/state.py
+++ b/threadshift/state.py
@@ -105,9 +105,9 @@
     """A count-min sketch: counts names in fixed room, never too low."""
 
     def __init__(self, depth: int, width: int, since: int):
-        self.rows, self.width, self.since, self.total = [[0] * width for _ in range(depth)], width, since, 0
+        self.rows, self.width, self.started_at, self.total = [[0] * width for _ in range(depth)], width, since, 0
 
-    def cells(self, number: int) -> list[int]:
+    def cells_of(self, number: int) -> list[int]:
         """Where a name is counted, by a large number drawn from it."""
         return [(number >> 16 * row) % self.width for row in range(len(self.rows))]
 
@@ -116,7 +116,7 @@
         for row, cell in zip(self.rows, cells, strict=True):
             row[cell] += 1
 
-    def count(self, cells: list[int]) -> int:
+    def estimate(self, cells: list[int]) -> int:
         return min(row[cell] for row, cell in zip(self.rows, cells, strict=True))
 
 
