--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -4,7 +4,8 @@
 
 from tests.helpers import call, does, front_end, ready, sent
 from threadshift.choice import NAMES, PARKED
-from threadshift.interface import MS, SECOND, Copy, Action, Effect, NamespaceType, Outcome, Report, WorkerState, Tenant
+from threadshift.interface import (
+    MS, SECOND, Action, Copy, Effect, NamespaceType, Outcome, Report, Tenant, WorkerState)
 from threadshift.ring import POINTS
 
 ONCE, AGAIN, MARKED = Effect.ONCE_ONLY, Effect.REPEATABLE, Effect.DEDUPLICATED
@@ -237,7 +238,8 @@
             for n in range(400):
                 now += chance.randrange(40) * MS
                 if chance.random() < 0.05:
-                    it.update_workers(now, [ready(f"w{n % 5}", chance.choice(list(WorkerState)), started_at=now)], full=False)
+                    it.update_workers(
+                        now, [ready(f"w{n % 5}", chance.choice(list(WorkerState)), started_at=now)], full=False)
                 steps = it.tick(now)
                 if chance.random() < 0.5:
                     act, more = call(it, str(n), now, f"fn{n % 7}", chance.choice(list(Effect)),
@@ -542,7 +544,8 @@
                           for kind, worth in (("cheap", 1.0), ("dear", 2.0)))
             it = front_end(1, types=kinds)
             home = it.workers["w0"]
-            home.relative_latency, home.in_flight_limit, it.load_limit, home.warm_until["f"] = pace, 9.0, 0.0, 10 * SECOND
+            home.relative_latency, home.in_flight_limit, it.load_limit, home.warm_until["f"] = (
+                pace, 9.0, 0.0, 10 * SECOND)
             act = it.admit(SECOND, "a", name, "f", SECOND)
             self.assertEqual(does(act.start(SECOND)), [Action.SEND if taken else Action.REJECT], (pace, name))
 
@@ -684,12 +687,14 @@
     def test_workers_long_gone_leave_the_ring_and_the_memory(self):
         it = front_end(4)
         for n in range(200):
-            it.update_workers(n * SECOND, [ready(f"n{n}"), *([ready(f"n{n - 1}", WorkerState.GONE)] if n else [])], full=False)
+            it.update_workers(
+                n * SECOND, [ready(f"n{n}"), *([ready(f"n{n - 1}", WorkerState.GONE)] if n else [])], full=False)
         self.assertLess(len(it.workers), 20)
         self.assertEqual(len(it.ring), sum(map(len, it.ring.sections)))
         self.assertLess(len(it.ring), 20 * POINTS)
         act, _ = call(it, now=200 * SECOND)
-        self.assertEqual({worker.name for worker in it.clockwise_workers(act.function)}, {"w0", "w1", "w2", "w3", "n199"})
+        self.assertEqual({worker.name for worker in it.clockwise_workers(act.function)},
+                         {"w0", "w1", "w2", "w3", "n199"})
 
     def test_a_worker_gone_with_something_out_is_kept_until_it_ended(self):
         it = front_end(2)
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -139,7 +139,8 @@
     def test_an_order_and_a_question_that_nobody_answers_end(self):
         it, fleet = desk(loads_on_miss=False, may_probe=True, front_ends=100)
         it.dispatcher.pressure_share = 1.0
-        for worker in it.dispatcher.ready_workers:      # two copies believed to stand, so an answer could move the call
+        # two copies believed to stand, so an answer could move the call
+        for worker in it.dispatcher.ready_workers:
             worker.warm_until |= {"f": 3 * SECOND, "g": 3 * SECOND}
         held, now = it.take(SECOND, "a", ask()), SECOND
         fleet.asked[0].answered(now, Outcome.COMPLETED)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -130,7 +130,8 @@
         halls = ("zone_loss at 2s for 1s zone a", "zone_loss at 2s for 1s zone b", "burst at 3s for 6s times 6")
         cases = ((2, Dispatcher, "may_send", resend, ("break_after_run at 3s for 5s workers 6",)),
                  (3, ModelFront, "apply_listings", deaf, ("drain at 2s for 9s workers 5",)),
-                 (4, Dispatcher, "choose_worker", lambda self, act, now: max(self.ready_workers, key=lambda each: each.started_at), halls),
+                 (4, Dispatcher, "choose_worker",
+                  lambda self, act, now: max(self.ready_workers, key=lambda each: each.started_at), halls),
                  (5, Dispatcher, "order_load", greedy, ("scan at 2s for 8s share 80%",)))
         for rule, owner, name, wrong, troubles in cases:
             kept = getattr(owner, name)
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -163,7 +163,8 @@
     def test_rule_3_a_drain_not_heard(self):
         def deaf(it, front):
             told = front.apply_listings
-            front.apply_listings = lambda listings: told([each for each in listings if each.state is WorkerState.READY])
+            front.apply_listings = lambda listings: told(
+                [each for each in listings if each.state is WorkerState.READY])
         self.both(3, DAY + "trouble drain at 3s for 4s workers 2\n", deaf)
 
     def test_rule_4_a_cold_worker_pushed_over(self):
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -58,7 +58,8 @@
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(customers(), st.lists(st.tuples(
         st.sampled_from(("take", "end", "leave", "wait")), st.integers(0, 99),
-        st.sampled_from([each for each in Outcome if each not in (Outcome.CANCELLED, Outcome.NEVER_SENT)])), max_size=40))
+        st.sampled_from([each for each in Outcome if each not in (Outcome.CANCELLED, Outcome.NEVER_SENT)])),
+        max_size=40))
     def test_valid_ones_start_answer_and_keep_their_promises(self, told, events):
         # Through the file's own form: what JSON makes of it is what is read.
         it = understand(json.loads(json.dumps(told)), {}, "drawn")
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -68,7 +68,8 @@
 
     def hear(self, now, front, since):
         """A front end hears that the workers have started: one in four late, where any is."""
-        self.carry(front, front.update_workers(now, [ready(name, started_at=since) for name in self.starts], False), now)
+        self.carry(
+            front, front.update_workers(now, [ready(name, started_at=since) for name in self.starts], False), now)
 
     def call(self, now):
         self.at(now + int(self.chance.expovariate(self.rate) * SECOND), self.call)
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -248,7 +248,8 @@
             cold_share=0.2, cold_time=17 * SECOND, fall_multiple=2.0, max_retry_after=SECOND)
         now = 100 * SECOND
         dispatcher = Dispatcher(1, told, now)
-        dispatcher.update_workers(now, [WorkerListing(f"s-{n}", WorkerState.READY, started_at=now) for n in range(self.WORKERS)], full=True)
+        dispatcher.update_workers(
+            now, [WorkerListing(f"s-{n}", WorkerState.READY, started_at=now) for n in range(self.WORKERS)], full=True)
         longest = 0.0
         for number in range(self.CALLS):
             since = time.process_time()
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -15,7 +15,8 @@
 from itertools import accumulate, chain, islice
 
 from threadshift.interface import (
-    MS, SECOND, Activation, Copy, Deployment, Action, Effect, WorkerListing, Outcome, Report, Send, WorkerState, Step)
+    MS, SECOND, Action, Activation, Copy, Deployment, Effect, Outcome, Report, Send, Step, WorkerListing,
+    WorkerState)
 from threadshift.ring import HashRing, pair_of_points
 from threadshift.state import Function, Zone, TypeStats, DispatcherState, CountMinSketch, Worker
 
@@ -69,24 +70,33 @@
         super().__init__(completed_work_at=now)
         self.random = random.Random(seed).random
         best = max((each.utility for each in told.types), default=0.0) or 1.0
-        self.types = {each.name: TypeStats(each.target_latency, each.effect, each.dedup_scope, each.dedup_window,
-                                      each.utility / best, TYPICAL_START * each.target_latency)
-                      for each in told.types}
-        self.deadline_margin, self.front_ends, self.idle_keep_alive = 2 * told.tick, told.front_ends, told.idle_keep_alive
-        self.max_sends, self.may_cancel, self.may_duplicate = told.max_sends, told.may_cancel, told.may_duplicate
-        self.has_many_front_ends = told.front_ends * (1 + EPSILON) > FIRST_LIMIT       # caps of all together bound no load
-        self.preferred_zone = told.zone if told.cross_zone_fee and self.has_many_front_ends else None  # own hall first, others being priced
+        self.types = {
+            each.name: TypeStats(each.target_latency, each.effect, each.dedup_scope, each.dedup_window,
+                                 each.utility / best, TYPICAL_START * each.target_latency)
+            for each in told.types}
+        self.deadline_margin, self.front_ends, self.idle_keep_alive = (
+            2 * told.tick, told.front_ends, told.idle_keep_alive)
+        self.max_sends, self.may_cancel, self.may_duplicate = (
+            told.max_sends, told.may_cancel, told.may_duplicate)
+        # caps of all together bound no load
+        self.has_many_front_ends = told.front_ends * (1 + EPSILON) > FIRST_LIMIT
+        # own hall first, others being priced
+        self.preferred_zone = told.zone if told.cross_zone_fee and self.has_many_front_ends else None
         self.max_retry_after, self.loads_on_miss = told.max_retry_after, told.loads_on_miss
         self.load_window, self.load_ratio = told.load_window or 1, told.load_ratio
         self.min_load_limit = min(1.0, max(LEAST_LOADS, LOADS / told.front_ends))  # when crowded
-        self.load_free = -1.0 if not told.may_order_loads else told.load_free if told.load_window else float("inf")
+        self.load_free = (
+            -1.0 if not told.may_order_loads else told.load_free if told.load_window else float("inf"))
         self.cold_share, self.cold_time, self.fall_time = told.cold_share, told.cold_time, told.fall_time
         self.cold_factor = told.fall_multiple * told.fall_time / RATE_MEMORY
         self.share_intervals = {each.name: int(SECOND * told.front_ends / SKEW / each.per_second)    # ns a call takes
                        if each.per_second > 0 else 0 for each in told.tenants}      # within our part; 0: any
-        self.probe_allowance, self.may_probe = UNTOLD if told.may_probe and self.has_many_front_ends else 0, told.may_probe
-        self.previous_sketch, self.sketch = (CountMinSketch(SKETCH_DEPTH, SKETCH_WIDTH, now) for _ in range(2))
-        self.next_health_round, self.retry_budget, self.typical_load_time = now + ROUND, BUDGET_MOST / 2, float(LOAD_START)
+        self.probe_allowance, self.may_probe = (
+            UNTOLD if told.may_probe and self.has_many_front_ends else 0, told.may_probe)
+        self.previous_sketch, self.sketch = (
+            CountMinSketch(SKETCH_DEPTH, SKETCH_WIDTH, now) for _ in range(2))
+        self.next_health_round, self.retry_budget, self.typical_load_time = (
+            now + ROUND, BUDGET_MOST / 2, float(LOAD_START))
 
     def collect_steps(self, decide, *args) -> list[Step]:
         decide(*args)
@@ -114,7 +124,8 @@
         """Its own time is up, or it waited long enough for a worker's report, which tells that it is busy."""
         if now >= act.answer_due and not act.answer_started:
             self.give_up(act, now)
-        elif act.awaited_worker is not None and not act.answered and now - act.awaited_worker.last_probe_at >= ASK_WAIT:
+        elif act.awaited_worker is not None and not act.answered and (
+                now - act.awaited_worker.last_probe_at >= ASK_WAIT):
             act.awaited_worker.reported_load, act.awaited_worker.load_updated_at = SILENT, now
             self.dispatch(act, now)
 
@@ -131,8 +142,10 @@
             if told.started_at > worker.started_at:
                 worker.started_at = told.started_at
                 worker.warm_until.clear()     # what we knew was of another process
-                worker.consecutive_failures = worker.consecutive_suspensions = worker.suspended_until = worker.limit_cut_at = 0
-                worker.relative_latency, worker.in_flight_limit, worker.cold_credit, worker.load_updated_at = 0.0, FIRST_LIMIT, -1.0, 0
+                worker.consecutive_failures = worker.consecutive_suspensions = (
+                    worker.suspended_until) = worker.limit_cut_at = 0
+                worker.relative_latency, worker.in_flight_limit, worker.cold_credit, worker.load_updated_at = (
+                    0.0, FIRST_LIMIT, -1.0, 0)
         self.ready_workers = [worker for worker in self.workers.values() if worker.ready]
         self.place_on_ring(listings)
         self.mean_size = sum(worker.size for worker in self.ready_workers) / max(1, len(self.ready_workers))
@@ -199,10 +212,12 @@
                 worker.warm_until = {name: until for name, until in worker.warm_until.items() if until > now}
         self.sketch.add(fn.sketch_cells)
         self.recent_admissions.append(now)
-        self.count_recent(self.recent_admissions, now)     # orders may be rare: without this the times would pile up
+        # orders may be rare: without this the times would pile up
+        self.count_recent(self.recent_admissions, now)
         kind = self.types[type_name]
         if cost_hint:
-            kind.mean_cost_hint += TREND * (cost_hint - kind.mean_cost_hint) if kind.mean_cost_hint else cost_hint
+            kind.mean_cost_hint += (
+                TREND * (cost_hint - kind.mean_cost_hint) if kind.mean_cost_hint else cost_hint)
             kind.mean_cost = kind.mean_cost_hint / SECOND
         self.mean_cost += TREND * (kind.mean_cost - self.mean_cost) if self.mean_cost else kind.mean_cost
         self.update_spread(fn, kind, now)
@@ -231,20 +246,25 @@
         part = share * len(self.ready_workers) * kind.mean_cost / self.mean_cost
         fn.spread = max(1 + (share > HOT_SHARE) + (share > 2 * HOT_SHARE),
                        round(part / max(SLICE, KNOWN / self.front_ends)))
-        ours = seen * self.idle_keep_alive / max(self.idle_keep_alive, now - self.previous_sketch.started_at, 1) / fn.spread
+        ours = seen * self.idle_keep_alive / max(
+            self.idle_keep_alive, now - self.previous_sketch.started_at, 1) / fn.spread
         fn.kept_warm_by_others = ours <= 1 and ours * (self.front_ends - 1) >= KEPT
 
     def expected_latency(self, act: Activation) -> float:
-        hint = act.cost_hint / act.type_stats.mean_cost_hint if act.cost_hint and act.type_stats.mean_cost_hint else 1.0
+        hint = act.cost_hint / act.type_stats.mean_cost_hint if (
+            act.cost_hint and act.type_stats.mean_cost_hint) else 1.0
         return act.type_stats.typical_latency * (0.5 + 0.5 * hint)
 
     def in_flight_cap(self, worker: Worker, now: int) -> float:
         """The design's cap, by told size; from one upwards for a worker that has just started."""
-        cap = max(1.0, len(self.in_flight) / len(self.ready_workers)) * (1 + EPSILON) * worker.size / self.mean_size
+        cap = max(1.0, len(self.in_flight) / len(self.ready_workers)) * (
+            1 + EPSILON) * worker.size / self.mean_size
         return min(cap, 1.0 + max(0.0, cap - 1.0) * self.warmup_progress(worker, now))
 
-    def warmup_progress(self, worker: Worker, now: int) -> float:    # share of its warming that is over, at the latest
-        return min(1.0, (now - worker.started_at) / self.cold_time) if worker.started_at and self.cold_time else 1.0
+    def warmup_progress(self, worker: Worker, now: int) -> float:
+        # share of its warming that is over, at the latest
+        return min(1.0, (now - worker.started_at) / self.cold_time) if (
+            worker.started_at and self.cold_time) else 1.0
 
     def has_cold_capacity(self, worker: Worker, act: Activation, now: int) -> bool:
         """Our part of what a just started worker can surely take is earned over time, from a point drawn by
@@ -256,8 +276,10 @@
         budget = self.cold_factor * able * self.completed_work / self.max_ready_workers
         if worker.cold_credit < 0:
             worker.cold_credit, worker.credit_updated_at = mean * self.random(), now
-        gain = max(COLD_RATE * budget, mean / self.front_ends) * (now - worker.credit_updated_at) / self.fall_time
-        worker.cold_credit, worker.credit_updated_at = min(max(units, COLD_BURST * budget), worker.cold_credit + gain), now
+        gain = max(COLD_RATE * budget, mean / self.front_ends) * (
+            now - worker.credit_updated_at) / self.fall_time
+        worker.cold_credit, worker.credit_updated_at = (
+            min(max(units, COLD_BURST * budget), worker.cold_credit + gain), now)
         return worker.cold_credit >= units
 
     def cold_cost(self, act: Activation) -> float:     # on a cold worker; by its own hint where that says more
@@ -273,10 +295,12 @@
     def is_eligible(self, worker: Worker, act: Activation, now: int) -> bool:
         self.apply_elapsed_time(worker, now)
         hall, trial = self.zones[worker.zone], act.type_stats.effect is not Effect.ONCE_ONLY
-        return worker.suspended_until <= now and hall.suspended_until <= now and self.has_cold_capacity(worker, act, now) and (
+        return worker.suspended_until <= now and hall.suspended_until <= now and self.has_cold_capacity(
+                worker, act, now) and (
             # Suspended before, it is on trial: one repeatable send at a time until an answer. So is its hall.
             not worker.consecutive_suspensions or not worker.sends and trial) and (
-            not hall.consecutive_suspensions or trial and all(send.worker.zone != worker.zone for send in self.in_flight))
+            not hall.consecutive_suspensions or trial and all(
+                send.worker.zone != worker.zone for send in self.in_flight))
 
     def has_capacity(self, worker: Worker, now: int, heft: float = 1.0) -> bool:
         return len(worker.sends) < min(self.in_flight_cap(worker, now), worker.in_flight_limit) and (
@@ -291,7 +315,8 @@
 
     def pressure(self, worker: Worker, now: int) -> float:
         """How hard others press it, 1 being what it should carry, by its answers and its last report."""
-        return max(worker.relative_latency / EASE, worker.reported_load if self.relies_on_reports and now - worker.load_updated_at < REPORT_KEEP else 0.0)
+        return max(worker.relative_latency / EASE, worker.reported_load if (
+            self.relies_on_reports and now - worker.load_updated_at < REPORT_KEEP) else 0.0)
 
     def is_warm_for(self, worker: Worker, fn: Function, now: int) -> bool:   # by our own calls, or by others'
         return worker.has_copy(fn, now) or fn.kept_warm_by_others and worker in fn.primaries
@@ -308,14 +333,18 @@
         ready = list(self.ring_candidates(fn))
         group = ready[:fn.spread]
         fn.primaries = dict.fromkeys(group)
-        near = [worker for worker in group if worker.zone == self.preferred_zone]     # far ones are for what overflows
-        near, far = near or group, [worker for worker in group if worker.zone != self.preferred_zone] if near else []
+        near = [worker for worker in group if worker.zone == self.preferred_zone]
+        # far ones are for what overflows
+        near, far = near or group, [
+            worker for worker in group if worker.zone != self.preferred_zone] if near else []
         sizes = list(accumulate(worker.size for worker in near)) or [0.0]   # in turn, the larger more often
         shift = min(bisect.bisect(sizes, act.turn * GOLDEN % 1.0 * sizes[-1]), len(sizes) - 1)
         on = act.turn % max(1, len(far))
         # Heard of a copy since, as by our order after a 'miss', a worker is worth trying again.
-        tried = [send.worker for send in act.sends if not send.worker.has_copy(fn, send.sent_at + self.idle_keep_alive)]
-        heft = max(1.0, self.expected_latency(act) / act.type_stats.typical_latency) / (SPARE if act.low_priority else 1.0)
+        tried = [send.worker for send in act.sends if not send.worker.has_copy(
+            fn, send.sent_at + self.idle_keep_alive)]
+        heft = max(1.0, self.expected_latency(act) / act.type_stats.typical_latency) / (
+            SPARE if act.low_priority else 1.0)
         turned = (one for one in chain(
             near[shift:], near[:shift], far[on:], far[:on], ready[fn.spread:]) if one not in tried)
         fit = (one for one in chain(turned, tried) if one.ready and self.is_eligible(one, act, now))
@@ -350,10 +379,13 @@
         if chosen is None:
             if act.low_priority:
                 return None
-            first = next((worker for worker in stops if worker not in warm and self.has_capacity(worker, now)), first)
-            able = [one for one in warm if len(one.sends) < one.in_flight_limit * (SPARE if act.low_priority else 1.0) and (
-                self.pressure(one, now) * heft * EASE <= (1.0 if self.relies_on_reports else act.type_stats.relative_utility))]
-            able.sort(key=lambda one: (self.relies_on_reports and self.pressure(one, now), len(one.sends) / one.in_flight_limit))
+            first = next(
+                (worker for worker in stops if worker not in warm and self.has_capacity(worker, now)), first)
+            able = [one for one in warm if len(one.sends) < one.in_flight_limit * (
+                SPARE if act.low_priority else 1.0) and self.pressure(one, now) * heft * EASE <= (
+                1.0 if self.relies_on_reports else act.type_stats.relative_utility)]
+            able.sort(key=lambda one: (
+                self.relies_on_reports and self.pressure(one, now), len(one.sends) / one.in_flight_limit))
             chosen = able[0] if able else next(
                 (worker for worker in stops if self.has_capacity(worker, now) and self.may_load(now, WIDEN)), None)
             if len(self.parked_activations(fn)) < fn.lanes and any(worker.count_sends(fn) for worker in warm):
@@ -371,7 +403,8 @@
         room, out = self.load_limit * part, self.open_load_orders + self.open_cold_sends
         # Room for less than one: one at a time, then none for as long as makes up for it. A least of one
         # each, by all together, is what crowds a store.
-        return out < room if room >= 1 else not out and now - self.last_load_at >= self.typical_load_time * (1 / room - 1)
+        return out < room if room >= 1 else (
+            not out and now - self.last_load_at >= self.typical_load_time * (1 / room - 1))
 
     def count_recent(self, times: deque[int], now: int) -> int:
         while times and times[0] <= now - self.load_window:
@@ -381,7 +414,8 @@
     def order_load(self, worker: Worker, fn: Function, now: int) -> bool:
         """Every load order passes here: rationed by rule, paced by us, one a function at a time."""
         most = self.load_free + self.load_ratio * self.count_recent(self.recent_admissions, now)
-        if not worker.ready or fn.next_order_at > now or fn.name in worker.load_orders or not self.may_load(now, WIDEN) or (
+        if not worker.ready or fn.next_order_at > now or fn.name in worker.load_orders or not self.may_load(
+                now, WIDEN) or (
                 self.count_recent(self.recent_load_orders, now) + 1 > most):
             return False
         worker.load_orders.add(fn.name)
@@ -419,7 +453,8 @@
         if not self.may_send(act, worker, now):
             return False
         # A repeat that waits for its connection must have left while the earlier ones are remembered.
-        spans = [one.sent_at + act.type_stats.dedup_window - self.deadline_margin - now for one in self.all_possible_runs(act)]
+        spans = [one.sent_at + act.type_stats.dedup_window - self.deadline_margin - now
+                 for one in self.all_possible_runs(act)]
         wait = min(spans, default=0) if act.type_stats.effect is Effect.DEDUPLICATED else 0
         send = Send(act, len(act.sends), worker, now, self.is_warm_for(worker, act.function, now))
         act.sends.append(send)
@@ -483,7 +518,8 @@
         act, worker, fn = send.activation, send.worker, send.activation.function
         if not send.is_open:
             return
-        send.is_open, act.open_send_count, self.open_cold_sends = False, act.open_send_count - 1, self.open_cold_sends - (not send.warm)
+        send.is_open, act.open_send_count, self.open_cold_sends = (
+            False, act.open_send_count - 1, self.open_cold_sends - (not send.warm))
         del worker.sends[send], self.in_flight[send]
         self.record_report(worker, now, report)
         self.update_estimates(send, now, outcome, waited, copy)
@@ -550,7 +586,8 @@
             loading = max(loading, report.waiting or 0.0)
         load, waits = (max(0.0, each - loading) * rate for each in (held, report.waiting or 0.0))
         part = min(1 + EPSILON, *(EASE * kind.target_latency / kind.typical_latency for kind in self.types.values()))
-        worker.reported_load, worker.load_updated_at = max(load / max(HELD, self.mean_reported_load * part), waits / WAITING), now
+        worker.reported_load, worker.load_updated_at = (
+            max(load / max(HELD, self.mean_reported_load * part), waits / WAITING), now)
         self.mean_reported_load += TREND * (load - self.mean_reported_load)
         self.pressure_share += TELLS * ((worker.reported_load > 1) - self.pressure_share)
 
@@ -578,8 +615,10 @@
         if outcome is not Outcome.COMPLETED:    # turned away or lost, it tells as much as a long queue
             worker.reported_load, worker.load_updated_at = SILENT, now
         elif report and report.loading and report.busy is not None and report.busy < IDLE:
-            worker.last_answer_at = now      # cores are free, so what it has not answered for long waits for a load
-        self.probe_allowance = UNTOLD if worker.load_updated_at == now else self.probe_allowance - 1   # some places' probes tell no load
+            # cores are free, so what it has not answered for long waits for a load
+            worker.last_answer_at = now
+        # some places' probes tell no load
+        self.probe_allowance = UNTOLD if worker.load_updated_at == now else self.probe_allowance - 1
         askers, worker.awaiting_report = worker.awaiting_report, []
         return self.collect_steps(lambda: [self.dispatch(act, now) for act in askers if act.awaited_worker is worker])
 
@@ -587,12 +626,14 @@
         """Notes what one send took, for its weight, and eases the worker; returns it over the expected."""
         worker, kind = send.worker, send.activation.type_stats
         ratio = waited / max(1.0, self.expected_latency(send.activation))
-        worker.relative_latency += FRESH * (min(1.0, kind.typical_latency * ratio / kind.target_latency) - worker.relative_latency)
+        worker.relative_latency += FRESH * (
+            min(1.0, kind.typical_latency * ratio / kind.target_latency) - worker.relative_latency)
         if worker.relative_latency > EASE:
             self.cut_in_flight_limit(worker, now)
         return ratio
 
-    def adjust_load_limit(self, crowded: bool, now: int) -> None:    # lengthening or failing loads mean fewer at once
+    def adjust_load_limit(self, crowded: bool, now: int) -> None:
+        # lengthening or failing loads mean fewer at once
         if not crowded:
             self.load_limit = min(self.load_limit + min(1.0, 1 / self.load_limit), self.max_loads)
         elif now - self.load_limit_cut_at >= CUT_PAUSE:
@@ -609,7 +650,8 @@
         worker.consecutive_failures += 1
         hall = self.zones[worker.zone]
         hall.failed_workers.add(worker)
-        if self.has_many_front_ends and len(hall.failed_workers) >= DOUBT and hall.suspended_until <= now and len(self.zones) > 1:
+        if self.has_many_front_ends and len(
+                hall.failed_workers) >= DOUBT and hall.suspended_until <= now and len(self.zones) > 1:
             self.suspend(hall, now)
         if worker.suspended_until > now or (worker.consecutive_failures < STRIKES and not worker.consecutive_suspensions):
             return
@@ -622,8 +664,10 @@
 
     def silence_limits(self, send: Send) -> tuple[float, float]:
         """From when on its worker is asked whether it is there; and until when it may be loading for it."""
-        usual = max(PATIENCE * self.expected_latency(send.activation), EASE * send.activation.type_stats.target_latency)
-        load = 0 if send.warm and not send.activation.function.kept_warm_by_others else 2 * CROWDED * (send.activation.function.load_time or self.typical_load_time)
+        usual = max(PATIENCE * self.expected_latency(send.activation),
+                    EASE * send.activation.type_stats.target_latency)
+        load = 0 if send.warm and not send.activation.function.kept_warm_by_others else 2 * CROWDED * (
+            send.activation.function.load_time or self.typical_load_time)
         return usual + (0 if self.may_probe and self.has_many_front_ends else load), usual + load
 
     def run_health_round(self, now: int) -> None:
@@ -637,7 +681,8 @@
                 continue
             if worker.last_answer_at < send.sent_at and worker.suspended_until <= now:
                 if self.zones[worker.zone].suspended_until <= now and (
-                        self.may_probe and now - worker.last_probe_at < PROBED or self.probe_silent_worker(worker, send, now)):
+                        self.may_probe and now - worker.last_probe_at < PROBED
+                        or self.probe_silent_worker(worker, send, now)):
                     continue
                 if waited <= loads and worker.last_probe_answer_at > send.sent_at:
                     continue        # it answers questions, so it may load
@@ -649,7 +694,8 @@
         coming = self.loads_under_way(now) if parked else ()
         for fn in sorted(parked, key=lambda fn: -len(fn.parked)):
             if fn.name not in coming:
-                for act in [each for each in self.parked_activations(fn) if not each.open_send_count and self.cannot_load_in_time(each, now)]:
+                for act in [each for each in self.parked_activations(fn)
+                            if not each.open_send_count and self.cannot_load_in_time(each, now)]:
                     fn.parked.remove(act)
                     self.give_up(act, now)
                 self.resume_parked(fn, now)
@@ -670,12 +716,14 @@
         return True
 
     def send_probe(self, worker: Worker, now: int) -> None:
-        worker.last_probe_at, worker.open_probes = now, worker.open_probes + 1    # while one is out it is not forgotten
+        # while one is out it is not forgotten
+        worker.last_probe_at, worker.open_probes = now, worker.open_probes + 1
         self.pending_steps.append(Step(Action.PROBE, worker=worker.name))
 
     def reroute(self, send: Send, now: int) -> None:    # off a suspended worker
         act = send.activation
-        if act.answered or act.answer_started or act.open_send_count > 1 or act.type_stats.effect is not Effect.REPEATABLE or (
+        if act.answered or act.answer_started or act.open_send_count > 1 or (
+                act.type_stats.effect is not Effect.REPEATABLE) or (
                 self.retry_budget < 1 or act.answer_due <= now or len(act.sends) >= self.max_sends):
             return
         if self.may_duplicate:
--- a/threadshift/interface.py
+++ b/threadshift/interface.py
@@ -186,7 +186,8 @@
     def on_send_ended(self, now: int, number: int, outcome: Outcome, waited: int, *, copy: Copy = Copy.UNKNOWN,
                  final: bool = False, report: Report | None = None) -> list[Step]:
         send = self.sends[number]
-        return self.dispatcher.collect_steps(self.dispatcher.on_send_ended, send, now, outcome, waited, copy, final, report)
+        return self.dispatcher.collect_steps(
+            self.dispatcher.on_send_ended, send, now, outcome, waited, copy, final, report)
 
     def on_answer_started(self, now: int, number: int) -> list[Step]:
         self.answer_started = True
--- a/threadshift/roster/membership.py
+++ b/threadshift/roster/membership.py
@@ -108,7 +108,8 @@
         """News from the roster, which may count as told since `told_since`; the listings that changed by it, gone
         ones included."""
         present = workers.names()
-        if workers.full and workers.empty and any(self.state(each) is WorkerState.READY for each in self.known.values()):
+        if workers.full and workers.empty and any(
+                self.state(each) is WorkerState.READY for each in self.known.values()):
             if self.empty_since is None:
                 self.empty_since, self.lacking = told_since, self.not_gone()
             return self.tick(now)
--- a/threadshift/roster/sources.py
+++ b/threadshift/roster/sources.py
@@ -94,7 +94,8 @@
         self.listener.listed(entries, full)
 
 
-FACTS: dict[str, Callable[[str], Any]] = {"zone": values.name, "cell": int, "size": values.number, "state": WorkerState}
+FACTS: dict[str, Callable[[str], Any]] = {
+    "zone": values.name, "cell": int, "size": values.number, "state": WorkerState}
 
 
 def worker_line(line: Directive) -> Entry:
--- a/threadshift/trials/causes.py
+++ b/threadshift/trials/causes.py
@@ -108,7 +108,8 @@
         if not each.facts.get("failed"):
             found.loads += 1
             before = loads[each["function"]]
-            found.needless += any(each.t - when <= it.idle_keep_alive and who != each.source for when, who in before[-9:])
+            found.needless += any(
+                each.t - when <= it.idle_keep_alive and who != each.source for when, who in before[-9:])
             before.append((each.t, each.source))
     for tries, asked, got in gains(seen, it):
         found.asked += asked
