--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -653,7 +653,8 @@
         if self.has_many_front_ends and len(
                 hall.failed_workers) >= DOUBT and hall.suspended_until <= now and len(self.zones) > 1:
             self.suspend(hall, now)
-        if worker.suspended_until > now or (worker.consecutive_failures < STRIKES and not worker.consecutive_suspensions):
+        if worker.suspended_until > now or (
+                worker.consecutive_failures < STRIKES and not worker.consecutive_suspensions):
             return
         self.suspend(worker, now)
         worker.warm_until.clear()
--- a/threadshift/roster/membership.py
+++ b/threadshift/roster/membership.py
@@ -1,7 +1,7 @@
 """Which workers there are, by the roster and by the workers' own word. Free of I/O.
 
 The roster knows late whether a process runs; a worker itself says when it started and that it drains. Both are
-folded into one `Listing` a worker for the decisions, by these rules:
+folded into one `WorkerListing` a worker for the decisions, by these rules:
 
 - A worker's own word that it drains holds until it starts anew, whatever the roster says meanwhile.
 - The later start of the two counts. Starts are told in wall-clock time; each is turned into this process's clock
