--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -443,7 +443,7 @@
             it.coordinator.say(event(2, instance("s-0", address, "Gone"), instance("s-9", address)))
             until(lambda: it.node.links.get("s-9") and it.node.links["s-9"].up)
             self.assertEqual(it.call()[0], 200)
-            self.assertEqual([each.name for each in it.node.desk.dispatcher.fleet], ["s-9"])
+            self.assertEqual([each.name for each in it.node.desk.dispatcher.ready_workers], ["s-9"])
 
     def test_after_a_silence_less_is_waited_for_until_the_stream_speaks(self):
         # Two silent connections in a row took 4.2 s; word counts as told after four.
@@ -466,7 +466,7 @@
             def start(number, at):
                 it.coordinator.say(event(number, instance("s-0", it.workers[0].address, startedAtMs=at)))
                 until(lambda: it.node.coordinator.sequence.last == number)
-                return it.node.desk.dispatcher.workers["s-0"].since
+                return it.node.desk.dispatcher.workers["s-0"].started_at
             now = time.time_ns() // MS
             first, second = start(2, now - 1500), start(3, now - 300)
             self.assertAlmostEqual(second - first, 1200 * MS, delta=100 * MS)
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -58,7 +58,7 @@
 def invoke_fields(held: Any, left: int) -> dict[str, Any]:
     """What an invoke frame says of a call with so many ns left."""
     call = held.call
-    fields = {"function": call.function, "type": call.type, "effect": held.act.kind.effect.value, "left": left,
+    fields = {"function": call.function, "type": call.type, "effect": held.act.type_stats.effect.value, "left": left,
               "body": call.body, "lanes": call.lanes, "activation": held.ivk}
     if call.mark:
         fields["mark"] = call.mark
