--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,37 +1,37 @@
 """A small front end for the tests: a deployment, a dispatcher, and short ways to call it."""
 from threadshift.choice import Dispatcher
-from threadshift.interface import MS, SECOND, Deployment, Do, Effect, Listing, NamespaceType, State
+from threadshift.interface import MS, SECOND, Deployment, Action, Effect, WorkerListing, NamespaceType, WorkerState
 
 TYPES = tuple(NamespaceType(effect.value, 600 * MS, 2500 * MS, 1.0, 0.3, effect, "zone", 2 * SECOND)
               for effect in Effect)
 
 
 def deployment(**changes):
-    figures = dict(types=TYPES, front_ends=3, tick=4 * MS, max_sends=4, may_cancel=True, may_order=True,
-                   longest_advice=SECOND, idle_keep=10 * SECOND, drain_grace=SECOND, cold_share=0.2,
+    figures = dict(types=TYPES, front_ends=3, tick=4 * MS, max_sends=4, may_cancel=True, may_order_loads=True,
+                   max_retry_after=SECOND, idle_keep_alive=10 * SECOND, drain_grace=SECOND, cold_share=0.2,
                    cold_time=10 * SECOND, fall_multiple=2.0, fall_time=SECOND)
     return Deployment(**figures | changes)
 
 
 def front_end(workers=4, seed=1, now=0, since=0, **changes):
     it = Dispatcher(seed, deployment(**changes), now)
-    it.roster(now, [ready(f"w{n}", since=since) for n in range(workers)], full=True)
+    it.update_workers(now, [ready(f"w{n}", started_at=since) for n in range(workers)], full=True)
     return it
 
 
-def ready(worker, state=State.READY, **facts):
-    return Listing(worker, state, **facts)
+def ready(worker, state=WorkerState.READY, **facts):
+    return WorkerListing(worker, state, **facts)
 
 
 def call(it, ivk="a", now=0, fn="f", effect=Effect.REPEATABLE, left=2500 * MS, **facts):
     """The handle of an activation just started, and the steps that this brought."""
-    act = it.take(now, ivk, effect.value, fn, left, **facts)
+    act = it.admit(now, ivk, effect.value, fn, left, **facts)
     return act, act.start(now)
 
 
 def sent(steps):
-    return [step.worker for step in steps if step.do is Do.SEND]
+    return [step.worker for step in steps if step.action is Action.SEND]
 
 
 def does(steps):
-    return [step.do for step in steps]
+    return [step.action for step in steps]
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -8,7 +8,7 @@
 from threadshift.desk import earlier
 from threadshift.desk.desk import Answer, Call, Desk, Final
 from threadshift.interface import (
-    MS, SECOND, Copy, Deployment, Effect, Listing, NamespaceType, Outcome, State)
+    MS, SECOND, Copy, Deployment, Effect, WorkerListing, NamespaceType, Outcome, WorkerState)
 
 LATE = 2500 * MS
 
@@ -30,7 +30,7 @@
 
     def cancel(self, worker, held, number, tell):
         self.log.append(("cancel", self.desk.now, held.ivk, worker, tell))
-        return Outcome.MOOT if self.moot else Outcome.CANCELLED
+        return Outcome.NEVER_SENT if self.moot else Outcome.CANCELLED
 
     def withdraw(self, worker, held, number):
         if (worker, held.ivk) in self.waiting:
@@ -85,7 +85,7 @@
             (Effect.ONCE_ONLY, [Outcome.UNREACHABLE] * 4, Final.REJECTED, False),
             (Effect.ONCE_ONLY, [Outcome.UNREACHABLE, Outcome.RESET], Final.ABORTED, True),
             (Effect.REPEATABLE, [Outcome.RESET] * 3, Final.REJECTED, True),
-            (Effect.DEDUPLICATED, [Outcome.MOOT] * 4, Final.REJECTED, False),
+            (Effect.DEDUPLICATED, [Outcome.NEVER_SENT] * 4, Final.REJECTED, False),
         )
         for effect, outcomes, final, ran in cases:
             it, fleet = desk(at_once=outcomes)
@@ -118,7 +118,7 @@
         held = it.take(0, "a", ask())
         held.returned(2 * SECOND, 0, Outcome.COMPLETED, copy=Copy.FOUND, waited=10 * MS)
         worker = it.dispatcher.workers[held.sends[0].worker]
-        self.assertEqual((held.sends[0].waited, worker.pace < 0.05), (10 * MS, True))
+        self.assertEqual((held.sends[0].waited, worker.relative_latency < 0.05), (10 * MS, True))
 
     def test_a_client_that_quits_is_owed_nothing(self):
         it, fleet = desk()
@@ -133,14 +133,15 @@
             it, fleet = desk(workers=1)
             fleet.moot = moot
             held = it.take(0, "a", ask())
-            it.carry(0, it.dispatcher.steps(it.dispatcher.close, held.act, None))
+            it.carry(0, it.dispatcher.collect_steps(it.dispatcher.finish, held.act, None))
             self.assertEqual(held.sends[0].outcome in NEVER_RAN, moot)
 
     def test_an_order_and_a_question_that_nobody_answers_end(self):
         it, fleet = desk(loads_on_miss=False, may_probe=True, front_ends=100)
-        it.dispatcher.pressed = 1.0
-        for worker in it.dispatcher.fleet:      # two copies believed to stand, so an answer could move the call
-            worker.warm |= {"f": 3 * SECOND, "g": 3 * SECOND}
+        it.dispatcher.pressure_share = 1.0
+        # two copies believed to stand, so an answer could move the call
+        for worker in it.dispatcher.ready_workers:
+            worker.warm_until |= {"f": 3 * SECOND, "g": 3 * SECOND}
         held, now = it.take(SECOND, "a", ask()), SECOND
         fleet.asked[0].answered(now, Outcome.COMPLETED)
         held.returned(now, 0, Outcome.MISS)
@@ -167,7 +168,7 @@
     st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(list(Outcome)), st.sampled_from(list(Copy))),
     st.tuples(st.just("again"), st.integers(0, 50), st.sampled_from(list(Outcome))),
     st.tuples(st.just("left"), st.integers(0, 50)),
-    st.tuples(st.just("roster"), st.integers(0, 4), st.sampled_from(list(State)), st.integers(0, 2)),
+    st.tuples(st.just("roster"), st.integers(0, 4), st.sampled_from(list(WorkerState)), st.integers(0, 2)),
     st.tuples(st.just("held"), st.integers(0, 50), st.sampled_from(list(Outcome))),
     st.tuples(st.just("at once"), st.sampled_from([Outcome.UNREACHABLE, Outcome.FULL, Outcome.RESET])),
     st.tuples(st.just("wait"), st.integers(0, 700)),
@@ -218,11 +219,11 @@
 
     def roster(self, pick, state, age):
         name = f"w{pick}"
-        if state is State.READY:
+        if state is WorkerState.READY:
             self.unready.pop(name, None)
         else:
             self.unready[name] = self.now
-        self.it.roster(self.now, [ready(name, state, since=age and max(1, self.now - age))], full=False)
+        self.it.roster(self.now, [ready(name, state, started_at=age and max(1, self.now - age))], full=False)
 
     def held(self, pick, outcome):
         if self.fleet.asked:
@@ -282,23 +283,23 @@
 
 class Earlier(unittest.TestCase):
     def test_the_free_orders_of_the_window_count_as_given_at_a_start(self):
-        told = Deployment((NamespaceType("a", SECOND, SECOND, 1.0, 0.0, Effect.REPEATABLE),), may_order=True,
+        told = Deployment((NamespaceType("a", SECOND, SECOND, 1.0, 0.0, Effect.REPEATABLE),), may_order_loads=True,
                           load_window=5 * SECOND, load_free=6.0, load_ratio=0.2)
         for now, most in ((SECOND, 0), (5 * SECOND, 0), (6 * SECOND, 6)):
             it = Dispatcher(1, told, SECOND)
             earlier.assume(it, told, SECOND)
-            it.roster(SECOND, [Listing("w", State.READY)], True)
+            it.update_workers(SECOND, [WorkerListing("w", WorkerState.READY)], True)
             given = 0
             for n in range(9):
-                fn = it.take(now, str(n), "a", f"f{n}", SECOND).fn
-                it.orders, it.load_limit = 0, 99.0      # not its own pacing, the rule's limit
-                given += it.hold(it.workers["w"], fn, now)
+                fn = it.admit(now, str(n), "a", f"f{n}", SECOND).function
+                it.open_load_orders, it.load_limit = 0, 99.0      # not its own pacing, the rule's limit
+                given += it.order_load(it.workers["w"], fn, now)
             # Nine calls were taken too, which earn one and four fifths of an order.
             self.assertLessEqual(given, most + 1)
             self.assertGreaterEqual(given, most)
         it = Dispatcher(1, told._replace(load_window=0), SECOND)
         earlier.assume(it, told._replace(load_window=0), SECOND)
-        self.assertFalse(it.ordered)
+        self.assertFalse(it.recent_load_orders)
 
 
 if __name__ == "__main__":
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -58,7 +58,8 @@
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(customers(), st.lists(st.tuples(
         st.sampled_from(("take", "end", "leave", "wait")), st.integers(0, 99),
-        st.sampled_from([each for each in Outcome if each not in (Outcome.CANCELLED, Outcome.MOOT)])), max_size=40))
+        st.sampled_from([each for each in Outcome if each not in (Outcome.CANCELLED, Outcome.NEVER_SENT)])),
+        max_size=40))
     def test_valid_ones_start_answer_and_keep_their_promises(self, told, events):
         # Through the file's own form: what JSON makes of it is what is read.
         it = understand(json.loads(json.dumps(told)), {}, "drawn")
@@ -68,7 +69,7 @@
         leaving = Leaving(max(each.action_timeout for each in types))
         fleet, now, calls = Fleet(), SECOND, []
         desk = fleet.desk = Desk(Dispatcher(1, it.deployment, now), fleet, fleet, it.load_order)
-        desk.roster(now, [ready(f"w{n}", since=now if n == 3 else 0) for n in range(4)], full=True)
+        desk.roster(now, [ready(f"w{n}", started_at=now if n == 3 else 0) for n in range(4)], full=True)
         for what, pick, outcome in events:
             out = [(held, n) for held in calls for n, sent in enumerate(held.sends) if sent.outcome is None]
             if what == "take":
@@ -93,8 +94,8 @@
             self.assertEqual(len(answers), 0 if held.gone else 1)
             self.assertLessEqual(held.answered_at, leaving.answered)
             ran = [sent for sent in held.sends if sent.outcome not in (
-                Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT, Outcome.MISS)]
-            if held.act.kind.effect is Effect.ONCE_ONLY:
+                Outcome.FULL, Outcome.UNREACHABLE, Outcome.NEVER_SENT, Outcome.MISS)]
+            if held.act.type_stats.effect is Effect.ONCE_ONLY:
                 self.assertLessEqual(len(ran), 1)
                 self.assertFalse(ran and answers and answers[0].final is Final.REJECTED)
             self.assertLessEqual(len(held.sends), it.deployment.max_sends)
@@ -146,13 +147,13 @@
 
     def test_a_tenants_calls_are_its_own_and_not_nobodys(self):
         with self.played() as it:
-            taken, take = [], it.node.desk.dispatcher.take
+            taken, take = [], it.node.desk.dispatcher.admit
 
             def note(*words, **facts):
                 act = take(*words, **facts)
-                taken.append((facts["tenant"], act.spare))
+                taken.append((facts["tenant"], act.low_priority))
                 return act
-            it.node.desk.dispatcher.take = note
+            it.node.desk.dispatcher.admit = note
             it.call(HTTP_X_TEAM="one")
             it.call(id_="00000000000000a2")
             self.assertEqual(taken, [("one", False), ("", True)])
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -8,7 +8,7 @@
 
 from tests.helpers import deployment, ready
 from threadshift.choice import Dispatcher
-from threadshift.interface import MS, SECOND, Copy, Do, Effect, NamespaceType, Outcome
+from threadshift.interface import MS, SECOND, Copy, Action, Effect, NamespaceType, Outcome
 
 CORES, ANSWER, LOAD = 2, 100, 700           # of a worker; ms of a call, ms of a load
 SHARE, COLD, MULTIPLE, WINDOW = 0.2, 12, 2.0, 1     # of capacity at a start; s until warm; the rule
@@ -34,7 +34,7 @@
         self.settings, self.late, self.restarted = settings, late, restarted
         self.fronts = [self.front_end(self.begin) for _ in range(front_ends)]
         for each in self.fronts:
-            each.roster(self.begin, [ready(name) for name in self.names], True)
+            each.update_workers(self.begin, [ready(name) for name in self.names], True)
         self.shares = [1 / (1 + n % 20) for n in range(front_ends)]
         self.popular = [1 / (3 + n) ** 1.25 for n in range(60)]
         self.type_of = self.chance.choices(range(len(kinds)), [part for part, _ in kinds], k=60)
@@ -62,13 +62,14 @@
         if self.restarted:      # all front ends, too: they know nothing but the list
             self.fronts = [self.front_end(now) for _ in self.fronts]
             for front in self.fronts:
-                front.roster(now, [ready(name) for name in self.names], True)
+                front.update_workers(now, [ready(name) for name in self.names], True)
         for number, front in enumerate(self.fronts):
             self.at(now + (self.late if number % 4 == 3 else 0), self.hear, front, now)
 
     def hear(self, now, front, since):
         """A front end hears that the workers have started: one in four late, where any is."""
-        self.carry(front, front.roster(now, [ready(name, since=since) for name in self.starts], False), now)
+        self.carry(
+            front, front.update_workers(now, [ready(name, started_at=since) for name in self.starts], False), now)
 
     def call(self, now):
         self.at(now + int(self.chance.expovariate(self.rate) * SECOND), self.call)
@@ -78,32 +79,32 @@
         fn = self.chance.choices(range(60), self.popular)[0]
         kind = self.type_of[fn]
         work = int(self.kinds[kind][1] * MS * self.chance.uniform(0.5, 1.6))
-        act = front.take(now, f"a{self.serial()}", f"k{kind}", f"f{fn}", 2500 * MS, work=work, lanes=2)
+        act = front.admit(now, f"a{self.serial()}", f"k{kind}", f"f{fn}", 2500 * MS, cost_hint=work, lanes=2)
         self.carry(front, act.start(now), now)
 
     def carry(self, front, steps, now):
         for step in steps:
-            if step.do is Do.SEND:
-                send, fn = step.act.sends[-1], step.act.fn.name
+            if step.action is Action.SEND:
+                send, fn = step.activation.sends[-1], step.activation.function.name
                 self.sent[step.worker].append((now, self.kinds[self.type_of[int(fn[1:])]][1] / self.mean))
                 loads = fn not in self.copies[step.worker]
                 self.copies[step.worker].add(fn)
-                self.at(now + (ANSWER + LOAD * loads) * MS, self.answered, front, step.act, send.number, loads)
-            elif step.do is Do.HOLD:
-                self.copies[step.worker].add(step.fn)
-                self.at(now + LOAD * MS, self.held, front, step.worker, step.fn)
-            elif step.do is Do.ASK:
+                self.at(now + (ANSWER + LOAD * loads) * MS, self.answered, front, step.activation, send.number, loads)
+            elif step.action is Action.LOAD:
+                self.copies[step.worker].add(step.function)
+                self.at(now + LOAD * MS, self.held, front, step.worker, step.function)
+            elif step.action is Action.PROBE:
                 self.at(now + 2 * MS, self.told, front, step.worker)
 
     def answered(self, now, front, act, number, loads):
-        self.carry(front, act.returned(now, number, Outcome.COMPLETED, ANSWER * MS,
-                                       copy=Copy.BEGAN if loads else Copy.FOUND, final=True), now)
+        self.carry(front, act.on_send_ended(now, number, Outcome.COMPLETED, ANSWER * MS,
+                                       copy=Copy.LOAD_STARTED if loads else Copy.FOUND, final=True), now)
 
     def held(self, now, front, worker, fn):
-        self.carry(front, front.held(now, worker, fn, Outcome.COMPLETED, 1), now)
+        self.carry(front, front.on_load_ended(now, worker, fn, Outcome.COMPLETED, 1), now)
 
     def told(self, now, front, worker):
-        self.carry(front, front.told(now, worker, Outcome.COMPLETED, None), now)
+        self.carry(front, front.on_report(now, worker, Outcome.COMPLETED, None), now)
 
     def nearest(self):
         """The largest share, over all windows of all started workers, of what may be sent: N + 2 x root of N + 2."""
@@ -139,7 +140,7 @@
             self.assertLess(Fleet(live, 7, told, cold=20, at=0.0).play().nearest(), 1.0)
 
     def test_without_the_shares_a_worker_falls(self):
-        with mock.patch.object(Dispatcher, "cold_room", lambda *_: True):
+        with mock.patch.object(Dispatcher, "has_cold_capacity", lambda *_: True):
             self.assertGreater(Fleet(30, 7, cold=8, at=2.0, busy=0.9).play().nearest(), 1.0)
 
 
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -23,7 +23,7 @@
 from threadshift.desk.desk import Asked
 from threadshift.frames.codec import ASK, FROM_WORKER, FULL, HOLD, INVOKE, encode
 from threadshift.gateway.fleet import JOIN_BATCH
-from threadshift.interface import MS, SECOND, Deployment, Effect, Listing, NamespaceType, State
+from threadshift.interface import MS, SECOND, Deployment, Effect, WorkerListing, NamespaceType, WorkerState
 from threadshift.node.descriptors import Descriptors
 from threadshift.ring import POINTS
 
@@ -130,7 +130,7 @@
         self.platform.coordinator.events = [listed]
         self.enterContext(self.platform)
         self.node = self.platform.node
-        until(lambda: len(self.node.desk.dispatcher.fleet) == self.WORKERS)
+        until(lambda: len(self.node.desk.dispatcher.ready_workers) == self.WORKERS)
 
     def entry(self, number, state="Ready"):
         return instance(f"s-{number}", self.worker.address, state)
@@ -161,13 +161,13 @@
         new = range(self.WORKERS, self.WORKERS + 3 * JOIN_BATCH)
         update = parse_update(event(2, self.entry(0, "Terminating"), *map(self.entry, new)))
         self.node.on_list_update(update)
-        ready = {worker.name for worker in self.node.desk.dispatcher.fleet}
+        ready = {worker.name for worker in self.node.desk.dispatcher.ready_workers}
         self.assertEqual(len(ready), self.WORKERS - 1)
         self.assertNotIn("s-0", ready)
         last = new[-1]      # drains before its turn has come
         self.node.on_list_update(parse_update(event(3, self.entry(last, "Terminating"))))
         until(lambda: not self.node.joining)
-        ready = {worker.name for worker in self.node.desk.dispatcher.fleet}
+        ready = {worker.name for worker in self.node.desk.dispatcher.ready_workers}
         self.assertEqual(len(ready), self.WORKERS - 1 + len(new) - 1)
         self.assertNotIn(f"s-{last}", ready)
 
@@ -175,9 +175,9 @@
         new = range(self.WORKERS, self.WORKERS + 2 * JOIN_BATCH)
         self.node.on_list_update(parse_update(event(2, *map(self.entry, new))))
         gone = f"s-{new[-1]}"
-        self.node.change([self.node.membership.ends(gone, State.GONE)])      # as where a list lacks it at last
+        self.node.change([self.node.membership.ends(gone, WorkerState.GONE)])      # as where a list lacks it at last
         until(lambda: not self.node.joining)
-        self.assertNotIn(gone, {worker.name for worker in self.node.desk.dispatcher.fleet})
+        self.assertNotIn(gone, {worker.name for worker in self.node.desk.dispatcher.ready_workers})
 
     def test_connections_are_counted_as_they_come_and_go(self):
         for number in range(12):
@@ -245,37 +245,38 @@
         # Half a second of processor time for one call where it did; its neighbours' requests lay unread meanwhile.
         told = Deployment(
             (NamespaceType("check", 100 * MS, 2_500 * MS, 1.0, 0.3, Effect.REPEATABLE),), front_ends=2, max_sends=4,
-            cold_share=0.2, cold_time=17 * SECOND, fall_multiple=2.0, longest_advice=SECOND)
+            cold_share=0.2, cold_time=17 * SECOND, fall_multiple=2.0, max_retry_after=SECOND)
         now = 100 * SECOND
         dispatcher = Dispatcher(1, told, now)
-        dispatcher.roster(now, [Listing(f"s-{n}", State.READY, since=now) for n in range(self.WORKERS)], full=True)
+        dispatcher.update_workers(
+            now, [WorkerListing(f"s-{n}", WorkerState.READY, started_at=now) for n in range(self.WORKERS)], full=True)
         longest = 0.0
         for number in range(self.CALLS):
             since = time.process_time()
-            act = dispatcher.take(now, f"c{number}", "check", f"f{number % self.FUNCTIONS}", 2_500 * MS)
+            act = dispatcher.admit(now, f"c{number}", "check", f"f{number % self.FUNCTIONS}", 2_500 * MS)
             act.start(now)
             longest = max(longest, time.process_time() - since)
         self.assertLess(longest, 0.05)
 
     def test_a_call_that_finds_no_room_looks_at_some_workers_only(self):
         dispatcher, act = self.one_call(self.WORKERS)
-        with mock.patch.object(dispatcher, "cold_room", return_value=False) as looked, mock.patch.object(
-                dispatcher, "fit", return_value=False):
+        with mock.patch.object(dispatcher, "has_cold_capacity", return_value=False) as looked, mock.patch.object(
+                dispatcher, "is_eligible", return_value=False):
             act.start(0)
         self.assertEqual(looked.call_count, FAR_REACH)
 
     def test_a_walk_comes_to_every_worker_once_and_ends(self):
         dispatcher, act = self.one_call(50)
         with mock.patch.object(dispatcher.ring, "next", wraps=dispatcher.ring.next) as steps:
-            self.assertEqual(sorted(worker.name for worker in dispatcher.walk(act.fn)),
+            self.assertEqual(sorted(worker.name for worker in dispatcher.clockwise_workers(act.function)),
                              sorted(f"s-{n}" for n in range(50)))
         self.assertLess(steps.call_count, 50 * POINTS // 4)
 
     def one_call(self, workers):
         dispatcher = Dispatcher(1, Deployment((NamespaceType(
             "check", 100 * MS, 2_500 * MS, 1.0, 0.3, Effect.REPEATABLE),)), 0)
-        dispatcher.roster(0, [Listing(f"s-{n}", State.READY) for n in range(workers)], full=True)
-        return dispatcher, dispatcher.take(0, "c", "check", "f", SECOND)
+        dispatcher.update_workers(0, [WorkerListing(f"s-{n}", WorkerState.READY) for n in range(workers)], full=True)
+        return dispatcher, dispatcher.admit(0, "c", "check", "f", SECOND)
 
 
 class ConnectionsOfManyWorkers(unittest.TestCase):
--- a/threadshift/adapter/host.py
+++ b/threadshift/adapter/host.py
@@ -7,20 +7,20 @@
 from threadshift.adapter.codec import Frame, line, to_ms
 from threadshift.choice import Dispatcher
 from threadshift.conf.settings import Fields, Malformed, deployment, report
-from threadshift.interface import MS, Copy, Do, Listing, Outcome, State, Step
+from threadshift.interface import MS, Copy, Action, WorkerListing, Outcome, WorkerState, Step
 
 OUTCOMES = dict(enumerate((
     Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.UNREACHABLE,
-    Outcome.RESET, Outcome.CANCELLED, Outcome.MOOT, Outcome.MISS)))
-STATES = {0: State.GONE, 1: State.READY, 2: State.DRAINING}
-COPIES = {0: Copy.UNTOLD, 1: Copy.FOUND, 2: Copy.BEGAN, 3: Copy.WAITED, 4: Copy.LOAD_FAILED}
+    Outcome.RESET, Outcome.CANCELLED, Outcome.NEVER_SENT, Outcome.MISS)))
+STATES = {0: WorkerState.GONE, 1: WorkerState.READY, 2: WorkerState.DRAINING}
+COPIES = {0: Copy.UNKNOWN, 1: Copy.FOUND, 2: Copy.LOAD_STARTED, 3: Copy.WAITED, 4: Copy.LOAD_FAILED}
 FAILED_LIST = 3
 LONGEST_REMINDER = 70 * 60 * 1000 * MS
 LOG_WORDS = str.maketrans("\r\n", "  ")
 
 
-def listing(row: Fields) -> Listing:
-    return Listing(row.text("worker"), row.read("mode", lambda text: STATES[int(text)]),
+def listing(row: Fields) -> WorkerListing:
+    return WorkerListing(row.text("worker"), row.read("mode", lambda text: STATES[int(text)]),
                    row.text("rackZone", ""), row.whole("cluster", 0), row.ns("onlineSince", 0),
                    row.number("powerHint", 1.0))
 
@@ -39,7 +39,7 @@
         self.handle = 0
         self.reminder: int | None = None
 
-    def event(self, event: Fields, now: int, tables: dict[int, list[Listing]]) -> list[Step]:
+    def event(self, event: Fields, now: int, tables: dict[int, list[WorkerListing]]) -> list[Step]:
         """One event as the call it stands for."""
         word = event.word
         if word == "REQUEST":
@@ -53,17 +53,17 @@
             return self.dispatcher.tick(now)
         if word == "VANISHED":
             act = self.acts.get(event.text("id"))
-            return self.closed(act, act.left(now)) if act else []
+            return self.closed(act, act.on_client_gone(now)) if act else []
         if word == "STANDS":
-            return self.dispatcher.held(
+            return self.dispatcher.on_load_ended(
                 now, event.text("worker"), event.text("fn"), outcome(event),
                 event.whole("instances", 0))
         if word == "STATUS_BACK":
-            return self.dispatcher.told(
+            return self.dispatcher.on_report(
                 now, event.text("worker"), outcome(event), report(event.text("usage", ""), ","))
         if word == "HEADERS":
             act = self.acts.get(event.text("id"))
-            return act.streaming(now, event.whole("go")) if act else []
+            return act.on_answer_started(now, event.whole("go")) if act else []
         if word == "MEMBERS":
             scope = event.whole("scope")
             if scope == FAILED_LIST:
@@ -71,15 +71,15 @@
             number = event.whole("list")
             if number not in tables:
                 raise Malformed(f"line {event.line}: MEMBERS names list {number}, which no TABLE has set")
-            return self.dispatcher.roster(now, tables[number], full=scope != 0)
+            return self.dispatcher.update_workers(now, tables[number], full=scope != 0)
         return []
 
     def request(self, event: Fields, now: int) -> list[Step]:
         name = event.text("id")
-        act = self.dispatcher.take(
+        act = self.dispatcher.admit(
             now, name, event.text("type"), event.text("fn"), event.ns("timeLeft"),
-            tenant=event.text("realm", ""), work=event.ns("predicted", 0), lanes=event.whole("atOnce", 1),
-            load_time=event.ns("loadTimeMs", 0), again=event.flag("againByClient", False))
+            tenant=event.text("realm", ""), cost_hint=event.ns("predicted", 0), lanes=event.whole("atOnce", 1),
+            load_time=event.ns("loadTimeMs", 0), is_client_retry=event.flag("againByClient", False))
         self.acts[name] = act
         return self.closed(act, act.start(now))
 
@@ -87,33 +87,33 @@
         act = self.acts.get(event.text("id"))
         if act is None:
             return []
-        return self.closed(act, act.returned(
+        return self.closed(act, act.on_send_ended(
             now, event.whole("go"), outcome(event), event.ns("waitTime", 0),
-            copy=COPIES.get(event.whole("info", 0) % 8, Copy.UNTOLD), final=event.flag("final", False),
+            copy=COPIES.get(event.whole("info", 0) % 8, Copy.UNKNOWN), final=event.flag("final", False),
             report=report(event.text("usage", ""), ",")))
 
     def closed(self, act, steps: list[Step]) -> list[Step]:
         """The steps, with the handle let go once nothing more can come for it."""
-        if act.over:
-            self.acts.pop(act.ivk, None)
+        if act.is_finished:
+            self.acts.pop(act.id, None)
         return steps
 
     def encode(self, step: Step) -> str:
-        i, act = self.number, step.act
-        if step.do in (Do.REJECT, Do.ABORT):
+        i, act = self.number, step.activation
+        if step.action in (Action.REJECT, Action.ABORT):
             self.closed(act, [])
-        if step.do is Do.SEND:
-            return line("DISPATCH", i=i, id=act.ivk, worker=step.worker)    # here it leaves at once
-        if step.do is Do.CANCEL:
-            return line("ABANDON", i=i, id=act.ivk, go=step.amount)
-        if step.do is Do.REJECT:
-            return line("OVERLOAD_REPLY", i=i, id=act.ivk,
+        if step.action is Action.SEND:
+            return line("DISPATCH", i=i, id=act.id, worker=step.worker)    # here it leaves at once
+        if step.action is Action.CANCEL:
+            return line("ABANDON", i=i, id=act.id, go=step.amount)
+        if step.action is Action.REJECT:
+            return line("OVERLOAD_REPLY", i=i, id=act.id,
                         stayAway=to_ms(step.amount) if step.amount else None)
-        if step.do is Do.ABORT:
-            return line("DROP_REQUEST", i=i, id=act.ivk)
-        if step.do is Do.ASK:
+        if step.action is Action.ABORT:
+            return line("DROP_REQUEST", i=i, id=act.id)
+        if step.action is Action.PROBE:
             return line("PING", i=i, worker=step.worker)
-        return line("MOUNT", i=i, worker=step.worker, fn=step.fn, instances=step.amount)
+        return line("MOUNT", i=i, worker=step.worker, fn=step.function, instances=step.amount)
 
     def settle(self, now: int) -> list[str]:
         """After a batch: keep the one reminder that is wanted."""
@@ -130,13 +130,13 @@
     """All instances of this process. They share the numbered lists of workers and nothing else."""
 
     def __init__(self) -> None:
-        self.tables: dict[int, list[Listing]] = {}
+        self.tables: dict[int, list[WorkerListing]] = {}
         self.instances: dict[int, Instance] = {}
 
     def reply(self, frame: Frame) -> list[str]:
         out: list[str] = []
         touched: dict[int, Instance] = {}
-        rows: list[Listing] = []
+        rows: list[WorkerListing] = []
         wanted = 0
         for event in frame.lines:
             if wanted or event.word == "ROW":
--- a/threadshift/desk/desk.py
+++ b/threadshift/desk/desk.py
@@ -19,7 +19,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from threadshift.choice import NEVER_RAN, Dispatcher
-from threadshift.interface import SECOND, Activation, Copy, Do, Effect, Listing, Outcome, Report, Step
+from threadshift.interface import SECOND, Activation, Copy, Action, Effect, WorkerListing, Outcome, Report, Step
 
 ASK_WAIT = SECOND          # a question that nobody answered so long is lost; far above any answer on a network
 
@@ -65,7 +65,7 @@
     worker: str
     at: int
     outcome: Outcome | None = None
-    copy: Copy = Copy.UNTOLD
+    copy: Copy = Copy.UNKNOWN
     waited: int = 0
 
 
@@ -86,7 +86,7 @@
     client: Any = None           # whatever the clients' port keeps with it
 
     def returned(self, now: int, number: int, outcome: Outcome, *, body: bytes = b"", error: str = "",
-                 copy: Copy = Copy.UNTOLD, report: Report | None = None, waited: int | None = None) -> None:
+                 copy: Copy = Copy.UNKNOWN, report: Report | None = None, waited: int | None = None) -> None:
         """A send ended. What comes for a send that has ended before is counted and dropped. `waited` is what the
         worker took, where the port can tell that from what we took ourselves."""
         self.desk.ended(self, now, number, outcome, body, error, copy, report, waited)
@@ -164,9 +164,9 @@
         if self.last is not None:
             call = call._replace(left=min(call.left, self.last - now))
         held = Held(self, ivk, call, now, now + max(0, call.left), client=client)
-        held.act = self.dispatcher.take(
-            now, ivk, call.type, call.function, call.left, tenant=call.tenant, work=call.work, lanes=call.lanes,
-            load_time=call.load_time, again=call.again)
+        held.act = self.dispatcher.admit(
+            now, ivk, call.type, call.function, call.left, tenant=call.tenant, cost_hint=call.work, lanes=call.lanes,
+            load_time=call.load_time, is_client_retry=call.again)
         self.held[ivk] = held
         self.owed += 1
         self.counts["taken"] += 1
@@ -181,11 +181,11 @@
             if held.deadline > last:
                 held.deadline = last
                 heapq.heappush(self.times, (last, self.serial(), held))
-        self.dispatcher.hasten(last)
+        self.dispatcher.shorten_deadlines(last)
 
-    def roster(self, now: int, listings: list[Listing], full: bool) -> None:
+    def roster(self, now: int, listings: list[WorkerListing], full: bool) -> None:
         now = self.clock(now)
-        self.carry(now, self.dispatcher.roster(now, listings, full))
+        self.carry(now, self.dispatcher.update_workers(now, listings, full))
 
     def due(self) -> int:
         while self.times and self.past(self.times[0][2]):
@@ -208,7 +208,7 @@
     # What handles pass on.
 
     def ended(self, held: Held, now: int, number: int, outcome: Outcome, body: bytes = b"", error: str = "",
-              copy: Copy = Copy.UNTOLD, report: Report | None = None, waited: int | None = None) -> None:
+              copy: Copy = Copy.UNKNOWN, report: Report | None = None, waited: int | None = None) -> None:
         now, sent = self.clock(now), held.sends[number]
         if sent.outcome is not None:
             self.counts["late"] += 1
@@ -219,7 +219,7 @@
         final = outcome is Outcome.COMPLETED and not held.settled and now <= held.deadline
         if final:
             self.finish(held, now, Answer(Final.COMPLETED, "completed", body, error))
-        self.carry(now, held.act.returned(now, number, outcome, sent.waited, copy=copy, final=final,
+        self.carry(now, held.act.on_send_ended(now, number, outcome, sent.waited, copy=copy, final=final,
                                           report=report))
         self.let_go(held)
 
@@ -229,15 +229,15 @@
         now, held.gone = self.clock(now), True
         self.owed -= 1
         self.counts["left"] += 1
-        self.carry(now, held.act.left(now))
+        self.carry(now, held.act.on_client_gone(now))
         self.let_go(held)
 
     def replied(self, asked: Asked, now: int, outcome: Outcome, copies: int, report: Report | None) -> None:
         if asked.over:
             return
         now, asked.over = self.clock(now), True
-        self.carry(now, self.dispatcher.held(now, asked.worker, asked.fn, outcome, copies) if asked.fn
-                   else self.dispatcher.told(now, asked.worker, outcome, report))
+        self.carry(now, self.dispatcher.on_load_ended(now, asked.worker, asked.fn, outcome, copies) if asked.fn
+                   else self.dispatcher.on_report(now, asked.worker, outcome, report))
 
     # What goes out.
 
@@ -254,28 +254,28 @@
             self.busy = False
 
     def step(self, step: Step, now: int) -> None:
-        held = self.held.get(step.act.ivk) if step.act else None
-        if step.do is Do.SEND and held:
+        held = self.held.get(step.activation.id) if step.activation else None
+        if step.action is Action.SEND and held:
             number = len(held.sends)
             held.sends.append(Sent(step.worker, now))
             self.counts["sends"] += 1
             if not held.settled and self.clients.left_unread(held):
                 self.quit(held, now)
             # Nothing leaves for an activation that has its answer, whatever order the steps came in.
-            outcome = Outcome.MOOT if held.settled else self.workers.send(step.worker, held, number)
+            outcome = Outcome.NEVER_SENT if held.settled else self.workers.send(step.worker, held, number)
             if outcome is not None:
                 self.ended(held, now, number, outcome)
             elif step.amount:
                 heapq.heappush(self.times, (now + step.amount, self.serial(), Leaving(held, number)))
-        elif step.do is Do.CANCEL and held:
+        elif step.action is Action.CANCEL and held:
             self.call_off(held, now, step.amount, tell=True)
-        elif step.do in (Do.REJECT, Do.ABORT) and held:
+        elif step.action in (Action.REJECT, Action.ABORT) and held:
             if not held.settled:
                 self.finish(held, now, refusal(held, step, now))
             self.let_go(held)
-        elif step.do is Do.HOLD:
-            self.put(Asked(self, step.worker, step.fn), now, self.order_wait, self.workers.hold)
-        elif step.do is Do.ASK:
+        elif step.action is Action.LOAD:
+            self.put(Asked(self, step.worker, step.function), now, self.order_wait, self.workers.hold)
+        elif step.action is Action.PROBE:
             self.put(Asked(self, step.worker), now, ASK_WAIT, self.workers.ask)
 
     def put(self, asked: Asked, now: int, wait: int, port: Any) -> None:
@@ -290,13 +290,13 @@
         sent = held.sends[number]
         if sent.outcome is None:
             outcome = self.workers.cancel(sent.worker, held, number, tell)
-            self.ended(held, now, number, outcome if tell or outcome is Outcome.MOOT else Outcome.TIMEOUT)
+            self.ended(held, now, number, outcome if tell or outcome is Outcome.NEVER_SENT else Outcome.TIMEOUT)
 
     def take_back(self, held: Held, number: int, now: int) -> None:
         """Ends a send of which nothing has left."""
         sent = held.sends[number]
         if sent.outcome is None and self.workers.withdraw(sent.worker, held, number):
-            self.ended(held, now, number, Outcome.MOOT)
+            self.ended(held, now, number, Outcome.NEVER_SENT)
 
     def time_up(self, held: Held, now: int) -> None:
         for number, sent in enumerate(held.sends):
@@ -306,7 +306,7 @@
             # The dispatcher answers two ticks earlier; this stands against a fault there, loudly in the counts.
             self.counts["overdue"] += 1
             self.finish(held, now, Answer(Final.ABORTED, "overdue", may_have_run=may_have_run(held)))
-            self.carry(now, held.act.left(now))
+            self.carry(now, held.act.on_client_gone(now))
         self.let_go(held)
 
     def finish(self, held: Held, now: int, answer: Answer) -> None:
@@ -320,13 +320,13 @@
         # What still waits to leave does not, whether or not cancels are allowed: its client is answered, or gone.
         for number in range(len(held.sends) if held.settled else 0):
             self.take_back(held, number, self.now)
-        if held.settled and held.act.over and held.ivk in self.held:
+        if held.settled and held.act.is_finished and held.ivk in self.held:
             del self.held[held.ivk]
             self.clients.over(held)
             # Left as a ring, each call would wait for the collector, which then stands still for tens of ms.
             held.client = None
             held.act.sends.clear()
-            held.act.risky.clear()
+            held.act.possible_runs.clear()
 
     # Small things.
 
@@ -338,7 +338,7 @@
     def past(what: Held | Asked | Leaving) -> bool:
         if isinstance(what, Leaving):
             return what.held.sends[what.number].outcome is not None
-        return what.over if isinstance(what, Asked) else what.settled and what.act.over
+        return what.over if isinstance(what, Asked) else what.settled and what.act.is_finished
 
 
 def may_have_run(held: Held) -> bool:
@@ -349,15 +349,15 @@
 def refusal(held: Held, step: Step, now: int) -> Answer:
     """A rejection or an abort with its reason, by what was seen last."""
     last = held.sends[-1].outcome if held.sends else None
-    if held.act.due <= now:
+    if held.act.answer_due <= now:
         reason = "time-up"
     elif held.sends:
         reason = f"last-send-{last.value.replace(' ', '-')}" if last else "send-under-way"
     else:
-        reason = "over-share" if held.act.spare else "no-room"
+        reason = "over-share" if held.act.low_priority else "no-room"
     ran = may_have_run(held)
-    if step.do is Do.ABORT:
+    if step.action is Action.ABORT:
         return Answer(Final.ABORTED, reason, may_have_run=ran)
     # A repeatable call may be tried again although it ran; the client is told both.
     return Answer(Final.REJECTED, reason, come_back=step.amount,
-                  may_have_run=ran and held.act.kind.effect is not Effect.ONCE_ONLY)
+                  may_have_run=ran and held.act.type_stats.effect is not Effect.ONCE_ONLY)
--- a/threadshift/gateway/recent.py
+++ b/threadshift/gateway/recent.py
@@ -9,7 +9,7 @@
 
 BUCKETS = 10               # seconds looked back on; shorter and few calls judge, longer and a fall is seen late
 MOST_ARRIVALS = 1_000      # times kept; a rate above a thousand a second is told as a thousand
-NEVER_CAME = (Outcome.UNREACHABLE, Outcome.MOOT)
+NEVER_CAME = (Outcome.UNREACHABLE, Outcome.NEVER_SENT)
 
 
 class Arrivals:
@@ -37,7 +37,7 @@
 
     def note(self, now: int, held: Held) -> None:
         """One activation that ended: answered, or left by its client before its target latency was up."""
-        late = now - held.taken > held.act.kind.target
+        late = now - held.taken > held.act.type_stats.target_latency
         if held.gone and not late:
             return
         second = now // SECOND
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -24,7 +24,7 @@
 from threadshift.frames import pool
 from threadshift.frames.link import Link
 from threadshift.gateway.fleet import Fleet
-from threadshift.interface import MS, SECOND, Listing
+from threadshift.interface import MS, SECOND, WorkerListing
 from threadshift.invoke.admission import Admission
 from threadshift.links.sockets import listener
 from threadshift.log import Log
@@ -59,7 +59,7 @@
         self.admission = Admission(min(each.target_latency for each in types.values()))
         self.descriptors = Descriptors(told.sockets)
         self.door = Door(lambda: self.descriptors.clients(self.dialled), told.activations, types,
-                         told.deployment.longest_advice, self.admission, self, self.note, self.chance)
+                         told.deployment.max_retry_after, self.admission, self, self.note, self.chance)
         self.looks = self.door.looks
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
         earlier.assume(dispatcher, told.deployment, now)
@@ -77,12 +77,12 @@
 
     @property
     def ready_workers(self) -> int:
-        return len(self.desk.dispatcher.fleet)
+        return len(self.desk.dispatcher.ready_workers)
 
     def link(self, it: Entry) -> Link:
         return Link(it.worker, it.address, self.bounds, self, self.chance, self.bits)
 
-    def apply_listings(self, listings: list[Listing]) -> None:
+    def apply_listings(self, listings: list[WorkerListing]) -> None:
         super().apply_listings(listings)
         if self.ready_workers != self.bounded_for:
             self.bounded_for = self.ready_workers
@@ -151,7 +151,7 @@
     def ready(self) -> bool:
         # A list that is late or empty is waited for, not for ever: refused for it, a whole fleet would never start.
         return self.listening is not None and not self.leaving.since and not self.list_is_stale() and (
-            bool(self.desk.dispatcher.fleet) or time.monotonic_ns() >= self.ready_by)
+            bool(self.desk.dispatcher.ready_workers) or time.monotonic_ns() >= self.ready_by)
 
     # Signals.
 
@@ -231,10 +231,10 @@
         dispatcher, now = self.desk.dispatcher, time.monotonic_ns()
         workers = dispatcher.workers.values()
         return {"owed": self.desk.owed, "held": len(self.desk.held), "connections": len(self.door.connections),
-                "flying": len(dispatcher.flying), "links": len(self.links),
+                "flying": len(dispatcher.in_flight), "links": len(self.links),
                 "up": sum(link.up for link in self.connected),
                 "worker_connections": self.dialled, "dialled_in_all": self.dialled_in_all,
-                "ready": len(dispatcher.fleet), "suspended": sum(it.until > now for it in workers),
+                "ready": len(dispatcher.ready_workers), "suspended": sum(it.suspended_until > now for it in workers),
                 "functions": len(dispatcher.functions), "roster_lost": self.roster_lost,
                 "lag_ms": round(self.admission.lag / MS, 1), "part": round(self.admission.part, 3),
                 "stalls": self.stalls, "longest_stall_ms": self.longest_stall // MS,
