--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from threadshift.frames import pool
-from threadshift.frames.codec import ERROR, FINE, FROM_WORKER, HEAD, OK, Frames, NotFrames, encode, understand
+from threadshift.frames.codec import ERROR, FINE, FROM_WORKER, HEAD, OK, Frames, ProtocolError, encode, understand
 from threadshift.interface import SECOND
 
 ID = bytes(range(8))
@@ -30,7 +30,7 @@
         for stream in (data, bytes((FROM_WORKER, code)) + data, encode(code, ID, "", data, FROM_WORKER)[:-1] + data):
             try:
                 Frames(1 << 10).feed(stream)
-            except NotFrames as problem:
+            except ProtocolError as problem:
                 self.assertTrue(str(problem))
 
     def test_what_is_wrong_is_named_and_what_stood_before_is_kept(self):
@@ -42,7 +42,7 @@
             (encode(OK, ID, "a=1,a=2", mark=FROM_WORKER), "stands twice"),
             (encode(OK, ID, ",".join(["a=1"] * 70), mark=FROM_WORKER), "70 fields"))
         for data, words in cases:
-            with self.assertRaises(NotFrames) as caught:
+            with self.assertRaises(ProtocolError) as caught:
                 Frames(1 << 10).feed(good + data)
             self.assertIn(words, str(caught.exception))
             self.assertEqual([each.body for each in caught.exception.before], [b"good"])
@@ -51,7 +51,7 @@
         self.assertEqual(understand(b"stats=inflight:7;util:0.61,how=init"),
                          {"stats": "inflight:7;util:0.61", "how": "init"})
         self.assertEqual(understand(b""), {})
-        with self.assertRaises(NotFrames):
+        with self.assertRaises(ProtocolError):
             understand(b"\xff=1")
 
 
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -17,7 +17,7 @@
 from threadshift.conf.values import Address
 from threadshift.frames import pool
 from threadshift.frames.codec import (
-    ASK, ERROR, FINE, FULL, GIVE_UP, HOLD, INVOKE, MISS, OK, OVER, UNWELL, Answer, Frames, NotFrames, encode)
+    ASK, ERROR, FINE, FULL, GIVE_UP, HOLD, INVOKE, MISS, OK, OVER, UNWELL, Answer, Frames, ProtocolError, encode)
 from threadshift.interface import MS, SECOND, Copy, Outcome
 from threadshift.links.redial import Redial
 from threadshift.links.sockets import Outgoing, connect, shows, since_ready
@@ -318,13 +318,13 @@
                         break
                     connection.heard = time.monotonic_ns()
                     answers = frames.feed(data)
-                except NotFrames as refused:
+                except ProtocolError as refused:
                     problem, answers = str(refused), getattr(refused, "before", [])
                 if answers:
                     self.owner.settle()
                 for answer in answers:
                     self.hear(connection, answer)
-        except (OSError, NotFrames) as failed:
+        except (OSError, ProtocolError) as failed:
             problem = str(failed) or type(failed).__name__
         except Exception as fault:          # ours; loud, and what waits here is not left waiting
             self.note("fault", level="error", **fault_of(fault))
@@ -341,14 +341,14 @@
             return
         now = time.monotonic_ns()
         if it.code not in (ENDS if isinstance(what, tuple) else ORDERS if what.fn else PROBES):
-            raise NotFrames(f"code {it.code} answers something else")
+            raise ProtocolError(f"code {it.code} answers something else")
         load = report(it.fields["stats"], ";") if "stats" in it.fields else None
         if isinstance(what, tuple):
             copy = COPIES.get(it.fields.get("how", ""), Copy.UNTOLD)
         elif what.fn:
             copies = it.fields.get("n", "0")
             if not (copies.isascii() and copies.isdigit() and len(copies) < 6):
-                raise NotFrames(f"n={copies[:20]} is no number of copies")
+                raise ProtocolError(f"n={copies[:20]} is no number of copies")
         del connection.waiting[it.id]
         connection.proven = True
         left = connection.outbox.left.pop(it.id, now)
