--- a/tests/platform.py
+++ b/tests/platform.py
@@ -9,7 +9,7 @@
 from threadshift.conf.values import Address
 from threadshift.fastcgi import codec
 from threadshift.fastcgi.codec import ABORT, BEGIN, BEGUN, END, KEEP, PARAMS, RESPONDER, STDIN, STDOUT, record, stream
-from threadshift.frames.codec import FROM_US, FROM_WORKER, HOLD, INVOKE, OK, Frames, encode
+from threadshift.frames.codec import FROM_US, FROM_WORKER, INVOKE, LOAD, OK, Frames, encode
 from threadshift.node.front import Node
 from threadshift.node.placement import understand
 
@@ -43,7 +43,7 @@
     """What a worker does that has every function: answers calls and orders."""
     if it.code == INVOKE:
         sock.sendall(encode(OK, it.id, "how=reused", b"did " + it.body, FROM_WORKER))
-    elif it.code == HOLD:
+    elif it.code == LOAD:
         sock.sendall(encode(OK, it.id, "n=1", mark=FROM_WORKER))
 
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -34,7 +34,7 @@
 from threadshift.fastcgi import codec
 from threadshift.fastcgi.codec import ABORT, END, STDOUT, record
 from threadshift.frames.codec import (
-    ASK, FINE, FROM_US, FROM_WORKER, FULL, GIVE_UP, HOLD, INVOKE, MISS, OK, Frames, encode)
+    CANCEL, FROM_US, FROM_WORKER, FULL, HEALTHY, INVOKE, LOAD, MISS, OK, PROBE, Frames, encode)
 from threadshift.interface import MS, SECOND
 
 LATE = SECOND // 2             # past its time, until a request without an answer is lost
@@ -150,7 +150,7 @@
 
     def hear(self, sock: socket.socket, it, open_: dict) -> None:
         now, draw = time.monotonic_ns(), self.soak.plan.chance
-        if it.code in (INVOKE, HOLD):
+        if it.code in (INVOKE, LOAD):
             self.soak.reached(self, it.code, now)
         if it.code == INVOKE:
             attempt = Attempt(it.id.hex(), self.name, now, int(it.fields["wait"]))
@@ -163,12 +163,12 @@
                 return
             code = draw.choice((MISS, FULL)) if self.bad and draw.random() < 0.2 else OK
             self.soak.greenlets.spawn(self.reply, sock, it, attempt, code, draw.expovariate(1 / 0.015))
-        elif it.code == GIVE_UP and it.id in open_:
+        elif it.code == CANCEL and it.id in open_:
             open_.pop(it.id).ended = now
-        elif it.code == HOLD:
+        elif it.code == LOAD:
             sock.sendall(encode(OK, it.id, "n=1", mark=FROM_WORKER))
-        elif it.code == ASK and not self.hangs:
-            sock.sendall(encode(FINE, it.id, mark=FROM_WORKER))
+        elif it.code == PROBE and not self.hangs:
+            sock.sendall(encode(HEALTHY, it.id, mark=FROM_WORKER))
 
     @staticmethod
     def reply(sock: socket.socket, it, attempt: Attempt, code: int, after: float) -> None:
@@ -398,13 +398,13 @@
 
     def reached(self, worker: SoakWorker, code: int, now: int) -> None:
         """A request or a load order has come to a worker."""
-        if code == HOLD:
+        if code == LOAD:
             self.holds.append(now)
         told = self.told.get(worker.name)
         if told is not None:
             late = now - told - self.plan.grace_ms * MS
             if late > SLACK + self.lag.around(now):
-                what = "order" if code == HOLD else "request"
+                what = "order" if code == LOAD else "request"
                 self.broke("drain", f"{what} at {worker.name} {late / MS:.0f} ms late")
 
     # Troubles.
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -26,7 +26,7 @@
     ANSWER, CONNECT, LONGEST_PAUSE, PATIENT, SILENCE, SILENCE_AGAIN, TOLD_AFTER_BREAK, TOLD_AFTER_SILENCE, Freshness)
 from threadshift.fastcgi.codec import Records
 from threadshift.frames import link
-from threadshift.frames.codec import HOLD, INVOKE
+from threadshift.frames.codec import INVOKE, LOAD
 from threadshift.interface import MS, SECOND, State
 from threadshift.links.codec import encode
 from threadshift.links.redial import Redial
@@ -68,7 +68,7 @@
 
     def received(self, name):
         worker = self.workers[name]
-        return worker.codes(INVOKE) + worker.codes(HOLD)
+        return worker.codes(INVOKE) + worker.codes(LOAD)
 
     def test_nothing_goes_to_a_worker_that_drained_while_they_started(self):
         # As on the herd day of the variant `many`: 5 to 11 sends and load orders by front ends that had just been
@@ -162,7 +162,7 @@
 
     def assert_not_sent(self, it):
         self.assertFalse(it.node.desk.dispatcher.workers["s-0"].ready)
-        self.assertEqual(it.workers[0].codes(INVOKE) + it.workers[0].codes(HOLD), [])
+        self.assertEqual(it.workers[0].codes(INVOKE) + it.workers[0].codes(LOAD), [])
 
     def test_is_read_before_what_an_answer_brings(self):
         with Platform() as it:
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from threadshift.frames import pool
-from threadshift.frames.codec import ERROR, FINE, FROM_WORKER, HEAD, OK, Frames, ProtocolError, encode, understand
+from threadshift.frames.codec import ERROR, FROM_WORKER, HEAD, HEALTHY, OK, Frames, ProtocolError, encode, understand
 from threadshift.interface import SECOND
 
 ID = bytes(range(8))
@@ -25,7 +25,7 @@
         self.assertFalse(it.torn)
 
     @settings(max_examples=400, deadline=None, derandomize=True)
-    @given(st.binary(max_size=120), st.sampled_from((OK, ERROR, FINE, 10, 255)))
+    @given(st.binary(max_size=120), st.sampled_from((OK, ERROR, HEALTHY, 10, 255)))
     def test_any_bytes_are_answers_or_refused(self, data, code):
         for stream in (data, bytes((FROM_WORKER, code)) + data, encode(code, ID, "", data, FROM_WORKER)[:-1] + data):
             try:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,7 +16,7 @@
 from threadshift.conf.settings import Malformed
 from threadshift.fastcgi import room
 from threadshift.fastcgi.codec import ABORT, GET_VALUES, HEAD, STDIN, pair, record, stream
-from threadshift.frames.codec import ERROR, FROM_WORKER, FULL, GIVE_UP, HOLD, INVOKE, MISS, OK, OVER, encode
+from threadshift.frames.codec import CANCEL, ERROR, EXPIRED, FROM_WORKER, FULL, INVOKE, LOAD, MISS, OK, encode
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.looks import Looks
 from threadshift.node import placement
@@ -89,7 +89,7 @@
                 (answers(OK, "how=init,stats=inflight:7;util:0.6", b"r"), "submit", 200),
                 (answers(ERROR), "submit", 502), (answers(FULL), "submit", 503),
                 (answers(MISS, "how=init_error"), "submit", 503),
-                (answers(OVER), "submit", 503), (answers(ERROR), "check", 503)):
+                (answers(EXPIRED), "submit", 503), (answers(ERROR), "check", 503)):
             with Platform([script]) as it:
                 status, headers, _ = it.call(type_=type_, left="300")
                 self.assertEqual(status, wanted)
@@ -101,8 +101,8 @@
             client.ask()
             until(lambda: it.workers[0].codes(INVOKE))
             client.abort()
-            until(lambda: it.workers[0].codes(GIVE_UP))
-            self.assertEqual(it.workers[0].codes(GIVE_UP)[0].id.hex(), A)
+            until(lambda: it.workers[0].codes(CANCEL))
+            self.assertEqual(it.workers[0].codes(CANCEL)[0].id.hex(), A)
             # Under the same number, the next one gets its own answer and nothing of the old one's.
             it.workers[0].script = serve
             client.ask(id_="00000000000000a2", body=b"new")
@@ -112,7 +112,7 @@
     def test_a_send_whose_time_is_up_is_given_up_and_answered_before(self):
         with Platform([silent]) as it:
             self.assertEqual(it.call(type_="submit", left="80")[0], 502)
-            until(lambda: it.workers[0].codes(GIVE_UP))
+            until(lambda: it.workers[0].codes(CANCEL))
             until(lambda: not it.node.desk.held)
             self.assertFalse(it.node.links["s-0"].ways)
 
@@ -303,15 +303,15 @@
             self.assertTrue(link.busy)
             self.assertEqual(link.cancel(held, 0, True).value, "cancelled")
             self.assertFalse(link.busy)
-            until(lambda: it.workers[0].codes(GIVE_UP))
+            until(lambda: it.workers[0].codes(CANCEL))
 
     def test_load_orders_leave_at_once_or_not_at_all(self):
         with Platform([silent]) as it:
             link, ends = it.node.links["s-0"], []
             asked = Of(fn="00000000000000f1", answered=lambda now, outcome, **_: ends.append(outcome.value))
             self.assertIsNone(link.order(asked))
-            until(lambda: it.workers[0].codes(HOLD))
-            self.assertEqual(it.workers[0].codes(HOLD)[0].fields, {"key": "00000000000000f1", "n": "1"})
+            until(lambda: it.workers[0].codes(LOAD))
+            self.assertEqual(it.workers[0].codes(LOAD)[0].fields, {"key": "00000000000000f1", "n": "1"})
             it.workers[0].stop()
             until(lambda: ends == ["reset"])
             self.assertEqual(link.order(asked).value, "unreachable")
@@ -415,10 +415,10 @@
 
         def worker_at(name):
             def script(worker, sock, it):
-                if it.code == HOLD:
+                if it.code == LOAD:
                     note(name, "hold", front="front-0")
                     return serve(worker, sock, it)
-                if it.code == GIVE_UP:
+                if it.code == CANCEL:
                     return note(name, "cancel", mark=it.id.hex())
                 facts = dict(front="front-0", mark=it.id.hex(), work_ms=1.0)
                 note(name, "invoke", **facts)
--- a/threadshift/frames/codec.py
+++ b/threadshift/frames/codec.py
@@ -17,9 +17,9 @@
 HEAD = struct.Struct(">BBHI8s")
 CHECK = struct.Struct(">I")
 FROM_US, FROM_WORKER = 1, 2
-INVOKE, GIVE_UP, ASK, HOLD = 10, 11, 13, 14
-OK, MISS, FULL, ERROR, OVER, FINE, UNWELL = 100, 102, 103, 104, 105, 106, 107
-ANSWERS = frozenset((OK, MISS, FULL, ERROR, OVER, FINE, UNWELL))
+INVOKE, CANCEL, PROBE, LOAD = 10, 11, 13, 14
+OK, MISS, FULL, ERROR, EXPIRED, HEALTHY, UNHEALTHY = 100, 102, 103, 104, 105, 106, 107
+ANSWERS = frozenset((OK, MISS, FULL, ERROR, EXPIRED, HEALTHY, UNHEALTHY))
 FIELD = re.compile(r"[a-z_]{1,32}")
 MOST_FIELDS = 64           # in one answer; the protocol's largest has four
 
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -17,7 +17,8 @@
 from threadshift.conf.values import Address
 from threadshift.frames import pool
 from threadshift.frames.codec import (
-    ASK, ERROR, FINE, FULL, GIVE_UP, HOLD, INVOKE, MISS, OK, OVER, UNWELL, Answer, Frames, ProtocolError, encode)
+    CANCEL, ERROR, EXPIRED, FULL, HEALTHY, INVOKE, LOAD, MISS, OK, PROBE, UNHEALTHY, Answer, Frames, ProtocolError,
+    encode)
 from threadshift.interface import MS, SECOND, Copy, Outcome
 from threadshift.links.redial import Redial
 from threadshift.links.sockets import Outgoing, connect, shows, since_ready
@@ -26,9 +27,9 @@
 READ = 16 << 10            # bytes a read: many usual answers, and little memory a connection
 MOST_USED = 128            # ids remembered a connection that may not go over it again
 COPIES = {"reused": Copy.FOUND, "init": Copy.BEGAN, "shared_init": Copy.WAITED, "init_error": Copy.LOAD_FAILED}
-ENDS = {OK: Outcome.COMPLETED, MISS: Outcome.MISS, FULL: Outcome.FULL, ERROR: Outcome.ERROR, OVER: Outcome.MOOT}
+ENDS = {OK: Outcome.COMPLETED, MISS: Outcome.MISS, FULL: Outcome.FULL, ERROR: Outcome.ERROR, EXPIRED: Outcome.MOOT}
 ORDERS = {OK: Outcome.COMPLETED, FULL: Outcome.FULL, ERROR: Outcome.ERROR}
-PROBES = (FINE, UNWELL)
+PROBES = (HEALTHY, UNHEALTHY)
 
 
 class Told(NamedTuple):
@@ -69,7 +70,7 @@
 
 def frame_of_order(id_: bytes, asked: Any) -> bytes:
     """The frame of a load order, or of a question for a report."""
-    return encode(HOLD, id_, f"key={asked.fn},n=1") if asked.fn else encode(ASK, id_)
+    return encode(LOAD, id_, f"key={asked.fn},n=1") if asked.fn else encode(PROBE, id_)
 
 
 def request_now(id_: bytes, held: Any) -> bytes:
@@ -199,7 +200,7 @@
         if connection is None or connection.waiting.pop(id_, None) is None:
             return Outcome.CANCELLED
         left = connection.outbox.left.pop(id_, 0)
-        if connection.outbox.put(None, encode(GIVE_UP, id_)):
+        if connection.outbox.put(None, encode(CANCEL, id_)):
             connection.write()
         connection.doubted = connection.doubted or pool.doubt(connection.heard, left)
         if connection.doubted and not connection.waiting:
