--- a/tests/platform.py
+++ b/tests/platform.py
@@ -9,7 +9,7 @@
 from threadshift.conf.values import Address
 from threadshift.fastcgi import codec
 from threadshift.fastcgi.codec import ABORT, BEGIN, BEGUN, END, KEEP, PARAMS, RESPONDER, STDIN, STDOUT, record, stream
-from threadshift.frames.codec import FROM_US, FROM_WORKER, INVOKE, LOAD, OK, Frames, encode
+from threadshift.frames.codec import FROM_FRONT_END, FROM_WORKER, INVOKE, LOAD, OK, FrameDecoder, encode
 from threadshift.node.front import Node
 from threadshift.node.placement import understand
 
@@ -44,7 +44,7 @@
     if it.code == INVOKE:
         sock.sendall(encode(OK, it.id, "how=reused", b"did " + it.body, FROM_WORKER))
     elif it.code == LOAD:
-        sock.sendall(encode(OK, it.id, "n=1", mark=FROM_WORKER))
+        sock.sendall(encode(OK, it.id, "n=1", sender=FROM_WORKER))
 
 
 class Worker(Server):
@@ -55,7 +55,7 @@
         self.script, self.heard, self.news = script, [], Event()
 
     def converse(self, sock):
-        cut = Frames(1 << 20, FROM_US)
+        cut = FrameDecoder(1 << 20, FROM_FRONT_END)
         while data := sock.recv(65536):
             for it in cut.feed(data):
                 self.heard.append(it)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -34,7 +34,7 @@
 from threadshift.fastcgi import codec
 from threadshift.fastcgi.codec import ABORT, END, STDOUT, record
 from threadshift.frames.codec import (
-    CANCEL, FROM_US, FROM_WORKER, FULL, HEALTHY, INVOKE, LOAD, MISS, OK, PROBE, Frames, encode)
+    CANCEL, FROM_FRONT_END, FROM_WORKER, FULL, HEALTHY, INVOKE, LOAD, MISS, OK, PROBE, FrameDecoder, encode)
 from threadshift.interface import MS, SECOND
 
 LATE = SECOND // 2             # past its time, until a request without an answer is lost
@@ -139,7 +139,7 @@
         super().__init__()
 
     def converse(self, sock: socket.socket) -> None:
-        cut, open_ = Frames(1 << 20, FROM_US), {}
+        cut, open_ = FrameDecoder(1 << 20, FROM_FRONT_END), {}
         try:
             while data := sock.recv(65536):
                 for it in cut.feed(data):
@@ -166,9 +166,9 @@
         elif it.code == CANCEL and it.id in open_:
             open_.pop(it.id).ended = now
         elif it.code == LOAD:
-            sock.sendall(encode(OK, it.id, "n=1", mark=FROM_WORKER))
+            sock.sendall(encode(OK, it.id, "n=1", sender=FROM_WORKER))
         elif it.code == PROBE and not self.hangs:
-            sock.sendall(encode(HEALTHY, it.id, mark=FROM_WORKER))
+            sock.sendall(encode(HEALTHY, it.id, sender=FROM_WORKER))
 
     @staticmethod
     def reply(sock: socket.socket, it, attempt: Attempt, code: int, after: float) -> None:
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -5,7 +5,8 @@
 from hypothesis import strategies as st
 
 from threadshift.frames import pool
-from threadshift.frames.codec import ERROR, FROM_WORKER, HEAD, HEALTHY, OK, Frames, ProtocolError, encode, understand
+from threadshift.frames.codec import (
+    ERROR, FROM_WORKER, HEAD, HEALTHY, OK, FrameDecoder, ProtocolError, encode, parse_fields)
 from threadshift.interface import SECOND
 
 ID = bytes(range(8))
@@ -16,7 +17,7 @@
     @given(st.lists(st.binary(max_size=60), max_size=8), st.lists(st.integers(1, 40), max_size=30))
     def test_any_cut_of_the_stream_gives_the_same_answers(self, bodies, cuts):
         data = b"".join(encode(OK, ID, "how=reused,same=2", body, FROM_WORKER) for body in bodies)
-        it, got, at = Frames(1 << 16), [], 0
+        it, got, at = FrameDecoder(1 << 16), [], 0
         for size in [*cuts, len(data)]:
             got += it.feed(data[at:at + size])
             at += size
@@ -29,30 +30,30 @@
     def test_any_bytes_are_answers_or_refused(self, data, code):
         for stream in (data, bytes((FROM_WORKER, code)) + data, encode(code, ID, "", data, FROM_WORKER)[:-1] + data):
             try:
-                Frames(1 << 10).feed(stream)
+                FrameDecoder(1 << 10).feed(stream)
             except ProtocolError as problem:
                 self.assertTrue(str(problem))
 
     def test_what_is_wrong_is_named_and_what_stood_before_is_kept(self):
         good = encode(OK, ID, "", b"good", FROM_WORKER)
         cases = (
-            (encode(OK, ID), "mark 1"), (encode(10, ID, mark=FROM_WORKER), "code 10"),
+            (encode(OK, ID), "mark 1"), (encode(10, ID, sender=FROM_WORKER), "code 10"),
             (HEAD.pack(FROM_WORKER, OK, 0, 3 << 30, ID), "over the bound"), (good[:-1] + b"?", "check"),
-            (encode(OK, ID, "how", mark=FROM_WORKER), "is no field"),
-            (encode(OK, ID, "a=1,a=2", mark=FROM_WORKER), "stands twice"),
-            (encode(OK, ID, ",".join(["a=1"] * 70), mark=FROM_WORKER), "70 fields"))
+            (encode(OK, ID, "how", sender=FROM_WORKER), "is no field"),
+            (encode(OK, ID, "a=1,a=2", sender=FROM_WORKER), "stands twice"),
+            (encode(OK, ID, ",".join(["a=1"] * 70), sender=FROM_WORKER), "70 fields"))
         for data, words in cases:
             with self.assertRaises(ProtocolError) as caught:
-                Frames(1 << 10).feed(good + data)
+                FrameDecoder(1 << 10).feed(good + data)
             self.assertIn(words, str(caught.exception))
             self.assertEqual([each.body for each in caught.exception.before], [b"good"])
 
     def test_fields(self):
-        self.assertEqual(understand(b"stats=inflight:7;util:0.61,how=init"),
+        self.assertEqual(parse_fields(b"stats=inflight:7;util:0.61,how=init"),
                          {"stats": "inflight:7;util:0.61", "how": "init"})
-        self.assertEqual(understand(b""), {})
+        self.assertEqual(parse_fields(b""), {})
         with self.assertRaises(ProtocolError):
-            understand(b"\xff=1")
+            parse_fields(b"\xff=1")
 
 
 def connection(waiting=0, proven=True, doubted=False, used=()):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -120,8 +120,8 @@
         # A second copy of a 'full' would end the send after it as never run.
         def script(worker, sock, it):
             if it.code == INVOKE and not worker.codes(INVOKE)[1:]:
-                sock.sendall(encode(FULL, it.id, mark=FROM_WORKER))
-                gevent.spawn_later(0.03, sock.sendall, encode(FULL, it.id, mark=FROM_WORKER))
+                sock.sendall(encode(FULL, it.id, sender=FROM_WORKER))
+                gevent.spawn_later(0.03, sock.sendall, encode(FULL, it.id, sender=FROM_WORKER))
             elif it.code == INVOKE:
                 gevent.spawn_later(0.1, serve, worker, sock, it)
         with Platform([script]) as it:
@@ -425,7 +425,7 @@
                 how = chance.choice(("ok", "ok", "ok", "error", "full", "miss", "reset", "twice", "spoilt", "late"))
                 if how in ("full", "miss"):
                     note(name, "turned", kind=how, **facts)
-                    return sock.sendall(encode({"full": FULL, "miss": MISS}[how], it.id, mark=FROM_WORKER))
+                    return sock.sendall(encode({"full": FULL, "miss": MISS}[how], it.id, sender=FROM_WORKER))
                 note(name, "run", **facts)
                 open_ = out.setdefault(sock, [])
                 if how == "late":
@@ -437,7 +437,7 @@
                 else:
                     note(name, "done", mark=it.id.hex())
                 if how == "error":
-                    return sock.sendall(encode(ERROR, it.id, mark=FROM_WORKER))
+                    return sock.sendall(encode(ERROR, it.id, sender=FROM_WORKER))
                 if how == "reset":
                     return sock.close()
                 if how == "spoilt":
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -303,7 +303,7 @@
     def test_the_attempts_of_a_request_are_named(self):
         def turn_away(worker, sock, it):
             if it.code == INVOKE:
-                sock.sendall(encode(FULL, it.id, mark=FROM_WORKER))
+                sock.sendall(encode(FULL, it.id, sender=FROM_WORKER))
 
         with Platform(scripts=(turn_away, turn_away)) as it:
             self.assertEqual(it.call(id_="00000000000000c2")[0], 503)
--- a/threadshift/frames/codec.py
+++ b/threadshift/frames/codec.py
@@ -16,7 +16,7 @@
 
 HEAD = struct.Struct(">BBHI8s")
 CHECK = struct.Struct(">I")
-FROM_US, FROM_WORKER = 1, 2
+FROM_FRONT_END, FROM_WORKER = 1, 2
 INVOKE, CANCEL, PROBE, LOAD = 10, 11, 13, 14
 OK, MISS, FULL, ERROR, EXPIRED, HEALTHY, UNHEALTHY = 100, 102, 103, 104, 105, 106, 107
 ANSWERS = frozenset((OK, MISS, FULL, ERROR, EXPIRED, HEALTHY, UNHEALTHY))
@@ -30,7 +30,7 @@
     help = "none: the connection is dialled anew; look at the worker named if it goes on"
 
 
-class Answer(NamedTuple):
+class Frame(NamedTuple):
     """One frame of a worker."""
 
     code: int
@@ -39,13 +39,13 @@
     body: bytes
 
 
-def encode(code: int, id_: bytes, fields: str = "", body: bytes = b"", mark: int = FROM_US) -> bytes:
+def encode(code: int, id_: bytes, fields: str = "", body: bytes = b"", sender: int = FROM_FRONT_END) -> bytes:
     """One frame's bytes."""
     rest = fields.encode("ascii") + body
-    return HEAD.pack(mark, code, len(fields), len(body), id_) + rest + CHECK.pack(zlib.crc32(rest))
+    return HEAD.pack(sender, code, len(fields), len(body), id_) + rest + CHECK.pack(zlib.crc32(rest))
 
 
-def understand(text: bytes) -> dict[str, str]:
+def parse_fields(text: bytes) -> dict[str, str]:
     """The fields of an answer. Raises ProtocolError."""
     if not text:
         return {}
@@ -64,16 +64,16 @@
     return found
 
 
-class Frames:
+class FrameDecoder:
     """Cuts a stream of bytes into answers. A stated length is judged at the header, before any of it is kept."""
 
-    def __init__(self, longest: int, mark: int = FROM_WORKER):
-        self.longest, self.mark = longest, mark
+    def __init__(self, longest: int, sender: int = FROM_WORKER):
+        self.longest, self.sender = longest, sender
         self.buffer = b""
 
-    def feed(self, data: bytes) -> list[Answer]:
+    def feed(self, data: bytes) -> list[Frame]:
         """The answers that data completes; those ahead of what is wrong come with ProtocolError, in `before`."""
-        found: list[Answer] = []
+        found: list[Frame] = []
         try:
             self.cut(self.buffer + data if self.buffer else data, found)
         except ProtocolError as problem:
@@ -81,12 +81,12 @@
             raise
         return found
 
-    def cut(self, data: bytes, found: list[Answer]) -> None:
+    def cut(self, data: bytes, found: list[Frame]) -> None:
         at = 0
         while len(data) - at >= HEAD.size:
-            mark, code, fields, body, id_ = HEAD.unpack_from(data, at)
-            if mark != self.mark or self.mark == FROM_WORKER and code not in ANSWERS:
-                raise ProtocolError(f"mark {mark} with code {code} is none of a worker's frames")
+            sender, code, fields, body, id_ = HEAD.unpack_from(data, at)
+            if sender != self.sender or self.sender == FROM_WORKER and code not in ANSWERS:
+                raise ProtocolError(f"mark {sender} with code {code} is none of a worker's frames")
             if body > self.longest:
                 raise ProtocolError(f"a body of {body} bytes is over the bound of {self.longest}")
             start, end = at + HEAD.size, at + HEAD.size + fields + body
@@ -94,7 +94,7 @@
                 break
             if CHECK.unpack_from(data, end)[0] != zlib.crc32(data[start:end]):
                 raise ProtocolError("the check does not match")
-            found.append(Answer(code, id_, understand(data[start:start + fields]), data[start + fields:end]))
+            found.append(Frame(code, id_, parse_fields(data[start:start + fields]), data[start + fields:end]))
             at = end + CHECK.size
         self.buffer = data[at:]
 
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -17,8 +17,8 @@
 from threadshift.conf.values import Address
 from threadshift.frames import pool
 from threadshift.frames.codec import (
-    CANCEL, ERROR, EXPIRED, FULL, HEALTHY, INVOKE, LOAD, MISS, OK, PROBE, UNHEALTHY, Answer, Frames, ProtocolError,
-    encode)
+    CANCEL, ERROR, EXPIRED, FULL, HEALTHY, INVOKE, LOAD, MISS, OK, PROBE, UNHEALTHY, Frame, FrameDecoder,
+    ProtocolError, encode)
 from threadshift.interface import MS, SECOND, Copy, Outcome
 from threadshift.links.redial import Redial
 from threadshift.links.sockets import Outgoing, connect, shows, since_ready
@@ -309,7 +309,7 @@
                 self.finish(what, time.monotonic_ns(), outcome)
 
     def read(self, connection: Connection) -> None:
-        frames, problem, answers = Frames(self.told.body), "", []
+        frames, problem, answers = FrameDecoder(self.told.body), "", []
         sock = connection.sock
         try:
             while not problem:
@@ -335,7 +335,7 @@
             self.owner.settle()
         self.broke(connection, problem or ("closed inside a frame" if frames.torn else ""))
 
-    def hear(self, connection: Connection, it: Answer) -> None:
+    def hear(self, connection: Connection, it: Frame) -> None:
         """One answer as the call on the handle that it belongs to; one that nobody waits for is dropped."""
         what = connection.waiting.get(it.id)
         if what is None:
