--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -56,45 +56,46 @@
             parse_fields(b"\xff=1")
 
 
-def connection(waiting=0, proven=True, doubted=False, used=()):
-    return Of(waiting=dict.fromkeys(range(waiting)), proven=proven, doubted=doubted, used=dict.fromkeys(used))
+def connection(in_flight=0, has_answered=True, suspected=False, used_ids=()):
+    return Of(in_flight=dict.fromkeys(range(in_flight)), has_answered=has_answered, suspected=suspected,
+              used_ids=dict.fromkeys(used_ids))
 
 
 class Pool(unittest.TestCase):
     def test_the_least_busy_one_carries_the_next_and_a_proven_one_first(self):
-        new, proven, busy = connection(proven=False), connection(), connection(2)
-        self.assertIs(pool.fit([busy, new, proven], ID, 32), proven)
-        self.assertIs(pool.fit([busy, new], ID, 32), new)
-        self.assertIsNone(pool.fit([busy], ID, 2))
-        self.assertIsNone(pool.fit([connection(doubted=True)], ID, 32))
+        new, proven, busy = connection(has_answered=False), connection(), connection(2)
+        self.assertIs(pool.choose_connection([busy, new, proven], ID, 32), proven)
+        self.assertIs(pool.choose_connection([busy, new], ID, 32), new)
+        self.assertIsNone(pool.choose_connection([busy], ID, 2))
+        self.assertIsNone(pool.choose_connection([connection(suspected=True)], ID, 32))
 
     def test_an_id_goes_over_a_connection_once(self):
         # Found by reading: a second copy of a 'miss' would be taken for the answer of the send after it.
         other = connection(3)
-        self.assertIs(pool.fit([connection(used=[ID]), other], ID, 32), other)
-        self.assertIsNone(pool.fit([connection(used=[ID])], ID, 32))
+        self.assertIs(pool.choose_connection([connection(used_ids=[ID]), other], ID, 32), other)
+        self.assertIsNone(pool.choose_connection([connection(used_ids=[ID])], ID, 32))
 
     def test_another_is_dialled_when_each_carries_its_share(self):
         # One call after another needs no second connection: found on the fleet's days, a third of all were such.
         for kept, dialling, wanted in (([connection(1)], 0, False), ([connection(2)], 0, True),
                                        ([connection(2)], 1, False), ([connection(2), connection(1)], 0, False),
                                        ([connection(2)] * 4, 0, False),
-                                       ([connection(doubted=True)], 0, True)):
-            self.assertEqual(pool.another(kept, dialling, 4, pool.shared(200)), wanted)
+                                       ([connection(suspected=True)], 0, True)):
+            self.assertEqual(pool.should_dial(kept, dialling, 4, pool.choose_dial_threshold(200)), wanted)
         # With few front ends, as soon as none is free: a break takes one send along.
         for kept, wanted in (([connection(1)], True), ([connection(1), connection()], False)):
-            self.assertEqual(pool.another(kept, False, 4, pool.shared(3)), wanted)
+            self.assertEqual(pool.should_dial(kept, False, 4, pool.choose_dial_threshold(3)), wanted)
 
     def test_silence_since_a_send_left_is_doubt(self):
-        self.assertTrue(pool.doubt(heard=4, left=5))
-        self.assertFalse(pool.doubt(heard=6, left=5))
+        self.assertTrue(pool.is_suspected(last_received_at=4, sent_at=5))
+        self.assertFalse(pool.is_suspected(last_received_at=6, sent_at=5))
 
     def test_an_idle_one_is_left_alone_before_the_worker_closes_it(self):
-        self.assertFalse(pool.stale(28 * SECOND, 0, 30 * SECOND))
-        self.assertTrue(pool.stale(30 * SECOND, 0, 30 * SECOND))
+        self.assertFalse(pool.is_idle_timeout_near(28 * SECOND, 0, 30 * SECOND))
+        self.assertTrue(pool.is_idle_timeout_near(30 * SECOND, 0, 30 * SECOND))
 
     def test_the_share_leaves_room_for_clients(self):
         for sockets, workers in ((256, 12), (256, 200), (1024, 12), (64, 1)):
-            each = pool.share(sockets, workers)
+            each = pool.connections_per_worker(sockets, workers)
             self.assertGreaterEqual(each, 1)
             self.assertLessEqual(each * workers, max(workers, sockets // 4))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -525,7 +525,7 @@
             self.assertLess(it.activations * 2 * (16 << 10), it.memory // 4)
             for workers in (12, 120, 400):
                 shared = Descriptors(it.sockets)
-                dialled = workers * it.links(workers).most
+                dialled = workers * it.links(workers).max_connections
                 clients = shared.clients(dialled)
                 self.assertGreaterEqual(clients, sockets // 3)
                 # What does not fit beside the clients is not dialled.
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -353,7 +353,7 @@
         with mock.patch("tests.platform.Worker", Slow):
             it = Platform([noted])
         it.workers[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        with mock.patch.object(pool, "MOST", 1), it:
+        with mock.patch.object(pool, "MAX_CONNECTIONS_PER_WORKER", 1), it:
             only = it.node.links["s-0"]
             only.connections[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             deadline = time.monotonic_ns() + 900 * MS
@@ -385,8 +385,9 @@
             client, only, carried = it.client(), it.node.links["s-0"], []
             client.ask(type_="submit")
             until(lambda: it.workers[0].codes(INVOKE))
-            broken = next(each for each in only.connections if each.waiting)
-            it.node.settle = lambda: carried.append(pool.fit(only.connections, b"another!", 32) is broken)
+            broken = next(each for each in only.connections if each.in_flight)
+            it.node.settle = lambda: carried.append(
+                pool.choose_connection(only.connections, b"another!", 32) is broken)
             for sock in it.workers[0].open:
                 sock.shutdown(socket.SHUT_RDWR)
             self.assertEqual(client.answer()[0], 502)
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -25,24 +25,24 @@
 from threadshift.log import fault_of
 
 READ = 16 << 10            # bytes a read: many usual answers, and little memory a connection
-MOST_USED = 128            # ids remembered a connection that may not go over it again
+MAX_USED_IDS = 128         # ids remembered a connection that may not go over it again
 COPIES = {"reused": Copy.FOUND, "init": Copy.BEGAN, "shared_init": Copy.WAITED, "init_error": Copy.LOAD_FAILED}
 ENDS = {OK: Outcome.COMPLETED, MISS: Outcome.MISS, FULL: Outcome.FULL, ERROR: Outcome.ERROR, EXPIRED: Outcome.MOOT}
 ORDERS = {OK: Outcome.COMPLETED, FULL: Outcome.FULL, ERROR: Outcome.ERROR}
 PROBES = (HEALTHY, UNHEALTHY)
 
 
-class Told(NamedTuple):
+class LinkSettings(NamedTuple):
     """What is told of workers' connections at start, and bounds derived from it."""
 
-    connect: int         # ns until a connection that is not up counts as unreachable
-    write: int           # ns without progress until one that takes no bytes is broken off
-    idle: int            # ns after which workers close an idle one
-    streams: int         # sends on one at once
-    most: int            # connections to each worker
-    shared: int          # sends on each from which another is dialled
-    buffer: int          # bytes waiting to be written to one
-    body: int            # bytes of an answer's body
+    connect_timeout: int     # ns until a connection that is not up counts as unreachable
+    write_timeout: int       # ns without progress until one that takes no bytes is broken off
+    idle_timeout: int        # ns after which workers close an idle one
+    max_sends: int           # sends on one at once
+    max_connections: int     # connections to each worker
+    dial_threshold: int      # sends on each from which another is dialled
+    max_buffered: int        # bytes waiting to be written to one
+    max_body: int            # bytes of an answer's body
 
 
 class Owner(Protocol):
@@ -81,18 +81,18 @@
 class Connection(Outgoing):
     """One connection to a worker."""
 
-    def __init__(self, sock: socket.socket, told: Told):
-        super().__init__(sock, told.buffer, told.write)
-        self.waiting: dict[bytes, Any] = {}     # (held, number) of a send, or an Asked
-        self.used: dict[bytes, None] = {}
-        self.proven = self.doubted = False
-        self.heard = time.monotonic_ns()
+    def __init__(self, sock: socket.socket, settings: LinkSettings):
+        super().__init__(sock, settings.max_buffered, settings.write_timeout)
+        self.in_flight: dict[bytes, Any] = {}   # (held, number) of a send, or an Asked
+        self.used_ids: dict[bytes, None] = {}
+        self.has_answered = self.suspected = False
+        self.last_received_at = time.monotonic_ns()
         self.reader: gevent.Greenlet | None = None
 
     def refresh(self) -> None:
         """Requests that waited for the socket say how much time is left now, not when they were queued."""
         for id_ in self.outbox.unwritten:
-            what = self.waiting.get(id_)
+            what = self.in_flight.get(id_)
             if isinstance(what, tuple):
                 self.outbox.replace(id_, request_now(id_, what[0]))
 
@@ -100,14 +100,14 @@
 class Link:
     """All connections to one worker."""
 
-    def __init__(self, worker: str, address: Address, told: Told, owner: Owner, chance: Callable[[], float],
-                 bits: Callable[[int], int]):
-        self.worker, self.address, self.told, self.owner, self.bits = worker, address, told, owner, bits
+    def __init__(self, worker: str, address: Address, settings: LinkSettings, owner: Owner,
+                 chance: Callable[[], float], bits: Callable[[int], int]):
+        self.worker, self.address, self.settings, self.owner, self.bits = worker, address, settings, owner, bits
         self.note = owner.note
         self.redial = Redial(chance)
         self.not_before = 0
         self.connections: list[Connection] = []
-        self.queue: dict[bytes, Any] = {}       # what waits for the first connection, as in Connection.waiting
+        self.queue: dict[bytes, Any] = {}       # what waits for the first connection, as in Connection.in_flight
         self.ways: dict[tuple[str, int], tuple[Connection | None, bytes]] = {}   # where a send waits, for cancels
         self.dialler: gevent.Greenlet | None = None
         self.stopped = False
@@ -119,8 +119,9 @@
     def invoke(self, held: Any, number: int, left: int) -> Outcome | None:
         id_ = bytes.fromhex(held.ivk)
         outcome = self.place(id_, (held, number), request(id_, held.call, left))
-        if self.connections and pool.another(self.connections, self.dialler is not None, self.told.most,
-                                             self.told.shared):
+        if self.connections and pool.should_dial(
+                self.connections, self.dialler is not None, self.settings.max_connections,
+                self.settings.dial_threshold):
             self.dial()
         return outcome
 
@@ -130,8 +131,8 @@
         is up while it waited here is written."""
         if isinstance(what, tuple) and what[0].time_left(time.monotonic_ns()) <= 0:
             return Outcome.MOOT
-        while (connection := pool.fit(self.connections, id_, self.told.streams)) is not None and (
-                not connection.waiting and self.closed(connection)):
+        while (connection := pool.choose_connection(self.connections, id_, self.settings.max_sends)) is not None and (
+                not connection.in_flight and self.closed(connection)):
             self.end(connection)
         if connection is None and (isinstance(what, tuple) or not (self.connections or self.owner.dials_ahead())):
             return self.wait_for_dial(what, id_)
@@ -139,24 +140,24 @@
             if not self.connections:
                 self.dial()
             return Outcome.UNREACHABLE      # a worker that does not read: what fits no more never left
-        connection.waiting[id_] = what
-        connection.used[id_] = None
-        if len(connection.used) > MOST_USED:
-            del connection.used[next(iter(connection.used))]
+        connection.in_flight[id_] = what
+        connection.used_ids[id_] = None
+        if len(connection.used_ids) > MAX_USED_IDS:
+            del connection.used_ids[next(iter(connection.used_ids))]
         connection.write()
         if isinstance(what, tuple):
             self.ways[what[0].ivk, what[1]] = connection, id_
         elif connection.outbox.withdraw(id_):
             # An order or a question leaves at once or not at all: late ones would come to the worker in a bunch.
-            del connection.waiting[id_]
+            del connection.in_flight[id_]
             return Outcome.UNREACHABLE
         return None
 
     def wait_for_dial(self, what: Any, id_: bytes) -> Outcome | None:
         if self.stopped or time.monotonic_ns() < self.not_before or id_ in self.queue or (
-                len(self.connections) >= self.told.most and not self.make_room()):
+                len(self.connections) >= self.settings.max_connections and not self.make_room()):
             return Outcome.UNREACHABLE
-        if len(self.queue) >= self.told.streams:
+        if len(self.queue) >= self.settings.max_sends:
             return Outcome.UNREACHABLE      # more than one connection takes: it never left
         self.queue[id_] = what
         if isinstance(what, tuple):
@@ -167,7 +168,7 @@
     def make_room(self) -> bool:
         """Ends a connection that carries nothing, where all that there may be stand and none can be used."""
         for connection in self.connections:
-            if not connection.waiting:
+            if not connection.in_flight:
                 self.end(connection)
                 return True
         return False
@@ -183,12 +184,12 @@
         """An id of our own, which meets no other that is open here."""
         while True:
             id_ = self.bits(64).to_bytes(8, "big")
-            if id_ not in self.queue and not any(id_ in each.waiting for each in self.connections):
+            if id_ not in self.queue and not any(id_ in each.in_flight for each in self.connections):
                 return id_
 
     def closed(self, connection: Connection) -> bool:
         """Whether the peer has closed an idle connection, seen or not, or is about to: nothing is written on it."""
-        if pool.stale(time.monotonic_ns(), connection.heard, self.told.idle):
+        if pool.is_idle_timeout_near(time.monotonic_ns(), connection.last_received_at, self.settings.idle_timeout):
             return True
         return shows(connection.sock, select.POLLRDHUP)
 
@@ -197,13 +198,13 @@
         if self.withdraw(held, number):
             return Outcome.MOOT
         connection, id_ = self.ways.pop((held.ivk, number), (None, b""))
-        if connection is None or connection.waiting.pop(id_, None) is None:
+        if connection is None or connection.in_flight.pop(id_, None) is None:
             return Outcome.CANCELLED
         left = connection.outbox.left.pop(id_, 0)
         if connection.outbox.put(None, encode(CANCEL, id_)):
             connection.write()
-        connection.doubted = connection.doubted or pool.doubt(connection.heard, left)
-        if connection.doubted and not connection.waiting:
+        connection.suspected = connection.suspected or pool.is_suspected(connection.last_received_at, left)
+        if connection.suspected and not connection.in_flight:
             self.end(connection)
         return Outcome.CANCELLED
 
@@ -214,7 +215,7 @@
                        else not connection.outbox.withdraw(id_)):
             return False
         if connection is not None:
-            del connection.waiting[id_]
+            del connection.in_flight[id_]
         del self.ways[held.ivk, number]
         return True
 
@@ -224,16 +225,16 @@
         now = time.monotonic_ns()
         queued, self.queue = [*self.queue.values()], {}
         for connection in self.connections:
-            for id_, what in list(connection.waiting.items()):
+            for id_, what in list(connection.in_flight.items()):
                 if connection.outbox.withdraw(id_):
-                    del connection.waiting[id_]
+                    del connection.in_flight[id_]
                     queued.append(what)
         for what in queued:
             self.finish(what, now, Outcome.UNREACHABLE)
 
     @property
     def busy(self) -> bool:
-        return bool(self.queue) or any(each.waiting for each in self.connections)
+        return bool(self.queue) or any(each.in_flight for each in self.connections)
 
     @property
     def up(self) -> bool:
@@ -270,7 +271,7 @@
                         self.end_dial()         # dialled once something waits for it
                         return
                     raise OSError("no descriptor is free for it")
-                sock = connect(self.address, self.told.connect)
+                sock = connect(self.address, self.settings.connect_timeout)
                 break
             except OSError as failed:
                 if self.queue:
@@ -294,8 +295,8 @@
             sock.close()                    # while it came up; it is counted no more
             return
         sock.settimeout(None)               # silence of a worker is judged by the decisions alone
-        connection = Connection(sock, self.told)
-        self.redial.up(connection.heard)
+        connection = Connection(sock, self.settings)
+        self.redial.up(connection.last_received_at)
         self.connections.append(connection)
         self.dialler = None
         connection.reader = gevent.spawn(self.read, connection)
@@ -309,7 +310,7 @@
                 self.finish(what, time.monotonic_ns(), outcome)
 
     def read(self, connection: Connection) -> None:
-        frames, problem, answers = FrameDecoder(self.told.body), "", []
+        frames, problem, answers = FrameDecoder(self.settings.max_body), "", []
         sock = connection.sock
         try:
             while not problem:
@@ -317,7 +318,7 @@
                     data = sock.recv(READ)
                     if not data:
                         break
-                    connection.heard = time.monotonic_ns()
+                    connection.last_received_at = time.monotonic_ns()
                     answers = frames.feed(data)
                 except ProtocolError as refused:
                     problem, answers = str(refused), getattr(refused, "before", [])
@@ -330,14 +331,14 @@
         except Exception as fault:          # ours; loud, and what waits here is not left waiting
             self.note("fault", level="error", **fault_of(fault))
             problem = "a fault of ours"
-        connection.doubted = True           # carries nothing new while settle() waits
-        if connection.waiting:
+        connection.suspected = True         # carries nothing new while settle() waits
+        if connection.in_flight:
             self.owner.settle()
         self.broke(connection, problem or ("closed inside a frame" if frames.torn else ""))
 
     def hear(self, connection: Connection, it: Frame) -> None:
         """One answer as the call on the handle that it belongs to; one that nobody waits for is dropped."""
-        what = connection.waiting.get(it.id)
+        what = connection.in_flight.get(it.id)
         if what is None:
             return
         now = time.monotonic_ns()
@@ -350,8 +351,8 @@
             copies = it.fields.get("n", "0")
             if not (copies.isascii() and copies.isdigit() and len(copies) < 6):
                 raise ProtocolError(f"n={copies[:20]} is no number of copies")
-        del connection.waiting[it.id]
-        connection.proven = True
+        del connection.in_flight[it.id]
+        connection.has_answered = True
         left = connection.outbox.left.pop(it.id, now)
         if isinstance(what, tuple):
             held, number = what
@@ -363,14 +364,14 @@
             what.answered(now, ORDERS[it.code], copies=int(copies))
         else:
             what.answered(now, Outcome.COMPLETED, report=load)
-        if connection.doubted and not connection.waiting:
-            connection.doubted = False       # it lives: what was given up was slow
+        if connection.suspected and not connection.in_flight:
+            connection.suspected = False      # it lives: what was given up was slow
 
     def broke(self, connection: Connection, problem: str) -> None:
         """Ends what waits on one connection: what never left goes over another, the rest may have run."""
         if connection not in self.connections:
             return
-        ended = list(connection.waiting.items())
+        ended = list(connection.in_flight.items())
         frames = {key: entry[1] for key, entry in connection.outbox.unwritten.items()}
         self.end(connection)
         now = time.monotonic_ns()
@@ -398,7 +399,7 @@
         if connection.reader is not None and connection.reader is not gevent.getcurrent():
             connection.reader.kill(block=False)
         connection.sock.close()
-        connection.waiting, connection.used = {}, {}
+        connection.in_flight, connection.used_ids = {}, {}
         connection.outbox.clear()
 
     def stop(self) -> None:
--- a/threadshift/frames/pool.py
+++ b/threadshift/frames/pool.py
@@ -16,65 +16,68 @@
 from threadshift.interface import SECOND
 
 IDLE_MARGIN = SECOND       # before a worker closes an idle connection, in which we leave it alone
-MOST = 8                   # connections to one worker; with more each carries one send and spares nothing further
-FEW = 4                    # front ends, whose second connections a worker bears at no price worth naming
-PART = 4                   # of the descriptors, one in so many is for workers
+MAX_CONNECTIONS_PER_WORKER = 8     # with more each carries one send and spares nothing further
+FEW_FRONT_ENDS = 4         # front ends, whose second connections a worker bears at no price worth naming
+WORKER_DESCRIPTOR_DIVISOR = 4      # of the descriptors, one in so many is for workers
 
 
-class Pooled(Protocol):
+class PooledConnection(Protocol):
     """What is looked at of one connection."""
 
-    waiting: dict[bytes, Any]            # what waits for an answer on it, by id
-    used: dict[bytes, Any]               # ids that went over it and may not again
-    proven: bool                         # it has brought an answer
-    doubted: bool
-    heard: int                           # when something came on it last
+    in_flight: dict[bytes, Any]      # what waits for an answer on it, by id
+    used_ids: dict[bytes, Any]       # ids that went over it and may not again
+    has_answered: bool               # it has brought an answer
+    suspected: bool
+    last_received_at: int            # when something came on it last
 
 
-B = TypeVar("B", bound=Pooled)
+ConnectionT = TypeVar("ConnectionT", bound=PooledConnection)
 
 
-def fit(connections: Iterable[B], id_: bytes, streams: int) -> B | None:
+def choose_connection(connections: Iterable[ConnectionT], id_: bytes, max_sends: int) -> ConnectionT | None:
     """The one for a send under this id. An id goes over a connection once: an answer that crosses the end of an
     earlier send, or a second copy of its answer, would be taken for that of the later one."""
-    best: B | None = None
-    best_rank = (streams, False)
+    best: ConnectionT | None = None
+    best_rank = (max_sends, False)
     for each in connections:
-        rank = (len(each.waiting), not each.proven)
-        if rank < best_rank and not each.doubted and id_ not in each.waiting and id_ not in each.used:
+        rank = (len(each.in_flight), not each.has_answered)
+        if rank < best_rank and not each.suspected and id_ not in each.in_flight and id_ not in each.used_ids:
             best, best_rank = each, rank
     return best
 
 
-def shared(front_ends: int) -> int:
+def choose_dial_threshold(front_ends: int) -> int:
     """Sends on each connection from which another is dialled: with few front ends as soon as none is free, so that a
     break takes one send along; with many, whose connections add up at the workers, from two."""
-    return 1 if front_ends <= FEW else 2
+    return 1 if front_ends <= FEW_FRONT_ENDS else 2
 
 
-def another(connections: Iterable[Pooled], dialling: bool, most: int, shared: int) -> bool:
+def should_dial(connections: Iterable[PooledConnection], dialling: bool, max_connections: int,
+                dial_threshold: int) -> bool:
     """Whether one more is dialled: each carries its share or is in doubt, and there is room for one."""
-    there = list(connections)
-    return not dialling and len(there) < most and all(len(each.waiting) >= shared or each.doubted for each in there)
+    present = list(connections)
+    return not dialling and len(present) < max_connections and all(
+        len(each.in_flight) >= dial_threshold or each.suspected for each in present)
 
 
-def doubt(heard: int, left: int) -> bool:
+def is_suspected(last_received_at: int, sent_at: int) -> bool:
     """Whether a connection is in doubt when a send that left then is given up: nothing came on it since."""
-    return heard < left
+    return last_received_at < sent_at
 
 
-def stale(now: int, heard: int, idle: int) -> bool:
+def is_idle_timeout_near(now: int, last_received_at: int, idle_timeout: int) -> bool:
     """Whether the worker closes it as idle about now: what crosses the close may have run."""
-    return now - heard > idle - min(IDLE_MARGIN, idle // 10)
+    return now - last_received_at > idle_timeout - min(IDLE_MARGIN, idle_timeout // 10)
 
 
-def who_goes(connections: Iterable[B]) -> B | None:
+def choose_connection_to_close(connections: Iterable[ConnectionT]) -> ConnectionT | None:
     """The one that makes room where descriptors are short: unused, and heard of longest ago."""
-    return min((each for each in connections if not each.waiting), key=lambda each: each.heard, default=None)
+    return min((each for each in connections if not each.in_flight), key=lambda each: each.last_received_at,
+               default=None)
 
 
-def share(sockets: int, workers: int) -> int:
+def connections_per_worker(sockets: int, workers: int) -> int:
     """Connections to each worker, of the descriptors of this process: one in PART for all workers together.
 
     Clients hold up to a third, as many again may come and say nothing, and some are for dials and the rest."""
-    return max(1, min(MOST, sockets // PART // max(1, workers)))
+    return max(1, min(MAX_CONNECTIONS_PER_WORKER, sockets // WORKER_DESCRIPTOR_DIVISOR // max(1, workers)))
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -117,7 +117,7 @@
         if self.descriptors.yields(len(self.door.connections)) and self.door.make_room():
             return True
         idle = {connection: link for link in self.connected for connection in link.connections}
-        if (goes := pool.who_goes(idle)) is None:
+        if (goes := pool.choose_connection_to_close(idle)) is None:
             return False
         idle[goes].end(goes)
         return True
--- a/threadshift/node/placement.py
+++ b/threadshift/node/placement.py
@@ -12,7 +12,7 @@
 from threadshift.conf.values import Address
 from threadshift.fastcgi.requests import LONGEST_BODY
 from threadshift.frames import pool
-from threadshift.frames.link import Told
+from threadshift.frames.link import LinkSettings
 from threadshift.interface import MS, SECOND, Deployment
 
 LONGEST_FILE = 64 << 20    # bytes; a list of ten thousand workers takes a tenth
@@ -41,11 +41,12 @@
     sockets: int
     memory: int                          # bytes
 
-    def links(self, workers: int) -> Told:
+    def links(self, workers: int) -> LinkSettings:
         """Bounds of the connections to one of so many workers."""
-        return Told(self.connect, WRITE, self.idle, self.streams, pool.share(self.sockets, workers),
-                    pool.shared(self.deployment.front_ends),
-                    self.memory // BUFFER_PART + 2 * LONGEST_BODY, self.memory // BODY_PART)
+        return LinkSettings(self.connect, WRITE, self.idle, self.streams,
+                            pool.connections_per_worker(self.sockets, workers),
+                            pool.choose_dial_threshold(self.deployment.front_ends),
+                            self.memory // BUFFER_PART + 2 * LONGEST_BODY, self.memory // BODY_PART)
 
 
 def read(environment: Mapping[str, str]) -> Placement:
