--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -220,7 +220,7 @@
         with Platform() as it, mock.patch.object(link, "connect", refused):
             client, seen, only = it.client(), self.settling(it), it.node.links["s-0"]
             for connection in list(only.connections):
-                only.end(connection)
+                only.close_connection(connection)
             client.ask(type_="submit")
             until(lambda: only.queue)
             fails.set()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -114,7 +114,7 @@
             self.assertEqual(it.call(type_="submit", left="80")[0], 502)
             until(lambda: it.workers[0].codes(CANCEL))
             until(lambda: not it.node.desk.held)
-            self.assertFalse(it.node.links["s-0"].ways)
+            self.assertFalse(it.node.links["s-0"].routes)
 
     def test_an_answer_that_crosses_its_end_is_not_the_next_sends(self):
         # A second copy of a 'full' would end the send after it as never run.
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -75,7 +75,7 @@
         come.wait(5)
         return sock or connect(address, limit)
     for connection in list(only.connections):
-        only.end(connection)
+        only.close_connection(connection)
     with mock.patch.object(link, "connect", late):
         yield come
 
@@ -376,7 +376,7 @@
             with mock.patch.object(connection, "write"):
                 only.invoke(held, 0, left.pop(0))
             until(lambda: len(only.connections) == 2)
-            only.broke(connection, "reset")
+            only.on_connection_lost(connection, "reset")
             until(lambda: it.workers[0].codes(INVOKE))
             self.assertEqual(it.workers[0].codes(INVOKE)[0].fields["wait"], "300")
 
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -14,7 +14,7 @@
 from tests.processes import FrontEndProcess
 from threadshift.desk.desk import Call, Held
 from threadshift.frames.codec import INVOKE
-from threadshift.frames.link import request_now
+from threadshift.frames.link import current_invoke_frame
 from threadshift.interface import MS, SECOND, Outcome
 from threadshift.invoke import looks
 
@@ -79,7 +79,7 @@
             with mock.patch.dict(it.node.links, {"s-0": mock.Mock()}):
                 self.assertEqual(it.node.send("s-0", held, 0), Outcome.MOOT)     # whatever the link looks at
             id_ = bytes.fromhex(held.ivk)
-            self.assertEqual(link.place(id_, (held, 0), request_now(id_, held)), Outcome.MOOT)
+            self.assertEqual(link.transmit(id_, (held, 0), current_invoke_frame(id_, held)), Outcome.MOOT)
             self.assertEqual(it.call()[0], 200)
             self.assertEqual(len(it.workers[0].codes(INVOKE)), 1)
 
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -60,7 +60,7 @@
     def note(self, event: str, **fields: Any) -> None: ...
 
 
-def request(id_: bytes, call: Any, left: int) -> bytes:
+def invoke_frame(id_: bytes, call: Any, left: int) -> bytes:
     """The frame of a send with so much time left."""
     fields = f"class={call.type},key={call.function},wait={max(1, left // MS)}"
     if call.mark:
@@ -68,14 +68,14 @@
     return encode(INVOKE, id_, fields, call.body)
 
 
-def frame_of_order(id_: bytes, asked: Any) -> bytes:
+def order_frame(id_: bytes, asked: Any) -> bytes:
     """The frame of a load order, or of a question for a report."""
     return encode(LOAD, id_, f"key={asked.fn},n=1") if asked.fn else encode(PROBE, id_)
 
 
-def request_now(id_: bytes, held: Any) -> bytes:
+def current_invoke_frame(id_: bytes, held: Any) -> bytes:
     """The frame of a send that has waited: it says how much time is left now."""
-    return request(id_, held.call, held.time_left(time.monotonic_ns()))
+    return invoke_frame(id_, held.call, held.time_left(time.monotonic_ns()))
 
 
 class Connection(Outgoing):
@@ -94,7 +94,7 @@
         for id_ in self.outbox.unwritten:
             what = self.in_flight.get(id_)
             if isinstance(what, tuple):
-                self.outbox.replace(id_, request_now(id_, what[0]))
+                self.outbox.replace(id_, current_invoke_frame(id_, what[0]))
 
 
 class Link:
@@ -105,10 +105,10 @@
         self.worker, self.address, self.settings, self.owner, self.bits = worker, address, settings, owner, bits
         self.note = owner.note
         self.redial = Redial(chance)
-        self.not_before = 0
+        self.dial_not_before = 0
         self.connections: list[Connection] = []
         self.queue: dict[bytes, Any] = {}       # what waits for the first connection, as in Connection.in_flight
-        self.ways: dict[tuple[str, int], tuple[Connection | None, bytes]] = {}   # where a send waits, for cancels
+        self.routes: dict[tuple[str, int], tuple[Connection | None, bytes]] = {}   # where a send waits, for cancels
         self.dialler: gevent.Greenlet | None = None
         self.stopped = False
         if owner.dials_ahead():
@@ -118,24 +118,24 @@
 
     def invoke(self, held: Any, number: int, left: int) -> Outcome | None:
         id_ = bytes.fromhex(held.ivk)
-        outcome = self.place(id_, (held, number), request(id_, held.call, left))
+        outcome = self.transmit(id_, (held, number), invoke_frame(id_, held.call, left))
         if self.connections and pool.should_dial(
                 self.connections, self.dialler is not None, self.settings.max_connections,
                 self.settings.dial_threshold):
             self.dial()
         return outcome
 
-    def place(self, id_: bytes, what: Any, frame: bytes) -> Outcome | None:
+    def transmit(self, id_: bytes, what: Any, frame: bytes) -> Outcome | None:
         """Puts a frame on the connection that fits and notes where it waits: the one way for all frames that are
         answered. Idle connections that were closed meanwhile are ended on the way. Nothing of a request whose time
         is up while it waited here is written."""
         if isinstance(what, tuple) and what[0].time_left(time.monotonic_ns()) <= 0:
             return Outcome.MOOT
         while (connection := pool.choose_connection(self.connections, id_, self.settings.max_sends)) is not None and (
-                not connection.in_flight and self.closed(connection)):
-            self.end(connection)
+                not connection.in_flight and self.is_closing(connection)):
+            self.close_connection(connection)
         if connection is None and (isinstance(what, tuple) or not (self.connections or self.owner.dials_ahead())):
-            return self.wait_for_dial(what, id_)
+            return self.queue_until_connected(what, id_)
         if connection is None or not connection.outbox.put(id_, frame):
             if not self.connections:
                 self.dial()
@@ -146,48 +146,48 @@
             del connection.used_ids[next(iter(connection.used_ids))]
         connection.write()
         if isinstance(what, tuple):
-            self.ways[what[0].ivk, what[1]] = connection, id_
+            self.routes[what[0].ivk, what[1]] = connection, id_
         elif connection.outbox.withdraw(id_):
             # An order or a question leaves at once or not at all: late ones would come to the worker in a bunch.
             del connection.in_flight[id_]
             return Outcome.UNREACHABLE
         return None
 
-    def wait_for_dial(self, what: Any, id_: bytes) -> Outcome | None:
-        if self.stopped or time.monotonic_ns() < self.not_before or id_ in self.queue or (
-                len(self.connections) >= self.settings.max_connections and not self.make_room()):
+    def queue_until_connected(self, what: Any, id_: bytes) -> Outcome | None:
+        if self.stopped or time.monotonic_ns() < self.dial_not_before or id_ in self.queue or (
+                len(self.connections) >= self.settings.max_connections and not self.close_idle_connection()):
             return Outcome.UNREACHABLE
         if len(self.queue) >= self.settings.max_sends:
             return Outcome.UNREACHABLE      # more than one connection takes: it never left
         self.queue[id_] = what
         if isinstance(what, tuple):
-            self.ways[what[0].ivk, what[1]] = None, id_
+            self.routes[what[0].ivk, what[1]] = None, id_
         self.dial()
         return None
 
-    def make_room(self) -> bool:
+    def close_idle_connection(self) -> bool:
         """Ends a connection that carries nothing, where all that there may be stand and none can be used."""
         for connection in self.connections:
             if not connection.in_flight:
-                self.end(connection)
+                self.close_connection(connection)
                 return True
         return False
 
     def order(self, asked: Any) -> Outcome | None:
-        id_ = self.number()
-        return self.place(id_, asked, frame_of_order(id_, asked))
+        id_ = self.new_id()
+        return self.transmit(id_, asked, order_frame(id_, asked))
 
     def ask(self, asked: Any) -> Outcome | None:
         return self.order(asked)
 
-    def number(self) -> bytes:
+    def new_id(self) -> bytes:
         """An id of our own, which meets no other that is open here."""
         while True:
             id_ = self.bits(64).to_bytes(8, "big")
             if id_ not in self.queue and not any(id_ in each.in_flight for each in self.connections):
                 return id_
 
-    def closed(self, connection: Connection) -> bool:
+    def is_closing(self, connection: Connection) -> bool:
         """Whether the peer has closed an idle connection, seen or not, or is about to: nothing is written on it."""
         if pool.is_idle_timeout_near(time.monotonic_ns(), connection.last_received_at, self.settings.idle_timeout):
             return True
@@ -197,7 +197,7 @@
         """Stops waiting for a send. MOOT where it never left. The worker is told in any case, or it works on."""
         if self.withdraw(held, number):
             return Outcome.MOOT
-        connection, id_ = self.ways.pop((held.ivk, number), (None, b""))
+        connection, id_ = self.routes.pop((held.ivk, number), (None, b""))
         if connection is None or connection.in_flight.pop(id_, None) is None:
             return Outcome.CANCELLED
         left = connection.outbox.left.pop(id_, 0)
@@ -205,18 +205,18 @@
             connection.write()
         connection.suspected = connection.suspected or pool.is_suspected(connection.last_received_at, left)
         if connection.suspected and not connection.in_flight:
-            self.end(connection)
+            self.close_connection(connection)
         return Outcome.CANCELLED
 
     def withdraw(self, held: Any, number: int) -> bool:
         """Takes back a send of which nothing has left, not even where it waits for a dial; False where it has."""
-        connection, id_ = self.ways.get((held.ivk, number), (None, b""))
+        connection, id_ = self.routes.get((held.ivk, number), (None, b""))
         if not id_ or (self.queue.pop(id_, None) is None if connection is None
                        else not connection.outbox.withdraw(id_)):
             return False
         if connection is not None:
             del connection.in_flight[id_]
-        del self.ways[held.ivk, number]
+        del self.routes[held.ivk, number]
         return True
 
     def take_back(self) -> None:
@@ -242,7 +242,7 @@
 
     def finish(self, what: Any, now: int, outcome: Outcome) -> None:
         if isinstance(what, tuple):
-            self.ways.pop((what[0].ivk, what[1]), None)
+            self.routes.pop((what[0].ivk, what[1]), None)
             what[0].returned(now, what[1], outcome)
         else:
             what.answered(now, outcome)
@@ -264,7 +264,7 @@
         """Brings one more connection up; while there is none, tries again after pauses."""
         problem = ""
         while not self.stopped:
-            gevent.sleep(max(0, self.not_before - time.monotonic_ns()) / SECOND)
+            gevent.sleep(max(0, self.dial_not_before - time.monotonic_ns()) / SECOND)
             try:
                 if not self.owner.room(bool(self.queue)):
                     if not self.queue:
@@ -277,7 +277,7 @@
                 if self.queue:
                     self.owner.settle()
                 now = time.monotonic_ns()
-                self.not_before = self.redial.broke(now)
+                self.dial_not_before = self.redial.broke(now)
                 if not problem:
                     problem = str(failed)
                     self.note("link-down", worker=self.worker, problem=problem, sends=len(self.queue))
@@ -305,8 +305,8 @@
             if not isinstance(what, tuple) and what.over:
                 continue                        # its time is up
             # The time that is left is told as it is now, or the worker would work on for nobody.
-            frame = request_now(id_, what[0]) if isinstance(what, tuple) else frame_of_order(id_, what)
-            if (outcome := self.place(id_, what, frame)) is not None:
+            frame = current_invoke_frame(id_, what[0]) if isinstance(what, tuple) else order_frame(id_, what)
+            if (outcome := self.transmit(id_, what, frame)) is not None:
                 self.finish(what, time.monotonic_ns(), outcome)
 
     def read(self, connection: Connection) -> None:
@@ -325,7 +325,7 @@
                 if answers:
                     self.owner.settle()
                 for answer in answers:
-                    self.hear(connection, answer)
+                    self.on_frame(connection, answer)
         except (OSError, ProtocolError) as failed:
             problem = str(failed) or type(failed).__name__
         except Exception as fault:          # ours; loud, and what waits here is not left waiting
@@ -334,9 +334,9 @@
         connection.suspected = True         # carries nothing new while settle() waits
         if connection.in_flight:
             self.owner.settle()
-        self.broke(connection, problem or ("closed inside a frame" if frames.torn else ""))
+        self.on_connection_lost(connection, problem or ("closed inside a frame" if frames.torn else ""))
 
-    def hear(self, connection: Connection, it: Frame) -> None:
+    def on_frame(self, connection: Connection, it: Frame) -> None:
         """One answer as the call on the handle that it belongs to; one that nobody waits for is dropped."""
         what = connection.in_flight.get(it.id)
         if what is None:
@@ -356,7 +356,7 @@
         left = connection.outbox.left.pop(it.id, now)
         if isinstance(what, tuple):
             held, number = what
-            self.ways.pop((held.ivk, number), None)
+            self.routes.pop((held.ivk, number), None)
             # What we held it up ourselves is not the worker's, or at our own limit every worker would look slow.
             held.returned(now, number, ENDS[it.code], body=it.body, copy=copy, report=load,
                           waited=max(0, now - since_ready() - left))
@@ -367,29 +367,29 @@
         if connection.suspected and not connection.in_flight:
             connection.suspected = False      # it lives: what was given up was slow
 
-    def broke(self, connection: Connection, problem: str) -> None:
+    def on_connection_lost(self, connection: Connection, problem: str) -> None:
         """Ends what waits on one connection: what never left goes over another, the rest may have run."""
         if connection not in self.connections:
             return
         ended = list(connection.in_flight.items())
         frames = {key: entry[1] for key, entry in connection.outbox.unwritten.items()}
-        self.end(connection)
+        self.close_connection(connection)
         now = time.monotonic_ns()
         if problem or ended:
             self.note("link-broke", worker=self.worker, problem=problem or "closed", sends=len(ended))
         if not self.connections and not self.stopped:
-            self.not_before = self.redial.broke(now) if problem or ended else now
+            self.dial_not_before = self.redial.broke(now) if problem or ended else now
             if self.owner.dials_ahead():
                 self.dial()
         for id_, what in ended:
             if id_ not in frames:
                 self.finish(what, now, Outcome.RESET)
                 continue
-            frame = request_now(id_, what[0]) if isinstance(what, tuple) else frames[id_]
-            if (outcome := self.place(id_, what, frame)) is not None:
+            frame = current_invoke_frame(id_, what[0]) if isinstance(what, tuple) else frames[id_]
+            if (outcome := self.transmit(id_, what, frame)) is not None:
                 self.finish(what, now, outcome)
 
-    def end(self, connection: Connection) -> None:
+    def close_connection(self, connection: Connection) -> None:
         """Closes one connection, on which nothing counts any more."""
         if connection in self.connections:
             self.connections.remove(connection)
@@ -410,4 +410,4 @@
             self.end_dial()
         self.take_back()
         for connection in list(self.connections):
-            self.broke(connection, "stopped")
+            self.on_connection_lost(connection, "stopped")
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -119,7 +119,7 @@
         idle = {connection: link for link in self.connected for connection in link.connections}
         if (goes := pool.choose_connection_to_close(idle)) is None:
             return False
-        idle[goes].end(goes)
+        idle[goes].close_connection(goes)
         return True
 
     def update_unread(self) -> bool:
