--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -23,7 +23,8 @@
 from tests.processes import FrontEndProcess
 from threadshift.coordinator import freshness
 from threadshift.coordinator.freshness import (
-    ANSWER, CONNECT, LONGEST_PAUSE, PATIENT, SILENCE, SILENCE_AGAIN, TOLD_AFTER_BREAK, TOLD_AFTER_SILENCE, Freshness)
+    ANSWER, CONNECT, LONGEST_PAUSE, NOTIFIED_AFTER_BREAK, NOTIFIED_AFTER_SILENCE, PATIENT, SILENCE, SILENCE_AGAIN,
+    Freshness)
 from threadshift.fastcgi.codec import Records
 from threadshift.frames import link
 from threadshift.frames.codec import INVOKE, LOAD
@@ -352,9 +353,9 @@
     def test_two_failures_in_a_row_leave_the_whole_grace_and_three_all_but_140_ms(self, grace_ms, how, failures):
         grace = grace_ms * MS
         told, begun, most = {
-            "break": (TOLD_AFTER_BREAK, 0, 2), "silence": (TOLD_AFTER_SILENCE, SILENCE, 2),
-            "silence twice": (TOLD_AFTER_SILENCE, self.found_after(SILENCE, []) + SILENCE_AGAIN, 1),
-            "configuration": (TOLD_AFTER_SILENCE, 0, 2)}[how]
+            "break": (NOTIFIED_AFTER_BREAK, 0, 2), "silence": (NOTIFIED_AFTER_SILENCE, SILENCE, 2),
+            "silence twice": (NOTIFIED_AFTER_SILENCE, self.found_after(SILENCE, []) + SILENCE_AGAIN, 1),
+            "configuration": (NOTIFIED_AFTER_SILENCE, 0, 2)}[how]
         found = self.found_after(begun, failures)
         if len(failures) <= most:
             self.assertLessEqual(found, told)
@@ -379,19 +380,19 @@
 
     def test_since_when_news_counts_as_told(self):
         it = Freshness()
-        self.assertEqual(it.told_since(5 * SECOND, 0), 0)       # before the start, for all that is known
+        self.assertEqual(it.notified_since(5 * SECOND, 0), 0)       # before the start, for all that is known
         it.received(6 * SECOND)
         it.caught_up()
         it.received(7 * SECOND)
-        self.assertEqual(it.told_since(8 * SECOND, 30 * MS), 8 * SECOND - 30 * MS)
+        self.assertEqual(it.notified_since(8 * SECOND, 30 * MS), 8 * SECOND - 30 * MS)
         it.lost(silent=False, answered=True)
         it.received(9 * SECOND)
-        self.assertEqual(it.told_since(9 * SECOND, 0), 7 * SECOND)
+        self.assertEqual(it.notified_since(9 * SECOND, 0), 7 * SECOND)
         it.lost(silent=False, answered=True)                    # lost again before it had caught up
-        self.assertEqual(it.told_since(9 * SECOND, 0), 7 * SECOND)
+        self.assertEqual(it.notified_since(9 * SECOND, 0), 7 * SECOND)
         it.received(10 * SECOND)
         it.caught_up()
-        self.assertEqual(it.told_since(11 * SECOND, 0), 11 * SECOND)
+        self.assertEqual(it.notified_since(11 * SECOND, 0), 11 * SECOND)
 
 
 class Settings(unittest.TestCase):
--- a/threadshift/coordinator/freshness.py
+++ b/threadshift/coordinator/freshness.py
@@ -21,8 +21,8 @@
 
 from threadshift.interface import MS, SECOND
 
-TOLD_AFTER_BREAK = 2 * SECOND
-TOLD_AFTER_SILENCE = 4 * SECOND    # also after a new configuration
+NOTIFIED_AFTER_BREAK = 2 * SECOND
+NOTIFIED_AFTER_SILENCE = 4 * SECOND    # also after a new configuration
 SILENCE = 1_800 * MS       # without a byte, where a comment comes each second, until the stream is dialled anew
 SILENCE_AGAIN = 1_200 * MS     # the same on the connection after a silence, until it says something
 CONNECT = ANSWER = 400 * MS    # until a connection is up, and until the head of the answer is there
@@ -71,6 +71,6 @@
         self.fell_silent = self.fell_silent or silent
         self.failures += not answered
 
-    def told_since(self, now: int, unread: int) -> int:
+    def notified_since(self, now: int, unread: int) -> int:
         """Since when what is read now may count as told at the earliest; it may have lain unread for so many ns."""
         return now - unread if self.current else self.stale_since
--- a/threadshift/coordinator/stream.py
+++ b/threadshift/coordinator/stream.py
@@ -97,7 +97,7 @@
         except Exception as fault:      # ours, and loud: the next event is followed all the same
             self.note("fault", level="error", **fault_of(fault))
 
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether something of the coordinator has arrived and is not read yet."""
         return self.sock is not None and shows(self.sock, select.POLLIN)
 
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -47,13 +47,13 @@
 
 class Owner(Protocol):
     """Whose link it is. settle() is called before what answers bring, or a dial that came up, is
-    acted upon: it may wait a moment. room() makes room for one
+    acted upon: it may wait a moment. make_room_for_connection() makes room for one
     more connection, by ending others only where it is wanted for something that waits; False where there is none.
     dials_ahead() tells whether connections are dialled before anything waits for them: not where workers are too many
     to have one each. Each dial is counted as a connection from its begin on."""
 
     def settle(self) -> None: ...
-    def room(self, wanted: bool) -> bool: ...
+    def make_room_for_connection(self, wanted: bool) -> bool: ...
     def dials_ahead(self) -> bool: ...
     def connection_opened(self, link: Link) -> None: ...
     def connection_closed(self, link: Link) -> None: ...
@@ -266,7 +266,7 @@
         while not self.stopped:
             gevent.sleep(max(0, self.dial_not_before - time.monotonic_ns()) / SECOND)
             try:
-                if not self.owner.room(bool(self.queue)):
+                if not self.owner.make_room_for_connection(bool(self.queue)):
                     if not self.queue:
                         self.end_dial()         # dialled once something waits for it
                         return
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -107,7 +107,7 @@
         if not self.connected[link]:
             del self.connected[link]
 
-    def room(self, wanted: bool) -> bool:
+    def make_room_for_connection(self, wanted: bool) -> bool:
         """Makes room for a connection to a worker; the dial that asks is counted as one already."""
         others = self.dialled - 1
         if self.descriptors.fits(len(self.door.connections), others, self.listed_workers):
@@ -123,12 +123,12 @@
         return True
 
     def update_unread(self) -> bool:
-        return self.coordinator.unread()
+        return self.coordinator.has_unread_data()
 
     def on_list_update(self, update: ListUpdate) -> None:
         """An event of the coordinator."""
         now = time.monotonic_ns()
-        self.apply_list(update.workers, self.coordinator.freshness.told_since(now, self.looks.unread(now)))
+        self.apply_list(update.workers, self.coordinator.freshness.notified_since(now, self.looks.unread(now)))
 
     def on_coordinator_lost(self) -> None:
         self.roster_lost = True
