--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -5,7 +5,8 @@
 from hypothesis import strategies as st
 
 from threadshift.frames import pool
-from threadshift.frames.codec import ERROR, FINE, FROM_WORKER, HEAD, OK, Frames, NotFrames, encode, understand
+from threadshift.frames.codec import (
+    ERROR, FROM_WORKER, HEAD, HEALTHY, OK, FrameDecoder, ProtocolError, encode, parse_fields)
 from threadshift.interface import SECOND
 
 ID = bytes(range(8))
@@ -16,7 +17,7 @@
     @given(st.lists(st.binary(max_size=60), max_size=8), st.lists(st.integers(1, 40), max_size=30))
     def test_any_cut_of_the_stream_gives_the_same_answers(self, bodies, cuts):
         data = b"".join(encode(OK, ID, "how=reused,same=2", body, FROM_WORKER) for body in bodies)
-        it, got, at = Frames(1 << 16), [], 0
+        it, got, at = FrameDecoder(1 << 16), [], 0
         for size in [*cuts, len(data)]:
             got += it.feed(data[at:at + size])
             at += size
@@ -25,75 +26,76 @@
         self.assertFalse(it.torn)
 
     @settings(max_examples=400, deadline=None, derandomize=True)
-    @given(st.binary(max_size=120), st.sampled_from((OK, ERROR, FINE, 10, 255)))
+    @given(st.binary(max_size=120), st.sampled_from((OK, ERROR, HEALTHY, 10, 255)))
     def test_any_bytes_are_answers_or_refused(self, data, code):
         for stream in (data, bytes((FROM_WORKER, code)) + data, encode(code, ID, "", data, FROM_WORKER)[:-1] + data):
             try:
-                Frames(1 << 10).feed(stream)
-            except NotFrames as problem:
+                FrameDecoder(1 << 10).feed(stream)
+            except ProtocolError as problem:
                 self.assertTrue(str(problem))
 
     def test_what_is_wrong_is_named_and_what_stood_before_is_kept(self):
         good = encode(OK, ID, "", b"good", FROM_WORKER)
         cases = (
-            (encode(OK, ID), "mark 1"), (encode(10, ID, mark=FROM_WORKER), "code 10"),
+            (encode(OK, ID), "mark 1"), (encode(10, ID, sender=FROM_WORKER), "code 10"),
             (HEAD.pack(FROM_WORKER, OK, 0, 3 << 30, ID), "over the bound"), (good[:-1] + b"?", "check"),
-            (encode(OK, ID, "how", mark=FROM_WORKER), "is no field"),
-            (encode(OK, ID, "a=1,a=2", mark=FROM_WORKER), "stands twice"),
-            (encode(OK, ID, ",".join(["a=1"] * 70), mark=FROM_WORKER), "70 fields"))
+            (encode(OK, ID, "how", sender=FROM_WORKER), "is no field"),
+            (encode(OK, ID, "a=1,a=2", sender=FROM_WORKER), "stands twice"),
+            (encode(OK, ID, ",".join(["a=1"] * 70), sender=FROM_WORKER), "70 fields"))
         for data, words in cases:
-            with self.assertRaises(NotFrames) as caught:
-                Frames(1 << 10).feed(good + data)
+            with self.assertRaises(ProtocolError) as caught:
+                FrameDecoder(1 << 10).feed(good + data)
             self.assertIn(words, str(caught.exception))
             self.assertEqual([each.body for each in caught.exception.before], [b"good"])
 
     def test_fields(self):
-        self.assertEqual(understand(b"stats=inflight:7;util:0.61,how=init"),
+        self.assertEqual(parse_fields(b"stats=inflight:7;util:0.61,how=init"),
                          {"stats": "inflight:7;util:0.61", "how": "init"})
-        self.assertEqual(understand(b""), {})
-        with self.assertRaises(NotFrames):
-            understand(b"\xff=1")
+        self.assertEqual(parse_fields(b""), {})
+        with self.assertRaises(ProtocolError):
+            parse_fields(b"\xff=1")
 
 
-def connection(waiting=0, proven=True, doubted=False, used=()):
-    return Of(waiting=dict.fromkeys(range(waiting)), proven=proven, doubted=doubted, used=dict.fromkeys(used))
+def connection(in_flight=0, has_answered=True, suspected=False, used_ids=()):
+    return Of(in_flight=dict.fromkeys(range(in_flight)), has_answered=has_answered, suspected=suspected,
+              used_ids=dict.fromkeys(used_ids))
 
 
 class Pool(unittest.TestCase):
     def test_the_least_busy_one_carries_the_next_and_a_proven_one_first(self):
-        new, proven, busy = connection(proven=False), connection(), connection(2)
-        self.assertIs(pool.fit([busy, new, proven], ID, 32), proven)
-        self.assertIs(pool.fit([busy, new], ID, 32), new)
-        self.assertIsNone(pool.fit([busy], ID, 2))
-        self.assertIsNone(pool.fit([connection(doubted=True)], ID, 32))
+        new, proven, busy = connection(has_answered=False), connection(), connection(2)
+        self.assertIs(pool.choose_connection([busy, new, proven], ID, 32), proven)
+        self.assertIs(pool.choose_connection([busy, new], ID, 32), new)
+        self.assertIsNone(pool.choose_connection([busy], ID, 2))
+        self.assertIsNone(pool.choose_connection([connection(suspected=True)], ID, 32))
 
     def test_an_id_goes_over_a_connection_once(self):
         # Found by reading: a second copy of a 'miss' would be taken for the answer of the send after it.
         other = connection(3)
-        self.assertIs(pool.fit([connection(used=[ID]), other], ID, 32), other)
-        self.assertIsNone(pool.fit([connection(used=[ID])], ID, 32))
+        self.assertIs(pool.choose_connection([connection(used_ids=[ID]), other], ID, 32), other)
+        self.assertIsNone(pool.choose_connection([connection(used_ids=[ID])], ID, 32))
 
     def test_another_is_dialled_when_each_carries_its_share(self):
         # One call after another needs no second connection: found on the fleet's days, a third of all were such.
         for kept, dialling, wanted in (([connection(1)], 0, False), ([connection(2)], 0, True),
                                        ([connection(2)], 1, False), ([connection(2), connection(1)], 0, False),
                                        ([connection(2)] * 4, 0, False),
-                                       ([connection(doubted=True)], 0, True)):
-            self.assertEqual(pool.another(kept, dialling, 4, pool.shared(200)), wanted)
+                                       ([connection(suspected=True)], 0, True)):
+            self.assertEqual(pool.should_dial(kept, dialling, 4, pool.choose_dial_threshold(200)), wanted)
         # With few front ends, as soon as none is free: a break takes one send along.
         for kept, wanted in (([connection(1)], True), ([connection(1), connection()], False)):
-            self.assertEqual(pool.another(kept, False, 4, pool.shared(3)), wanted)
+            self.assertEqual(pool.should_dial(kept, False, 4, pool.choose_dial_threshold(3)), wanted)
 
     def test_silence_since_a_send_left_is_doubt(self):
-        self.assertTrue(pool.doubt(heard=4, left=5))
-        self.assertFalse(pool.doubt(heard=6, left=5))
+        self.assertTrue(pool.is_suspected(last_received_at=4, sent_at=5))
+        self.assertFalse(pool.is_suspected(last_received_at=6, sent_at=5))
 
     def test_an_idle_one_is_left_alone_before_the_worker_closes_it(self):
-        self.assertFalse(pool.stale(28 * SECOND, 0, 30 * SECOND))
-        self.assertTrue(pool.stale(30 * SECOND, 0, 30 * SECOND))
+        self.assertFalse(pool.is_idle_timeout_near(28 * SECOND, 0, 30 * SECOND))
+        self.assertTrue(pool.is_idle_timeout_near(30 * SECOND, 0, 30 * SECOND))
 
     def test_the_share_leaves_room_for_clients(self):
         for sockets, workers in ((256, 12), (256, 200), (1024, 12), (64, 1)):
-            each = pool.share(sockets, workers)
+            each = pool.connections_per_worker(sockets, workers)
             self.assertGreaterEqual(each, 1)
             self.assertLessEqual(each * workers, max(workers, sockets // 4))
