--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -101,7 +101,7 @@
             client = it.client()
             client.ask(left="900")
             self.assertEqual(client.alive(2)[0], 503)
-            self.assertEqual(len(it.node.door.postponed), 1)
+            self.assertEqual(len(it.node.listener.postponed), 1)
             it.coordinator.answering.set()
             self.assertEqual(client.answer()[0], 200)
             self.assertEqual(client.alive(2)[0], 200)
@@ -111,7 +111,7 @@
             begun = time.monotonic_ns()
             self.assertEqual(it.call(left="150")[0], 503)
             self.assertLess(time.monotonic_ns() - begun, 150 * MS)
-            self.assertEqual(it.node.door.tally.totals(), {"too-late": 1})
+            self.assertEqual(it.node.listener.tally.totals(), {"too-late": 1})
             it.coordinator.answering.set()
             self.assertEqual(it.call(id_=LATER)[0], 200)
             self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [LATER])
@@ -120,9 +120,9 @@
         with Platform(answering=False) as it:
             client = it.client()
             client.ask(left="900")
-            until(lambda: len(it.node.door.postponed))
+            until(lambda: len(it.node.listener.postponed))
             client.abort()
-            until(lambda: not len(it.node.door.postponed))
+            until(lambda: not len(it.node.listener.postponed))
             it.coordinator.answering.set()
             self.assertEqual(it.call(id_=LATER)[0], 200)
             self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [LATER])
@@ -136,7 +136,7 @@
         with Platform(answering=False) as it:
             client = it.client()
             client.ask(left="900")
-            until(lambda: len(it.node.door.postponed))
+            until(lambda: len(it.node.listener.postponed))
             it.node.end()
             self.assertEqual(client.answer()[0], 503)
             it.running.join(5)
@@ -144,12 +144,12 @@
 
     def test_no_more_requests_wait_than_there_may_be_calls(self):
         with Platform(answering=False) as it:
-            it.node.door.activations = 2
+            it.node.listener.activations = 2
             client = it.client()
             for number in (1, 2, 3):
                 client.ask(number, id_=f"{number:016x}", left="900")
             self.assertEqual(client.answer(3)[0], 503)
-            self.assertEqual(it.node.door.tally.totals(), {"too-many-activations": 1})
+            self.assertEqual(it.node.listener.tally.totals(), {"too-many-activations": 1})
 
 
 class NewsThatLiesUnread(unittest.TestCase):
@@ -173,8 +173,8 @@
     def test_is_read_before_a_request_is_taken(self):
         with Platform() as it:
             client = it.client()
-            until(lambda: it.node.door.connections)
-            connection = next(iter(it.node.door.connections))
+            until(lambda: it.node.listener.connections)
+            connection = next(iter(it.node.listener.connections))
             self.drain_unread(it)
             for kind, number, content in Records().feed(request()):
                 connection.hear(kind, number, content)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -211,8 +211,8 @@
 
     def test_silent_connections_make_room_for_who_asks(self):
         with Platform(limits={"cores": 1.0, "memory_mb": 96, "sockets": 32}) as it:
-            quiet = [it.client() for _ in range(it.node.door.most())]
-            until(lambda: len(it.node.door.connections) == len(quiet))
+            quiet = [it.client() for _ in range(it.node.listener.most())]
+            until(lambda: len(it.node.listener.connections) == len(quiet))
             gevent.sleep(0.03)
             self.assertEqual(it.call()[0], 200)
 
@@ -220,14 +220,15 @@
     def test_connections_that_were_answered_make_room_but_not_with_a_request_unread(self):
         # Found by an incident: requests read from connections that had been closed to make room were lost.
         with Platform(limits={"cores": 1.0, "memory_mb": 96, "sockets": 32}) as it:
-            most, firm = it.node.door.most(), it.node.descriptors.firm
+            most, firm = it.node.listener.most(), it.node.descriptors.firm
             for n in range(2 * most):
                 self.assertEqual(it.call(id_=f"{n:016x}")[0], 200)
                 gevent.sleep(room.GRACE / SECOND if n >= firm - 1 else 0)
-            self.assertLessEqual(len(it.node.door.connections), most)
+            self.assertLessEqual(len(it.node.listener.connections), most)
             asked = it.clients[-1]
-            held = next(iter(it.node.door.connections - {
-                each for each in it.node.door.connections if each.sock.getpeername() != asked.sock.getsockname()}))
+            held = next(iter(it.node.listener.connections - {
+                each for each in it.node.listener.connections
+                if each.sock.getpeername() != asked.sock.getsockname()}))
             asked.ask(id_="00000000000000ff")
             self.assertFalse(held.end())
             self.assertEqual(asked.answer()[0], 200)
@@ -383,7 +384,7 @@
             fresh = Client(it.address)              # still let in
             fresh.ask(left="950")
             until(lambda: it.workers[0].codes(INVOKE))
-            until(lambda: it.node.door.closing)
+            until(lambda: it.node.listener.closing)
             kept.ask(id_="00000000000000a2")
             self.assertEqual(kept.answer()[0], 503)
             self.assertEqual(fresh.answer()[0], 200)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -50,7 +50,7 @@
 
 def closing(it):
     """Until a front end that was told to end takes no more, and would have ended if nothing held it."""
-    until(lambda: it.node.door.closing)
+    until(lambda: it.node.listener.closing)
     since = time.monotonic_ns()
     until(lambda: it.running.ready() or time.monotonic_ns() - since > AFTER)
 
@@ -82,7 +82,7 @@
 
 def fill(it, left):
     """As many clients as there may be, each with a request under way."""
-    busy = [it.client() for _ in range(it.node.door.most())]
+    busy = [it.client() for _ in range(it.node.listener.most())]
     for n, each in enumerate(busy):
         each.ask(id_=f"{n:016x}", left=left)
     until(lambda: it.node.desk.owed == len(busy))
@@ -117,7 +117,7 @@
         with Platform() as it:
             client, whole = it.client(), request()
             client.send(whole[:-20])
-            until(lambda: any(each.open for each in it.node.door.connections))
+            until(lambda: any(each.open for each in it.node.listener.connections))
             it.node.end()
             closing(it)
             client.send(whole[-20:])
@@ -132,10 +132,10 @@
         with Platform([large]) as it:
             client = it.client()
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
-            until(lambda: it.node.door.connections)
-            next(iter(it.node.door.connections)).sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 16)
+            until(lambda: it.node.listener.connections)
+            next(iter(it.node.listener.connections)).sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 16)
             client.ask()
-            until(lambda: any(each.outbox.size for each in it.node.door.connections))
+            until(lambda: any(each.outbox.size for each in it.node.listener.connections))
             self.assertEqual(it.node.desk.owed, 0)
             it.node.end()
             closing(it)
@@ -144,13 +144,13 @@
 
     def test_what_the_kernel_has_accepted_at_the_end_is_refused_in_words(self):
         with Platform() as it:
-            late, end = [], it.node.door.end
+            late, end = [], it.node.listener.end
 
             def just_before(*words):
                 late.append(native(it.address))
                 late[0].sendall(request())
                 end(*words)
-            it.node.door.end = just_before
+            it.node.listener.end = just_before
             it.node.end()
             it.running.join(3)
             late[0].settimeout(1)
@@ -168,7 +168,7 @@
                 it.node.reload()
                 it.node.end()
                 self.assertEqual((it.node.leaving.since, it.call(left="500")[0]), (since, 200))
-                until(lambda: it.node.door.closing)
+                until(lambda: it.node.listener.closing)
                 it.node.reload()
                 self.assertEqual(it.call(left="500")[0], 503)
                 it.running.join(3)
@@ -246,8 +246,8 @@
         # The wait for what lies unread was the reader's own, so that it could not read what it waited for.
         with Platform() as it:
             client = native(it.address)
-            until(lambda: it.node.door.connections)
-            connection = next(iter(it.node.door.connections))
+            until(lambda: it.node.listener.connections)
+            connection = next(iter(it.node.listener.connections))
             before = connection.active
             client.sendall(request(id_=A) + record(2, 1))
             stand_still()
@@ -259,11 +259,11 @@
     def test_so_does_a_close(self):
         with Platform() as it:
             client = native(it.address)
-            until(lambda: it.node.door.connections)
+            until(lambda: it.node.listener.connections)
             client.sendall(request(id_=A))
             client.close()
             stand_still()
-            until(lambda: not it.node.door.connections)
+            until(lambda: not it.node.listener.connections)
             self.assertEqual(it.call(id_=B)[0], 200)
             self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [B])
 
@@ -273,7 +273,7 @@
             client.ask(left="1800")
             until(lambda: it.workers[0].codes(INVOKE))
             client.send(record(77, 0, b"x") * 4)        # after four, nothing is read for 0.8 s
-            until(lambda: next(iter(it.node.door.connections)).offences == 4)
+            until(lambda: next(iter(it.node.listener.connections)).offences == 4)
             client.abort()
             since = time.monotonic_ns()
             until(lambda: it.node.desk.counts["left"])
@@ -505,7 +505,7 @@
     def test_who_comes_with_requests_amid_hundreds_that_say_nothing_is_not_closed_upon(self):
         # Taken for what lost nine requests at once on a day of bad clients, in one of four plays.
         with Platform(limits={"cores": 1.0, "memory_mb": 96, "sockets": 32}) as it:
-            most = it.node.door.most()
+            most = it.node.listener.most()
             silent = [native(it.address) for _ in range(most)]
             usual = native(it.address)          # all in one round of the loop: none is old enough to make room
             usual.sendall(request(1, A) + request(2, B))
@@ -516,7 +516,7 @@
                 with suppress(BlockingIOError):
                     got += usual.recv(65536)
             self.assertEqual(got.count(b"Status: 200"), 2)
-            self.assertEqual(it.node.door.tally.totals().get("too-many-connections", 0), 0)
+            self.assertEqual(it.node.listener.tally.totals().get("too-many-connections", 0), 0)
             for each in [usual, *silent]:
                 each.close()
 
@@ -525,7 +525,7 @@
             fill(it, left="900")
             late = native(it.address)
             late.sendall(request(1, A) + request(2, B))
-            until(lambda: it.node.door.tally.totals().get("too-many-connections"))
+            until(lambda: it.node.listener.tally.totals().get("too-many-connections"))
             late.settimeout(1)
             got = b""
             while more := late.recv(65536):
--- a/threadshift/fastcgi/connection.py
+++ b/threadshift/fastcgi/connection.py
@@ -60,9 +60,9 @@
 class Connection(Outgoing):
     """One client connection."""
 
-    def __init__(self, sock: socket.socket, door: Listener, unread: int):
+    def __init__(self, sock: socket.socket, listener: Listener, unread: int):
         super().__init__(sock, BUFFER, WRITE)
-        self.door, self.unread = door, unread
+        self.listener, self.unread = listener, unread
         self.accepted = self.active = time.monotonic_ns()
         self.limit = self.accepted + room.FIRST
         self.open: dict[int, Request] = {}
@@ -90,8 +90,8 @@
                 if self.offences > offences:
                     gevent.sleep(room.pause(self.offences, bool(self.open)) / SECOND)
         except NotFastCGI as problem:
-            self.door.tally.note(time.monotonic_ns(), "unreadable")
-            self.door.note("unreadable", level="debug", problem=str(problem))
+            self.listener.tally.note(time.monotonic_ns(), "unreadable")
+            self.listener.note("unreadable", level="debug", problem=str(problem))
             self.offences += 1
             self.give_up_all()
             gevent.sleep(room.LINGER / SECOND)
@@ -107,7 +107,7 @@
         """The client is gone, or is to go: nothing is owed to it any more."""
         gone, self.open = list(self.open.values()), {}
         if ids := [request.held.ivk for request in gone if isinstance(request.held, Held)]:
-            self.door.note("client-gone", requests=len(ids), ids=ids[:IDS_TOLD])
+            self.listener.note("client-gone", requests=len(ids), ids=ids[:IDS_TOLD])
         for request in gone:
             self.let_go(request)
 
@@ -119,7 +119,7 @@
         """One record. Raises NotFastCGI."""
         if number == 0:
             if kind == GET_VALUES:
-                self.put(codec.values(content, self.door.most(), MOST_OPEN))
+                self.put(codec.values(content, self.listener.most(), MOST_OPEN))
                 self.offences += 1      # nobody needs it twice; asked again and again, it is answered slowly
             elif kind in (BEGIN, ABORT, PARAMS, STDIN):
                 raise NotFastCGI(f"type {kind} under number 0")
@@ -154,7 +154,7 @@
         request = Request(self, number, keep, now)
         if len(self.open) >= MOST_OPEN:
             self.offences += 1
-            self.door.tally.note(now, "too-many-open")
+            self.listener.tally.note(now, "too-many-open")
             self.put(codec.response(number, MANY))
             return
         self.open[number] = request
@@ -185,12 +185,12 @@
                 raise Unfit(413, f"a body passes {LONGEST_BODY} bytes")
             return
         unread, self.unread, self.dropped = self.unread, 0, 0
-        self.door.take(request, unread)
+        self.listener.take(request, unread)
 
     def unfit(self, request: Request, problem: Unfit) -> None:
         self.offences += 1
-        self.door.tally.note(time.monotonic_ns(), "unfit")
-        self.door.note("unfit", level="debug", problem=str(problem))
+        self.listener.tally.note(time.monotonic_ns(), "unfit")
+        self.listener.note("unfit", level="debug", problem=str(problem))
         request.respond(requests.unfit(problem))
 
     # Answers.
--- a/threadshift/fastcgi/door.py
+++ b/threadshift/fastcgi/listener.py
@@ -42,7 +42,7 @@
             for sent in held.sends]
 
 
-class Door:
+class FastCgiListener:
     """The listener and all connections; the desk's port to clients."""
 
     def __init__(self, most: Callable[[], int], activations: int, types: dict[str, NamespaceType], advice: int,
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -1,4 +1,4 @@
-"""One front end on the platform: door, links to workers, the coordinator's stream and the one timer around a desk.
+"""One front end on the platform: listener, links to workers, the coordinator's stream and a timer around a desk.
 
 Nothing here decides. run() returns once it was told to end and has left in order.
 """
@@ -20,7 +20,7 @@
 from threadshift.coordinator.stream import CoordinatorStream
 from threadshift.desk import earlier
 from threadshift.desk.desk import Desk
-from threadshift.fastcgi.door import Door
+from threadshift.fastcgi.listener import FastCgiListener
 from threadshift.frames import pool
 from threadshift.frames.link import Link
 from threadshift.gateway.fleet import Fleet
@@ -58,12 +58,12 @@
         types = {each.name: each for each in told.deployment.types}
         self.admission = Admission(min(each.target_latency for each in types.values()))
         self.descriptors = Descriptors(told.sockets)
-        self.door = Door(lambda: self.descriptors.clients(self.dialled), told.activations, types,
+        self.listener = FastCgiListener(lambda: self.descriptors.clients(self.dialled), told.activations, types,
                          told.deployment.longest_advice, self.admission, self, self.note, self.chance)
-        self.looks = self.door.looks
+        self.looks = self.listener.looks
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
         earlier.assume(dispatcher, told.deployment, now)
-        self.desk = self.door.desk = Desk(dispatcher, self, self.door, told.load_order)
+        self.desk = self.listener.desk = Desk(dispatcher, self, self.listener, told.load_order)
         self.coordinator = CoordinatorStream(told.coordinator, self.on_list_update, self.on_coordinator_lost,
                                              self.note, self.chance)
         self.leaving = Leaving(max(each.action_timeout for each in types.values()))
@@ -110,11 +110,11 @@
     def room(self, wanted: bool) -> bool:
         """Makes room for a connection to a worker; the dial that asks is counted as one already."""
         others = self.dialled - 1
-        if self.descriptors.fits(len(self.door.connections), others, self.listed_workers):
+        if self.descriptors.fits(len(self.listener.connections), others, self.listed_workers):
             return True
         if not wanted:
             return False
-        if self.descriptors.yields(len(self.door.connections)) and self.door.make_room():
+        if self.descriptors.yields(len(self.listener.connections)) and self.listener.make_room():
             return True
         idle = {connection: link for link in self.connected for connection in link.connections}
         if (goes := pool.who_goes(idle)) is None:
@@ -185,23 +185,23 @@
             self.stop_all()
             return
         sock = listener(self.told.listen, shared=False)
-        self.door.looks.start()
+        self.listener.looks.start()
         self.listening, self.ready_by = sock, time.monotonic_ns() + LIST_WAIT
-        self.greenlets.spawn(self.door.accept, sock)
+        self.greenlets.spawn(self.listener.accept, sock)
         self.note("started", listen=str(self.told.listen), pid=os.getpid(), workers=len(self.links),
                   last_event=self.coordinator.sequence.last, prepared_ms=self.prepared_in // MS)
         self.keep_time(lambda: self.stage() not in (Stage.STAYING, Stage.SERVING))
-        self.door.closing = True        # the listener stays: who still comes is refused in words, not by a reset
-        self.note("draining", owed=self.desk.owed, connections=len(self.door.connections))
+        self.listener.closing = True        # the listener stays: who still comes is refused in words, not by a reset
+        self.note("draining", owed=self.desk.owed, connections=len(self.listener.connections))
         self.keep_time(lambda: self.stage() is Stage.DONE)
-        self.door.end(sock)
+        self.listener.end(sock)
         self.stop_all()
 
     def stop_all(self) -> None:
         for link in self.links.values():
             link.stop()
         self.greenlets.kill()
-        self.door.looks.stop()
+        self.listener.looks.stop()
         self.note("ended", **self.state())
 
     def prepare(self) -> None:
@@ -214,14 +214,14 @@
         self.prepared_in = time.monotonic_ns() - since
 
     def stage(self) -> Stage:
-        return self.leaving.stage(time.monotonic_ns(), self.desk.owed + self.door.under_way)
+        return self.leaving.stage(time.monotonic_ns(), self.desk.owed + self.listener.under_way)
 
     def keep_time(self, over: Callable[[], bool]) -> None:
         """The one timer: every tick, what is due."""
         told = 0
         for now, late in ticks(TICK, over, self.desk.due):
             now = self.beat(now, late)
-            self.door.tick(now)
+            self.listener.tick(now)
             if now - told >= TELL:
                 told = now
                 self.note("state", **self.state())
@@ -230,7 +230,7 @@
         """How it goes, for one line of the log."""
         dispatcher, now = self.desk.dispatcher, time.monotonic_ns()
         workers = dispatcher.workers.values()
-        return {"owed": self.desk.owed, "held": len(self.desk.held), "connections": len(self.door.connections),
+        return {"owed": self.desk.owed, "held": len(self.desk.held), "connections": len(self.listener.connections),
                 "flying": len(dispatcher.flying), "links": len(self.links),
                 "up": sum(link.up for link in self.connected),
                 "worker_connections": self.dialled, "dialled_in_all": self.dialled_in_all,
@@ -238,4 +238,4 @@
                 "functions": len(dispatcher.functions), "roster_lost": self.roster_lost,
                 "lag_ms": round(self.admission.lag / MS, 1), "part": round(self.admission.part, 3),
                 "stalls": self.stalls, "longest_stall_ms": self.longest_stall // MS,
-                "turned_away": self.door.tally.totals(), "counts": dict(self.desk.counts)}
+                "turned_away": self.listener.tally.totals(), "counts": dict(self.desk.counts)}
