--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -7,8 +7,8 @@
 from tests.platform import begin, params, request
 from threadshift.desk.desk import Answer, Final
 from threadshift.fastcgi import codec, requests, room
-from threadshift.fastcgi.codec import BEGIN, PARAMS, STDIN, Records, NotFastCGI, pair, pairs, record, stream
-from threadshift.fastcgi.requests import Unfit
+from threadshift.fastcgi.codec import BEGIN, PARAMS, STDIN, ProtocolError, Records, pair, pairs, record, stream
+from threadshift.fastcgi.requests import InvalidRequest
 from threadshift.interface import MS, SECOND
 
 NAMES = {each.name: each for each in TYPES}
@@ -37,7 +37,7 @@
                      lambda: pairs(data), lambda: codec.begin(data), lambda: codec.values(data, 1, 1)):
             try:
                 read()
-            except NotFastCGI as problem:
+            except ProtocolError as problem:
                 self.assertTrue(str(problem))
 
     @settings(max_examples=100, deadline=None, derandomize=True)
@@ -86,12 +86,12 @@
             "0", "-5", "nan", "inf", "1e300", "abc", "", "5001", "9" * 400, "1500 ", "0x10", "\u0661")]
         for name, value in cases:
             told = {each: text for each, text in (GOOD | {name: value}).items() if text is not None}
-            with self.assertRaises(Unfit, msg=(name, value)) as caught:
+            with self.assertRaises(InvalidRequest, msg=(name, value)) as caught:
                 requests.read(told, b"hi", NAMES)
             self.assertIn(caught.exception.status, (400, 404))
 
     def test_a_parameter_that_counts_stands_once(self):
-        with self.assertRaises(Unfit):
+        with self.assertRaises(InvalidRequest):
             requests.parameters(pair(b"HTTP_X_ITEM", b"a") * 2)
         self.assertEqual(requests.parameters(pair(b"A", b"") * 2 + pair(b"HTTP_X_ITEM", b"\xff")),
                          {b"HTTP_X_ITEM": "\xff"})
--- a/threadshift/fastcgi/codec.py
+++ b/threadshift/fastcgi/codec.py
@@ -1,7 +1,7 @@
 """FastCGI 1.0 records and parameters. Free of I/O.
 
-All that is wrong with input is `NotFastCGI`, with one sentence for the log: nothing after it on that connection can
-be cut into records. From the FastCGI specification, version 1.0, sections 3.3 to 3.4, 4 and 5.
+Invalid input raises `ProtocolError`, whose one-sentence message goes to the log: nothing after it on that connection
+can be split into records. From the FastCGI specification, version 1.0, sections 3.3 to 3.4, 4 and 5.
 """
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 PADDED = bytes(8)
 
 
-class NotFastCGI(Cause):
+class ProtocolError(Cause):
     """Input that breaks the protocol; `str()` says how."""
 
     help = "none: the connection is ended; its client sends what is no FastCGI"
@@ -35,14 +35,14 @@
         self.buffer = b""
 
     def feed(self, data: bytes) -> Iterator[tuple[int, int, bytes]]:
-        """The records that data completes, each as it is asked for. Raises NotFastCGI."""
+        """The records that data completes, each as it is asked for. Raises ProtocolError."""
         data = self.buffer + data if self.buffer else data
         at, size = 0, len(data)
         while size - at >= HEAD.size:
             version, kind, id_, length, padding = HEAD.unpack_from(data, at)
             if version != VERSION:
                 self.buffer = b""
-                raise NotFastCGI(f"version {version} is none of FastCGI's")
+                raise ProtocolError(f"version {version} is none of FastCGI's")
             start = at + HEAD.size
             if size < start + length + padding:
                 break
@@ -75,24 +75,24 @@
 
 
 def pairs(content: bytes) -> list[tuple[bytes, bytes]]:
-    """Name-value pairs. Raises NotFastCGI where lengths do not match what is there."""
+    """Name-value pairs. Raises ProtocolError where lengths do not match what is there."""
     found, at, size = [], 0, len(content)
     while at < size:
         lengths = []
         for _ in range(2):
             if at >= size:
-                raise NotFastCGI("parameters end inside a length")
+                raise ProtocolError("parameters end inside a length")
             if content[at] < 0x80:
                 lengths.append(content[at])
                 at += 1
             else:
                 if at + 4 > size:
-                    raise NotFastCGI("parameters end inside a length")
+                    raise ProtocolError("parameters end inside a length")
                 lengths.append(LONG.unpack_from(content, at)[0] & 0x7FFFFFFF)
                 at += 4
         name, value = lengths
         if at + name + value > size:
-            raise NotFastCGI(f"a parameter of {name} and {value} bytes ends past the last one")
+            raise ProtocolError(f"a parameter of {name} and {value} bytes ends past the last one")
         found.append((content[at:at + name], content[at + name:at + name + value]))
         at += name + value
     return found
@@ -105,15 +105,15 @@
 
 
 def begin(content: bytes) -> tuple[int, bool]:
-    """The role that is asked for, and whether the connection is kept. Raises NotFastCGI."""
+    """The role that is asked for, and whether the connection is kept. Raises ProtocolError."""
     if len(content) != BEGUN.size:
-        raise NotFastCGI(f"a begin of {len(content)} bytes")
+        raise ProtocolError(f"a begin of {len(content)} bytes")
     role, flags = BEGUN.unpack(content)
     return role, bool(flags & KEEP)
 
 
 def values(content: bytes, connections: int, requests: int) -> bytes:
-    """The answer to GET_VALUES. Raises NotFastCGI."""
+    """The answer to GET_VALUES. Raises ProtocolError."""
     known = {b"FCGI_MAX_CONNS": b"%d" % connections, b"FCGI_MAX_REQS": b"%d" % requests, b"FCGI_MPXS_CONNS": b"1"}
     told = b"".join(pair(name, known[name]) for name in {name: None for name, _ in pairs(content)} if name in known)
     return record(VALUES, 0, told)
--- a/threadshift/fastcgi/connection.py
+++ b/threadshift/fastcgi/connection.py
@@ -15,8 +15,8 @@
 
 from threadshift.desk.desk import Held
 from threadshift.fastcgi import codec, requests, room
-from threadshift.fastcgi.codec import ABORT, BEGIN, GET_VALUES, PARAMS, STDIN, Records, NotFastCGI
-from threadshift.fastcgi.requests import LONGEST_BODY, LONGEST_PARAMS, Unfit
+from threadshift.fastcgi.codec import ABORT, BEGIN, GET_VALUES, PARAMS, STDIN, ProtocolError, Records
+from threadshift.fastcgi.requests import LONGEST_BODY, LONGEST_PARAMS, InvalidRequest
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.tally import Tally
 from threadshift.links.sockets import Outgoing, shows
@@ -89,7 +89,7 @@
                     self.hear(kind, number, content)
                 if self.offences > offences:
                     gevent.sleep(room.pause(self.offences, bool(self.open)) / SECOND)
-        except NotFastCGI as problem:
+        except ProtocolError as problem:
             self.listener.tally.note(time.monotonic_ns(), "unreadable")
             self.listener.note("unreadable", level="debug", problem=str(problem))
             self.offences += 1
@@ -116,13 +116,13 @@
             request.held.left(time.monotonic_ns())
 
     def hear(self, kind: int, number: int, content: bytes) -> None:
-        """One record. Raises NotFastCGI."""
+        """One record. Raises ProtocolError."""
         if number == 0:
             if kind == GET_VALUES:
                 self.put(codec.values(content, self.listener.most(), MOST_OPEN))
                 self.offences += 1      # nobody needs it twice; asked again and again, it is answered slowly
             elif kind in (BEGIN, ABORT, PARAMS, STDIN):
-                raise NotFastCGI(f"type {kind} under number 0")
+                raise ProtocolError(f"type {kind} under number 0")
             else:
                 self.put(codec.unknown(kind))
                 self.offences += 1
@@ -134,22 +134,22 @@
             # Of a request that was answered early, or was given up: the rest of it is still on its way.
             self.dropped += len(content)
             if self.dropped > DROPPED:
-                raise NotFastCGI("a request goes on and on after its end")
+                raise ProtocolError("a request goes on and on after its end")
         elif kind == ABORT:
             del self.open[number]
             self.let_go(request)
         elif kind in (PARAMS, STDIN):
             try:
                 (self.params if kind == PARAMS else self.stdin)(request, content)
-            except Unfit as problem:
+            except InvalidRequest as problem:
                 self.unfit(request, problem)
         else:
-            raise NotFastCGI(f"type {kind} is not for a client to send")
+            raise ProtocolError(f"type {kind} is not for a client to send")
 
     def begin(self, number: int, content: bytes) -> None:
         role, keep = codec.begin(content)
         if number in self.open:
-            raise NotFastCGI(f"number {number} is begun twice")
+            raise ProtocolError(f"number {number} is begun twice")
         now = time.monotonic_ns()
         request = Request(self, number, keep, now)
         if len(self.open) >= MOST_OPEN:
@@ -164,30 +164,30 @@
             request.respond(b"", codec.UNKNOWN_ROLE)
 
     def params(self, request: Request, content: bytes) -> None:
-        """Raises Unfit, as stdin() does."""
+        """Raises InvalidRequest, as stdin() does."""
         if request.told is not None:
-            raise NotFastCGI("parameters after their end")
+            raise ProtocolError("parameters after their end")
         if content:
             request.params += content
             if len(request.params) > LONGEST_PARAMS:
-                raise Unfit(413, f"parameters pass {LONGEST_PARAMS} bytes")
+                raise InvalidRequest(413, f"parameters pass {LONGEST_PARAMS} bytes")
             return
         request.told, request.params = requests.parameters(request.params), b""
 
     def stdin(self, request: Request, content: bytes) -> None:
         if request.told is None:
-            raise NotFastCGI("a body before the end of the parameters")
+            raise ProtocolError("a body before the end of the parameters")
         if request.held is not None:
-            raise NotFastCGI("a body after its end")
+            raise ProtocolError("a body after its end")
         if content:
             request.body += content
             if len(request.body) > LONGEST_BODY:
-                raise Unfit(413, f"a body passes {LONGEST_BODY} bytes")
+                raise InvalidRequest(413, f"a body passes {LONGEST_BODY} bytes")
             return
         unread, self.unread, self.dropped = self.unread, 0, 0
         self.listener.take(request, unread)
 
-    def unfit(self, request: Request, problem: Unfit) -> None:
+    def unfit(self, request: Request, problem: InvalidRequest) -> None:
         self.offences += 1
         self.listener.tally.note(time.monotonic_ns(), "unfit")
         self.listener.note("unfit", level="debug", problem=str(problem))
@@ -229,7 +229,7 @@
         self.limit = now + room.FIRST
         for request in [each for each in self.open.values() if each.held is None]:
             if now - request.began >= room.REQUEST:
-                self.unfit(request, Unfit(400, "the request did not end in time"))
+                self.unfit(request, InvalidRequest(400, "the request did not end in time"))
             else:
                 self.limit = min(self.limit, request.began + room.REQUEST)
         if not self.busy:
--- a/threadshift/fastcgi/listener.py
+++ b/threadshift/fastcgi/listener.py
@@ -15,10 +15,10 @@
 
 from threadshift.desk.desk import Desk, Held
 from threadshift.fastcgi import codec, requests, room
-from threadshift.fastcgi.codec import BEGIN, Records, NotFastCGI
+from threadshift.fastcgi.codec import BEGIN, ProtocolError, Records
 from threadshift.fastcgi.connection import MOST_OPEN, READ, WRITE, Connection, Request
 from threadshift.fastcgi.postponed import FrontEnd, PostponedRequests
-from threadshift.fastcgi.requests import Unfit
+from threadshift.fastcgi.requests import InvalidRequest
 from threadshift.interface import MS, SECOND, NamespaceType
 from threadshift.invoke.admission import Admission
 from threadshift.invoke.looks import STALL, Looks
@@ -68,7 +68,7 @@
 
     def turn_away(self, client: socket.socket) -> None:
         """Closes a connection for which there is no room; requests that lie on it already are refused in words."""
-        with suppress(OSError, NotFastCGI):
+        with suppress(OSError, ProtocolError):
             client.settimeout(0)
             begun = [number for kind, number, _ in Records().feed(client.recv(READ)) if kind == BEGIN]
             client.send(b"".join(codec.response(number, self.busy(CROWDED)) for number in begun[:MOST_OPEN]))
@@ -121,7 +121,7 @@
             self.connections.discard(connection)
 
     def take(self, request: Request, unread: int) -> None:
-        """A whole request: answered, refused, or taken. Raises Unfit."""
+        """A whole request: answered, refused, or taken. Raises InvalidRequest."""
         told = request.told
         assert told is not None
         if told.get(b"SCRIPT_NAME") == requests.ALIVE:
@@ -159,16 +159,16 @@
         """A request that has waited long enough: refused, or the desk's from here on."""
         try:
             self.let_in(request, asked, unread)
-        except Unfit as problem:
+        except InvalidRequest as problem:
             request.connection.unfit(request, problem)
         except Exception as fault:      # ours; it ends this request alone, and loudly
             self.note("fault", level="error", **fault_of(fault))
             self.refuse(request, FAULT)
 
     def let_in(self, request: Request, asked: requests.Asked, unread: int) -> None:
-        """Refused, or the desk's from here on. Raises Unfit."""
+        """Refused, or the desk's from here on. Raises InvalidRequest."""
         if asked.ivk in self.desk.held:
-            raise Unfit(409, "a request with this id is open")
+            raise InvalidRequest(409, "a request with this id is open")
         call = asked.call._replace(left=asked.call.left - unread)
         if self.closing or call.left <= 0 or len(self.desk.held) >= self.activations:
             self.refuse(request, CLOSING if self.closing else LATE if call.left <= 0 else FULL, asked.ivk)
--- a/threadshift/fastcgi/requests.py
+++ b/threadshift/fastcgi/requests.py
@@ -11,7 +11,7 @@
 
 from threadshift.desk.desk import Answer, Call, Final
 from threadshift.errors import Cause
-from threadshift.fastcgi.codec import NotFastCGI, pairs
+from threadshift.fastcgi.codec import ProtocolError, pairs
 from threadshift.interface import MS, SECOND, NamespaceType
 
 LONGEST_BODY = 16 << 10    # bytes; the protocol's bound
@@ -32,7 +32,7 @@
           b"HTTP_X_SIZE_MS", b"HTTP_X_SPEC", b"HTTP_X_TEAM", b"HTTP_X_UNIQUE"}
 
 
-class Unfit(Cause):
+class InvalidRequest(Cause):
     """A request that is refused for what it says: a status of 400 and up, and one sentence."""
 
     help = "none: its client is told what is wrong with it"
@@ -50,36 +50,36 @@
 
 
 def parameters(content: bytes) -> dict[bytes, str]:
-    """The parameters that count. Raises Unfit."""
+    """The parameters that count. Raises InvalidRequest."""
     try:
         told = pairs(content)
-    except NotFastCGI as problem:
-        raise Unfit(400, str(problem)) from None
+    except ProtocolError as problem:
+        raise InvalidRequest(400, str(problem)) from None
     found: dict[bytes, str] = {}
     for name, value in told:
         if name in WANTED:
             if name in found:
-                raise Unfit(400, f"{name.decode()} stands twice")
+                raise InvalidRequest(400, f"{name.decode()} stands twice")
             found[name] = value.decode("latin-1")
     return found
 
 
 def figure(text: str, most: float, what: str, least: float = 1e-9) -> float:
-    """A plain number in its range. Raises Unfit."""
+    """A plain number in its range. Raises InvalidRequest."""
     value = float(text) if FIGURE.fullmatch(text) else math.nan
     if not least <= value <= most:
-        raise Unfit(400, f"{what} '{text[:40]}' is no number from 0 to {most:g}")
+        raise InvalidRequest(400, f"{what} '{text[:40]}' is no number from 0 to {most:g}")
     return value
 
 
 def spec(text: str) -> tuple[int, int]:
-    """Lanes, and the usual time of a load in ns (0: not told), of the further figures. Raises Unfit."""
+    """Lanes, and the usual time of a load in ns (0: not told), of the further figures. Raises InvalidRequest."""
     parts = text.split(";") if text else []
     told: dict[str, str] = {}
     for part in parts:
         name, mark, value = part.partition(":")
         if not mark or name in told or len(parts) > MOST_SPEC:
-            raise Unfit(400, f"X-Spec '{part[:40]}' is not name:value, or stands twice")
+            raise InvalidRequest(400, f"X-Spec '{part[:40]}' is not name:value, or stands twice")
         told[name] = value
     for name in ("memory_mb", "memoryMb"):
         if name in told:
@@ -87,35 +87,35 @@
     lanes = figure(told.get("lanes", told.get("atOnce", "1")), MOST_LANES, "lanes")
     load = told.get("load_ms", told.get("loadTimeMs"))
     if lanes != int(lanes):
-        raise Unfit(400, f"lanes {lanes:g} is no whole number")
+        raise InvalidRequest(400, f"lanes {lanes:g} is no whole number")
     return int(lanes), round(figure(load, LONGEST_WORK / MS, "load time") * MS) if load is not None else 0
 
 
 def read(told: Mapping[bytes, str], body: bytes, types: Mapping[str, NamespaceType]) -> Asked:
-    """A request as a call. Raises Unfit."""
+    """A request as a call. Raises InvalidRequest."""
     def need(name: bytes) -> str:
         if name not in told:
-            raise Unfit(400, f"{name.decode()} is absent")
+            raise InvalidRequest(400, f"{name.decode()} is absent")
         return told[name]
 
     path = need(b"SCRIPT_NAME")
     type_ = types.get(path[len(PATH):]) if path.startswith(PATH) else None
     if type_ is None:
-        raise Unfit(404, f"nothing stands at '{path[:80]}'")
+        raise InvalidRequest(404, f"nothing stands at '{path[:80]}'")
     ivk, function = need(b"HTTP_X_JOB_ID"), need(b"HTTP_X_ITEM")
     for what, text in (("X-Job-Id", ivk), ("X-Item", function)):
         if not ID.fullmatch(text):
-            raise Unfit(400, f"{what} '{text[:40]}' is not 16 hex digits")
+            raise InvalidRequest(400, f"{what} '{text[:40]}' is not 16 hex digits")
     if told.get(b"HTTP_X_AGAIN", "1") != "1":
-        raise Unfit(400, f"X-Again '{told[b'HTTP_X_AGAIN'][:40]}' is not 1")
+        raise InvalidRequest(400, f"X-Again '{told[b'HTTP_X_AGAIN'][:40]}' is not 1")
     mark = told.get(b"HTTP_X_UNIQUE", "")
     if mark and not MARK.fullmatch(mark):
-        raise Unfit(400, f"X-Unique '{mark[:40]}' is no mark")
+        raise InvalidRequest(400, f"X-Unique '{mark[:40]}' is no mark")
     left = figure(need(b"HTTP_X_ALLOW_MS"), ALLOWED * type_.action_timeout / MS, "X-Allow-Ms")
     work = figure(told.get(b"HTTP_X_SIZE_MS", "0"), LONGEST_WORK / MS, "X-Size-Ms", least=0)
     length = told.get(b"CONTENT_LENGTH", "")
     if length and (not length.isascii() or not length.isdigit() or int(length[:12]) != len(body)):
-        raise Unfit(400, f"CONTENT_LENGTH '{length[:40]}' with a body of {len(body)} bytes")
+        raise InvalidRequest(400, f"CONTENT_LENGTH '{length[:40]}' with a body of {len(body)} bytes")
     lanes, load = spec(told.get(b"HTTP_X_SPEC", ""))
     return Asked(ivk, Call(type_.name, function, round(left * MS), body, told.get(b"HTTP_X_TEAM", ""), mark,
                            round(work * MS), lanes, load, b"HTTP_X_AGAIN" in told))
@@ -127,7 +127,7 @@
     return b"Status: %s\r\n%sContent-Type: text/plain\r\n\r\n%s\n" % (status, advice, text.encode("ascii", "replace"))
 
 
-def unfit(problem: Unfit) -> bytes:
+def unfit(problem: InvalidRequest) -> bytes:
     words = {400: b"400 Bad Request", 404: b"404 Not Found", 409: b"409 Conflict", 413: b"413 Content Too Large"}
     return plain(words[problem.status], str(problem))
 
