--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -6,7 +6,7 @@
 from tests.helpers import TYPES
 from tests.platform import begin, params, request
 from threadshift.desk.desk import Answer, Final
-from threadshift.fastcgi import codec, requests, room
+from threadshift.fastcgi import codec, connection_eviction, requests
 from threadshift.fastcgi.codec import BEGIN, PARAMS, STDIN, ProtocolError, Records, pair, pairs, record, stream
 from threadshift.fastcgi.requests import InvalidRequest
 from threadshift.interface import MS, SECOND
@@ -124,16 +124,17 @@
         offender = self.Kept(answered=True, offences=1, active=now - 40 * MS)
         lately = self.Kept(answered=True, active=now - SECOND // 2)
         kept = [lately, asked, silent, offender, self.Kept(busy=True), self.Kept(active=now)]
-        self.assertEqual(room.who_goes(kept, now), [offender, silent, asked, lately])
+        self.assertEqual(connection_eviction.candidates(kept, now), [offender, silent, asked, lately])
 
     def test_whoever_had_no_answer_is_not_kept_for_three_seconds(self):
         for it in (self.Kept(active=2 * SECOND), self.Kept(active=2 * SECOND, answered=True, offences=1)):
-            self.assertGreater(room.over(it, SECOND), 0)
-            self.assertLessEqual(room.over(it, 2 * SECOND), 0)
-        self.assertGreater(room.over(self.Kept(answered=True, active=2 * SECOND), 7 * SECOND), 0)
+            self.assertGreater(connection_eviction.remaining_idle_time(it, SECOND), 0)
+            self.assertLessEqual(connection_eviction.remaining_idle_time(it, 2 * SECOND), 0)
+        self.assertGreater(connection_eviction.remaining_idle_time(
+            self.Kept(answered=True, active=2 * SECOND), 7 * SECOND), 0)
 
     def test_pauses_grow_to_a_limit(self):
-        pauses = [room.pause(n) for n in range(40)]
+        pauses = [connection_eviction.read_pause(n) for n in range(40)]
         self.assertEqual(pauses[0], 0)
         self.assertEqual(pauses, sorted(pauses))
-        self.assertEqual(pauses[-1], room.LONGEST_PAUSE)
+        self.assertEqual(pauses[-1], connection_eviction.MAX_READ_PAUSE)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -14,7 +14,7 @@
 from threadshift.audit.records import Seen
 from threadshift.audit.rules import breaches
 from threadshift.conf.settings import Malformed
-from threadshift.fastcgi import room
+from threadshift.fastcgi import connection_eviction
 from threadshift.fastcgi.codec import ABORT, GET_VALUES, HEAD, STDIN, pair, record, stream
 from threadshift.frames.codec import ERROR, FROM_WORKER, FULL, GIVE_UP, HOLD, INVOKE, MISS, OK, OVER, encode
 from threadshift.interface import MS, SECOND
@@ -223,7 +223,7 @@
             most, firm = it.node.listener.most(), it.node.descriptors.firm
             for n in range(2 * most):
                 self.assertEqual(it.call(id_=f"{n:016x}")[0], 200)
-                gevent.sleep(room.GRACE / SECOND if n >= firm - 1 else 0)
+                gevent.sleep(connection_eviction.ACTIVITY_GRACE / SECOND if n >= firm - 1 else 0)
             self.assertLessEqual(len(it.node.listener.connections), most)
             asked = it.clients[-1]
             held = next(iter(it.node.listener.connections - {
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -25,7 +25,7 @@
 from tests.test_desk import ask, desk
 from threadshift.conf.values import Address
 from threadshift.coordinator import freshness
-from threadshift.fastcgi import room
+from threadshift.fastcgi import connection_eviction
 from threadshift.fastcgi.codec import STDIN, record, stream
 from threadshift.frames import link, pool
 from threadshift.frames.codec import FROM_WORKER, INVOKE, OK, encode
@@ -539,7 +539,7 @@
             late = [it.client() for _ in range(10)]
             since = time.monotonic_ns()
             self.assertTrue(all(each.closed(1.0) for each in late))
-            self.assertLess(time.monotonic_ns() - since, 5 * room.GRACE)
+            self.assertLess(time.monotonic_ns() - since, 5 * connection_eviction.ACTIVITY_GRACE)
 
     def test_idle_clients_take_none_that_stream_workers_and_usual_clients_need(self):
         """A real process with a real limit: idle clients fill it while the coordinator is down."""
--- a/threadshift/fastcgi/connection.py
+++ b/threadshift/fastcgi/connection.py
@@ -1,7 +1,7 @@
 """One client's connection: FastCGI records to requests, answers back under their numbers.
 
 One greenlet a connection reads; answers are written by whoever brings them, and by a greenlet of its own only while a
-client does not take them. Who is kept and for how long is decided in room.py.
+client does not take them. Who is kept and for how long is decided in connection_eviction.py.
 """
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from gevent import socket
 
 from threadshift.desk.desk import Held
-from threadshift.fastcgi import codec, requests, room
+from threadshift.fastcgi import codec, connection_eviction, requests
 from threadshift.fastcgi.codec import ABORT, BEGIN, GET_VALUES, PARAMS, STDIN, ProtocolError, Records
 from threadshift.fastcgi.requests import LONGEST_BODY, LONGEST_PARAMS, InvalidRequest
 from threadshift.interface import MS, SECOND
@@ -64,7 +64,7 @@
         super().__init__(sock, BUFFER, WRITE)
         self.listener, self.unread = listener, unread
         self.accepted = self.active = time.monotonic_ns()
-        self.limit = self.accepted + room.FIRST
+        self.limit = self.accepted + connection_eviction.FIRST_ANSWER_TIMEOUT
         self.open: dict[int, Request] = {}
         self.answered = self.last = self.ended = False
         self.offences = self.dropped = 0
@@ -88,13 +88,13 @@
                 for kind, number, content in records.feed(data):
                     self.hear(kind, number, content)
                 if self.offences > offences:
-                    gevent.sleep(room.pause(self.offences, bool(self.open)) / SECOND)
+                    gevent.sleep(connection_eviction.read_pause(self.offences, bool(self.open)) / SECOND)
         except ProtocolError as problem:
             self.listener.tally.note(time.monotonic_ns(), "unreadable")
             self.listener.note("unreadable", level="debug", problem=str(problem))
             self.offences += 1
             self.give_up_all()
-            gevent.sleep(room.LINGER / SECOND)
+            gevent.sleep(connection_eviction.CLOSE_DELAY / SECOND)
         except OSError:
             pass
         finally:
@@ -158,7 +158,7 @@
             self.put(codec.response(number, MANY))
             return
         self.open[number] = request
-        self.limit = min(self.limit, now + room.REQUEST)
+        self.limit = min(self.limit, now + connection_eviction.REQUEST_READ_TIMEOUT)
         if role != codec.RESPONDER:
             self.offences += 1
             request.respond(b"", codec.UNKNOWN_ROLE)
@@ -226,14 +226,14 @@
 
     def look(self, now: int) -> None:
         """A limit has passed, or may have: what is overdue ends."""
-        self.limit = now + room.FIRST
+        self.limit = now + connection_eviction.FIRST_ANSWER_TIMEOUT
         for request in [each for each in self.open.values() if each.held is None]:
-            if now - request.began >= room.REQUEST:
+            if now - request.began >= connection_eviction.REQUEST_READ_TIMEOUT:
                 self.unfit(request, InvalidRequest(400, "the request did not end in time"))
             else:
-                self.limit = min(self.limit, request.began + room.REQUEST)
+                self.limit = min(self.limit, request.began + connection_eviction.REQUEST_READ_TIMEOUT)
         if not self.busy:
-            left = room.over(self, now)
+            left = connection_eviction.remaining_idle_time(self, now)
             if left <= 0:
                 self.end()
             else:
--- a/threadshift/fastcgi/listener.py
+++ b/threadshift/fastcgi/listener.py
@@ -1,6 +1,6 @@
 """The listener for FastCGI clients: accepts connections, takes or refuses their requests, ends what must make room.
 
-Who is kept and for how long is decided in room.py, who is let in in invoke/admission.py.
+Who is kept and for how long is decided in connection_eviction.py, who is let in in invoke/admission.py.
 """
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from gevent.pool import Group
 
 from threadshift.desk.desk import Desk, Held
-from threadshift.fastcgi import codec, requests, room
+from threadshift.fastcgi import codec, connection_eviction, requests
 from threadshift.fastcgi.codec import BEGIN, ProtocolError, Records
 from threadshift.fastcgi.connection import MOST_OPEN, READ, WRITE, Connection, Request
 from threadshift.fastcgi.postponed import FrontEnd, PostponedRequests
@@ -87,7 +87,7 @@
             now = time.monotonic_ns()
             if now - self.in_vain < VAIN:
                 return
-            if now - since > room.GRACE + ROOM_WAIT:
+            if now - since > connection_eviction.ACTIVITY_GRACE + ROOM_WAIT:
                 self.in_vain = now
                 return
             gevent.sleep(ROOM_WAIT / SECOND)
@@ -100,7 +100,8 @@
 
     def make_room(self) -> bool:
         """Ends some connections that nothing is owed on, and waits until they are closed; whether any was."""
-        going = [each for each in room.who_goes(self.connections, time.monotonic_ns()) if each.end()]
+        going = [each for each in connection_eviction.candidates(self.connections, time.monotonic_ns())
+                 if each.end()]
         for _ in range(ROOM_WAITS if going else 0):
             gevent.sleep(ROOM_WAIT / SECOND)
             if any(each not in self.connections for each in going):
--- a/threadshift/node/descriptors.py
+++ b/threadshift/node/descriptors.py
@@ -7,7 +7,7 @@
 """
 from __future__ import annotations
 
-from threadshift.fastcgi import room
+from threadshift.fastcgi import connection_eviction
 
 KEPT = 24                  # descriptors: standard ones, the loop's, listener, stream, its next dial, an accept
 KEPT_PART = 4              # of a small limit, one in so many is kept instead
@@ -23,7 +23,7 @@
     def __init__(self, most: int) -> None:
         self.most = most
         self.sum = most - min(KEPT, most // KEPT_PART)
-        self.share = room.share(most)
+        self.share = connection_eviction.max_client_connections(most)
         self.firm = min(self.share, max(8, int(most * CLIENTS)))
 
     def clients(self, workers: int) -> int:
