--- a/tests/platform.py
+++ b/tests/platform.py
@@ -221,7 +221,7 @@
     def __exit__(self, *_):
         for client in self.clients:
             client.close()
-        self.node.leaving.since = 1     # long ago: nothing comes any more
+        self.node.shutdown.requested_at = 1     # long ago: nothing comes any more
         self.running.join(10)
         for server in [self.coordinator, *self.workers, *self.extra]:
             server.stop()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -21,7 +21,7 @@
 from threadshift.invoke.looks import Looks
 from threadshift.node import placement
 from threadshift.node.descriptors import Descriptors
-from threadshift.node.leaving import Leaving, Stage
+from threadshift.node.shutdown import Shutdown, Stage
 from threadshift.timer import ticks
 
 A = "00000000000000a1"
@@ -394,13 +394,13 @@
             fresh.close()
 
     def test_stages(self):
-        it = Leaving(10 * SECOND)
-        self.assertIs(it.stage(5, 9), Stage.STAYING)
+        it = Shutdown(10 * SECOND)
+        self.assertIs(it.stage(5, 9), Stage.RUNNING)
         it.begin(SECOND)
         it.begin(2 * SECOND)
-        self.assertIs(it.stage(SECOND + 700 * MS, 0), Stage.SERVING)
-        self.assertIs(it.stage(2 * SECOND, 1), Stage.CLOSED)
-        self.assertIs(it.stage(2 * SECOND, 0), Stage.CLOSED)
+        self.assertIs(it.stage(SECOND + 700 * MS, 0), Stage.ACCEPTING)
+        self.assertIs(it.stage(2 * SECOND, 1), Stage.REFUSING)
+        self.assertIs(it.stage(2 * SECOND, 0), Stage.REFUSING)
         self.assertIs(it.stage(2 * SECOND + 60 * MS, 0), Stage.DONE)
         self.assertIs(it.stage(5 * SECOND, 1), Stage.DONE)     # well before it is killed
 
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -16,7 +16,7 @@
 from threadshift.interface import MS, SECOND, Copy, Effect, Outcome
 from threadshift.invoke.admission import Admission
 from threadshift.node.descriptors import Descriptors
-from threadshift.node.leaving import Leaving
+from threadshift.node.shutdown import Shutdown
 from threadshift.node.placement import understand
 
 EFFECTS = ("safe", "keyed", "unsafe")
@@ -65,7 +65,7 @@
         types = it.deployment.types
         Admission(min(each.target_latency for each in types)).measured(SECOND, MS)
         Descriptors(it.sockets).clients(40)
-        leaving = Leaving(max(each.action_timeout for each in types))
+        shutdown = Shutdown(max(each.action_timeout for each in types))
         fleet, now, calls = Fleet(), SECOND, []
         desk = fleet.desk = Desk(Dispatcher(1, it.deployment, now), fleet, fleet, it.load_order)
         desk.roster(now, [ready(f"w{n}", since=now if n == 3 else 0) for n in range(4)], full=True)
@@ -84,14 +84,14 @@
                 calls[pick % len(calls)].left(now)
             else:
                 now = self.wait(desk, now, now + pick * 10 * MS)
-        leaving.begin(now)
-        desk.hasten(now, leaving.answered)
-        now = self.wait(desk, now, leaving.answered)
+        shutdown.begin(now)
+        desk.hasten(now, shutdown.answer_deadline)
+        now = self.wait(desk, now, shutdown.answer_deadline)
         self.assertEqual((desk.owed, desk.counts["overdue"]), (0, 0))
         for held in calls:
             answers = fleet.answers.get(held.ivk, [])
             self.assertEqual(len(answers), 0 if held.gone else 1)
-            self.assertLessEqual(held.answered_at, leaving.answered)
+            self.assertLessEqual(held.answered_at, shutdown.answer_deadline)
             ran = [sent for sent in held.sends if sent.outcome not in (
                 Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT, Outcome.MISS)]
             if held.act.kind.effect is Effect.ONCE_ONLY:
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -31,11 +31,11 @@
 from threadshift.frames.codec import FROM_WORKER, INVOKE, OK, encode
 from threadshift.interface import MS, SECOND, Effect, Outcome
 from threadshift.links.sockets import Outgoing
-from threadshift.node import leaving
+from threadshift.node import shutdown
 
 ROOT = Path(__file__).resolve().parent.parent
 A, B = "00000000000000a1", "00000000000000a2"
-AFTER = 3 * leaving.LAST        # ns of quiet after which a front end that leaves would have ended
+AFTER = 3 * shutdown.QUIET_TIME        # ns of quiet after which a front end that leaves would have ended
 
 
 def silent(worker, sock, it):
@@ -164,10 +164,10 @@
                 file.flush()
                 it.environment["NODE_CONFIG"] = file.name
                 it.node.end()
-                since = it.node.leaving.since
+                since = it.node.shutdown.requested_at
                 it.node.reload()
                 it.node.end()
-                self.assertEqual((it.node.leaving.since, it.call(left="500")[0]), (since, 200))
+                self.assertEqual((it.node.shutdown.requested_at, it.call(left="500")[0]), (since, 200))
                 until(lambda: it.node.listener.closing)
                 it.node.reload()
                 self.assertEqual(it.call(left="500")[0], 503)
@@ -185,11 +185,11 @@
 
     def test_the_last_answer_comes_before_it_may_be_killed(self):
         for timeout in (100 * MS, 940 * MS, 2500 * MS, 12 * SECOND):
-            it = leaving.Leaving(timeout)
+            it = shutdown.Shutdown(timeout)
             it.begin(SECOND)
             killed = SECOND + 700 * MS + min(timeout, 3 * SECOND)
-            self.assertLess(it.answered, killed - 100 * MS)
-            self.assertIs(it.stage(killed - 50 * MS, 7), leaving.Stage.DONE)
+            self.assertLess(it.answer_deadline, killed - 100 * MS)
+            self.assertIs(it.stage(killed - 50 * MS, 7), shutdown.Stage.DONE)
 
 
 class ClientGone(unittest.TestCase):
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -30,7 +30,7 @@
 from threadshift.log import Log
 from threadshift.node import placement
 from threadshift.node.descriptors import Descriptors
-from threadshift.node.leaving import Leaving, Stage
+from threadshift.node.shutdown import Shutdown, Stage
 from threadshift.node.placement import Placement
 from threadshift.roster.membership import Entry, Membership
 from threadshift.timer import ticks
@@ -66,7 +66,7 @@
         self.desk = self.listener.desk = Desk(dispatcher, self, self.listener, told.load_order)
         self.coordinator = CoordinatorStream(told.coordinator, self.on_list_update, self.on_coordinator_lost,
                                              self.note, self.chance)
-        self.leaving = Leaving(max(each.action_timeout for each in types.values()))
+        self.shutdown = Shutdown(max(each.action_timeout for each in types.values()))
         self.greenlets = Group()
         self.listening: socket.socket | None = None
         self.prepared_in = 0         # ns that the list of the configuration took
@@ -150,7 +150,7 @@
 
     def ready(self) -> bool:
         # A list that is late or empty is waited for, not for ever: refused for it, a whole fleet would never start.
-        return self.listening is not None and not self.leaving.since and not self.list_is_stale() and (
+        return self.listening is not None and not self.shutdown.requested_at and not self.list_is_stale() and (
             bool(self.desk.dispatcher.fleet) or time.monotonic_ns() >= self.ready_by)
 
     # Signals.
@@ -158,9 +158,9 @@
     def end(self) -> None:
         """Told to end; from a signal."""
         now = time.monotonic_ns()
-        if not self.leaving.since:
-            self.leaving.begin(now)
-            self.desk.hasten(now, self.leaving.answered)
+        if not self.shutdown.requested_at:
+            self.shutdown.begin(now)
+            self.desk.hasten(now, self.shutdown.answer_deadline)
 
     def reload(self) -> None:
         """Told of another configuration; from a signal. What is bad leaves the old one in force."""
@@ -181,7 +181,7 @@
         self.greenlets.spawn(self.coordinator.run)    # before the links dial: calls wait for the coordinator's answer
         self.prepare()
         gevent.sleep(SIGNALS_HEARD / SECOND)
-        if self.leaving.since:          # told to end before anything could be taken
+        if self.shutdown.requested_at:          # told to end before anything could be taken
             self.stop_all()
             return
         sock = listener(self.told.listen, shared=False)
@@ -190,7 +190,7 @@
         self.greenlets.spawn(self.listener.accept, sock)
         self.note("started", listen=str(self.told.listen), pid=os.getpid(), workers=len(self.links),
                   last_event=self.coordinator.sequence.last, prepared_ms=self.prepared_in // MS)
-        self.keep_time(lambda: self.stage() not in (Stage.STAYING, Stage.SERVING))
+        self.keep_time(lambda: self.stage() not in (Stage.RUNNING, Stage.ACCEPTING))
         self.listener.closing = True        # the listener stays: who still comes is refused in words, not by a reset
         self.note("draining", owed=self.desk.owed, connections=len(self.listener.connections))
         self.keep_time(lambda: self.stage() is Stage.DONE)
@@ -214,7 +214,7 @@
         self.prepared_in = time.monotonic_ns() - since
 
     def stage(self) -> Stage:
-        return self.leaving.stage(time.monotonic_ns(), self.desk.owed + self.listener.under_way)
+        return self.shutdown.stage(time.monotonic_ns(), self.desk.owed + self.listener.under_way)
 
     def keep_time(self, over: Callable[[], bool]) -> None:
         """The one timer: every tick, what is due."""
