--- a/tests/platform.py
+++ b/tests/platform.py
@@ -11,7 +11,7 @@
 from threadshift.fastcgi.codec import ABORT, BEGIN, BEGUN, END, KEEP, PARAMS, RESPONDER, STDIN, STDOUT, record, stream
 from threadshift.frames.codec import FROM_US, FROM_WORKER, HOLD, INVOKE, OK, Frames, encode
 from threadshift.node.front import Node
-from threadshift.node.placement import understand
+from threadshift.node.front_end_config import parse_config
 
 LANES = [dict(name="check", aim=280.0, giveUp=1000.0, effect="safe", worth=1.0, lateValue=0.3),
          dict(name="submit", aim=240.0, giveUp=940.0, effect="unsafe", worth=2.0, lateValue=0.3)]
@@ -205,10 +205,10 @@
             changes["known"] = {"index": 1, "updates": list(self.coordinator.events)}
         self.log = Silent()
         self.address = Address("127.0.0.1", free_port())
-        self.told = understand(configuration(listen=str(self.address), coordinator=str(self.coordinator.address),
+        self.config = parse_config(configuration(listen=str(self.address), coordinator=str(self.coordinator.address),
                                              **changes), {}, "test")
         self.environment = {}
-        self.node = Node(self.told, self.environment, self.log)
+        self.node = Node(self.config, self.environment, self.log)
         self.running, self.clients, self.extra = None, [], []
 
     def __enter__(self):
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -30,7 +30,7 @@
 from threadshift.interface import MS, SECOND, State
 from threadshift.links.codec import encode
 from threadshift.links.redial import Redial
-from threadshift.node import placement
+from threadshift.node import front_end_config
 from threadshift.node.front import Node
 from threadshift.roster.membership import Entry, Membership, WorkerList
 
@@ -403,7 +403,7 @@
         settings["registryMode"], settings["rules"]["askWithin"] = mode, ask_within
         for lane in settings["lanes"]:
             lane["aim"], lane["giveUp"] = min(lane["aim"], float(give_up)), float(give_up)
-        placed = placement.understand(configuration(settings=settings, known={"index": 1, "updates": [
+        placed = front_end_config.parse_config(configuration(settings=settings, known={"index": 1, "updates": [
             event(1, instance("s-0", ANY), full=True)]}), {}, "test")
         self.assertEqual(placed.deployment.drain_grace, grace_ms * MS)
         node = Node(placed, {}, Silent())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -19,7 +19,7 @@
 from threadshift.frames.codec import ERROR, FROM_WORKER, FULL, GIVE_UP, HOLD, INVOKE, MISS, OK, OVER, encode
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.looks import Looks
-from threadshift.node import placement
+from threadshift.node import front_end_config
 from threadshift.node.descriptors import Descriptors
 from threadshift.node.shutdown import Shutdown, Stage
 from threadshift.timer import ticks
@@ -469,12 +469,12 @@
             gevent.joinall(asks)
             self.assertEqual({ask.get() for ask in asks}, {200, 502, 503})
             seen.sort(key=lambda each: each.t)
-            self.assertEqual([str(each) for each in breaches(seen, it.told.deployment, 1)], [])
+            self.assertEqual([str(each) for each in breaches(seen, it.config.deployment, 1)], [])
             self.assertTrue(any(each.event == "run" for each in seen))
             # The audit sees it when one is broken: the first completed call, run a second time.
             once = next(each for each in seen if each.event == "run" and int(each["mark"], 16) % 2)
             twice = sorted([*seen, Seen(once.t + MS, "run", "s-2", once.facts)], key=lambda each: each.t)
-            self.assertTrue(list(breaches(twice, it.told.deployment, 1)))
+            self.assertTrue(list(breaches(twice, it.config.deployment, 1)))
 
 
 class Unread(unittest.TestCase):
@@ -516,31 +516,32 @@
                 file.flush()
                 environment = {} if told == {} else {"NODE_CONFIG": told[0] if isinstance(told, list) else file.name}
                 with self.assertRaises(Malformed, msg=words) as caught:
-                    placement.read(environment)
+                    front_end_config.read_config(environment)
                 self.assertIn(words, str(caught.exception))
                 self.assertNotIn("\n", str(caught.exception))
 
     def test_bounds_follow_the_limits(self):
         for memory, sockets in ((32, 256), (96, 256), (192, 1024)):
-            it = placement.understand(configuration(limits={"memory_mb": memory, "sockets": sockets}), {}, "f")
-            self.assertLess(it.activations * 2 * (16 << 10), it.memory // 4)
+            config = front_end_config.parse_config(
+                configuration(limits={"memory_mb": memory, "sockets": sockets}), {}, "f")
+            self.assertLess(config.max_activations * 2 * (16 << 10), config.memory_bytes // 4)
             for workers in (12, 120, 400):
-                shared = Descriptors(it.sockets)
-                dialled = workers * it.links(workers).most
+                shared = Descriptors(config.max_sockets)
+                dialled = workers * config.link_limits(workers).most
                 clients = shared.clients(dialled)
                 self.assertGreaterEqual(clients, sockets // 3)
                 # What does not fit beside the clients is not dialled.
                 held = next(n for n in range(dialled + 1) if n == dialled or not shared.fits(clients, n))
                 self.assertLess(clients + held, sockets - 20)
-            shared = Descriptors(it.sockets)
+            shared = Descriptors(config.max_sockets)
             self.assertTrue(shared.yields(shared.clients(0)) and not shared.yields(shared.firm))
 
     def test_what_was_known_at_the_start_counts_at_once(self):
         with Platform([]) as it:
             pass
-        told = placement.understand(configuration(known={"index": 3, "updates": [
+        config = front_end_config.parse_config(configuration(known={"index": 3, "updates": [
             event(1, instance("s-0", "127.0.0.1:9"), full=True), event(3, instance("s-0", "127.0.0.1:9", "Gone"))]}),
             {}, "f")
-        it.node.coordinator.apply_known(told.known)
+        it.node.coordinator.apply_known(config.known_updates)
         self.assertEqual(it.node.coordinator.sequence.last, 3)
-        self.assertEqual(os.path.basename(told.name), "n0")
+        self.assertEqual(os.path.basename(config.name), "n0")
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -17,7 +17,7 @@
 from threadshift.invoke.admission import Admission
 from threadshift.node.descriptors import Descriptors
 from threadshift.node.shutdown import Shutdown
-from threadshift.node.placement import understand
+from threadshift.node.front_end_config import parse_config
 
 EFFECTS = ("safe", "keyed", "unsafe")
 WORD = st.text("abcXYZ019._-", min_size=1, max_size=12)
@@ -61,13 +61,13 @@
         st.sampled_from([each for each in Outcome if each not in (Outcome.CANCELLED, Outcome.MOOT)])), max_size=40))
     def test_valid_ones_start_answer_and_keep_their_promises(self, told, events):
         # Through the file's own form: what JSON makes of it is what is read.
-        it = understand(json.loads(json.dumps(told)), {}, "drawn")
-        types = it.deployment.types
+        config = parse_config(json.loads(json.dumps(told)), {}, "drawn")
+        types = config.deployment.types
         Admission(min(each.target_latency for each in types)).measured(SECOND, MS)
-        Descriptors(it.sockets).clients(40)
+        Descriptors(config.max_sockets).clients(40)
         shutdown = Shutdown(max(each.action_timeout for each in types))
         fleet, now, calls = Fleet(), SECOND, []
-        desk = fleet.desk = Desk(Dispatcher(1, it.deployment, now), fleet, fleet, it.load_order)
+        desk = fleet.desk = Desk(Dispatcher(1, config.deployment, now), fleet, fleet, config.load_timeout)
         desk.roster(now, [ready(f"w{n}", since=now if n == 3 else 0) for n in range(4)], full=True)
         for what, pick, outcome in events:
             out = [(held, n) for held in calls for n, sent in enumerate(held.sends) if sent.outcome is None]
@@ -75,8 +75,8 @@
                 type_ = types[pick % len(types)]
                 calls.append(desk.take(now, f"c{len(calls)}", Call(
                     type_.name, f"f{pick % 4}", type_.action_timeout * (1 + pick % 3) // 3,
-                    tenant=it.deployment.tenants[pick % len(it.deployment.tenants)].name if it.deployment.tenants
-                    else "", work=pick * MS)))
+                    tenant=config.deployment.tenants[pick % len(config.deployment.tenants)].name
+                    if config.deployment.tenants else "", work=pick * MS)))
             elif what == "end" and out:
                 held, number = out[pick % len(out)]
                 held.returned(now, number, outcome, copy=Copy.FOUND)
@@ -97,7 +97,7 @@
             if held.act.kind.effect is Effect.ONCE_ONLY:
                 self.assertLessEqual(len(ran), 1)
                 self.assertFalse(ran and answers and answers[0].final is Final.REJECTED)
-            self.assertLessEqual(len(held.sends), it.deployment.max_sends)
+            self.assertLessEqual(len(held.sends), config.deployment.max_sends)
 
     def wait(self, desk, now, until):
         while desk.due() <= until:
@@ -116,7 +116,7 @@
             (lane() | {"lanes": []}, "lanes"), (lane() | {"lanes": None}, "lanes"))
         for told, words in cases:
             with self.assertRaises(Malformed, msg=words) as caught:
-                understand(configuration(settings=json.loads(json.dumps(told))), {}, "/run/config.json")
+                parse_config(configuration(settings=json.loads(json.dumps(told))), {}, "/run/config.json")
             self.assertIn(words, str(caught.exception))
             self.assertIn("/run/config.json", str(caught.exception))
             self.assertNotIn("\n", str(caught.exception))
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -28,10 +28,10 @@
 from threadshift.invoke.admission import Admission
 from threadshift.links.sockets import listener
 from threadshift.log import Log
-from threadshift.node import placement
+from threadshift.node import front_end_config
 from threadshift.node.descriptors import Descriptors
 from threadshift.node.shutdown import Shutdown, Stage
-from threadshift.node.placement import Placement
+from threadshift.node.front_end_config import FrontEndConfig
 from threadshift.roster.membership import Entry, Membership
 from threadshift.timer import ticks
 
@@ -44,27 +44,28 @@
 class Node(Fleet):
     """Carries steps to links and answers to the desk; owns every greenlet of the process."""
 
-    def __init__(self, told: Placement, environment: Mapping[str, str], log: Log):
-        super().__init__(Membership(told.deployment.drain_grace, same_start=0), log)   # starts are told by one clock
+    def __init__(self, config: FrontEndConfig, environment: Mapping[str, str], log: Log):
+        super().__init__(Membership(config.deployment.drain_grace, same_start=0), log)  # starts are told by one clock
         now = time.monotonic_ns()
-        self.known, self.told = told.known, told._replace(known=())
+        self.known_updates, self.config = config.known_updates, config._replace(known_updates=())
         self.environment = environment
-        self.bounds, self.bounded_for = told.links(0), 0
+        self.bounds, self.bounded_for = config.link_limits(0), 0
         self.dialled = 0                         # connections to workers, those under way included ...
         self.dialled_in_all = 0                  # ... and since the start
         self.connected: dict[Link, int] = {}     # links that have some
-        chance = random.Random(told.seed)
+        chance = random.Random(config.seed)
         self.chance, self.bits = chance.random, chance.getrandbits
-        types = {each.name: each for each in told.deployment.types}
+        types = {each.name: each for each in config.deployment.types}
         self.admission = Admission(min(each.target_latency for each in types.values()))
-        self.descriptors = Descriptors(told.sockets)
-        self.listener = FastCgiListener(lambda: self.descriptors.clients(self.dialled), told.activations, types,
-                         told.deployment.longest_advice, self.admission, self, self.note, self.chance)
+        self.descriptors = Descriptors(config.max_sockets)
+        self.listener = FastCgiListener(
+            lambda: self.descriptors.clients(self.dialled), config.max_activations, types,
+            config.deployment.longest_advice, self.admission, self, self.note, self.chance)
         self.looks = self.listener.looks
-        dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
-        earlier.assume(dispatcher, told.deployment, now)
-        self.desk = self.listener.desk = Desk(dispatcher, self, self.listener, told.load_order)
-        self.coordinator = CoordinatorStream(told.coordinator, self.on_list_update, self.on_coordinator_lost,
+        dispatcher = Dispatcher(chance.getrandbits(63), config.deployment, now)
+        earlier.assume(dispatcher, config.deployment, now)
+        self.desk = self.listener.desk = Desk(dispatcher, self, self.listener, config.load_timeout)
+        self.coordinator = CoordinatorStream(config.coordinator, self.on_list_update, self.on_coordinator_lost,
                                              self.note, self.chance)
         self.shutdown = Shutdown(max(each.action_timeout for each in types.values()))
         self.greenlets = Group()
@@ -86,7 +87,7 @@
         super().apply_listings(listings)
         if self.ready_workers != self.bounded_for:
             self.bounded_for = self.ready_workers
-            self.bounds = self.told.links(self.ready_workers)
+            self.bounds = self.config.link_limits(self.ready_workers)
 
     @property
     def listed_workers(self) -> int:
@@ -165,14 +166,14 @@
     def reload(self) -> None:
         """Told of another configuration; from a signal. What is bad leaves the old one in force."""
         try:
-            told = placement.read(self.environment)
+            config = front_end_config.read_config(self.environment)
         except Malformed as problem:
             self.note("reload-refused", level="error", problem=str(problem))
             return
-        self.told = self.told._replace(coordinator=told.coordinator)
-        self.coordinator.apply_known(told.known)
-        self.coordinator.move(told.coordinator)
-        self.note("reloaded", coordinator=str(told.coordinator))
+        self.config = self.config._replace(coordinator=config.coordinator)
+        self.coordinator.apply_known(config.known_updates)
+        self.coordinator.move(config.coordinator)
+        self.note("reloaded", coordinator=str(config.coordinator))
 
     # Running.
 
@@ -184,11 +185,11 @@
         if self.shutdown.requested_at:          # told to end before anything could be taken
             self.stop_all()
             return
-        sock = listener(self.told.listen, shared=False)
+        sock = listener(self.config.listen, shared=False)
         self.listener.looks.start()
         self.listening, self.ready_by = sock, time.monotonic_ns() + LIST_WAIT
         self.greenlets.spawn(self.listener.accept, sock)
-        self.note("started", listen=str(self.told.listen), pid=os.getpid(), workers=len(self.links),
+        self.note("started", listen=str(self.config.listen), pid=os.getpid(), workers=len(self.links),
                   last_event=self.coordinator.sequence.last, prepared_ms=self.prepared_in // MS)
         self.keep_time(lambda: self.stage() not in (Stage.RUNNING, Stage.ACCEPTING))
         self.listener.closing = True        # the listener stays: who still comes is refused in words, not by a reset
@@ -208,8 +209,8 @@
         """Takes in the list of the configuration. With thousands of workers this takes a while, and a request counts
         as taken once the operating system has accepted its connection: so it comes before the listener."""
         since = time.monotonic_ns()
-        self.coordinator.apply_known(self.known)
-        self.known = ()
+        self.coordinator.apply_known(self.known_updates)
+        self.known_updates = ()
         self.join_workers(len(self.joining))
         self.prepared_in = time.monotonic_ns() - since
 
--- a/threadshift/node/placement.py
+++ b/threadshift/node/front_end_config.py
@@ -24,31 +24,31 @@
 LEAST_MEMORY, LEAST_SOCKETS = 16, 32   # MB and descriptors; with less no front end runs
 
 
-class Placement(NamedTuple):
+class FrontEndConfig(NamedTuple):
     """One configuration, read and checked, and what is derived from it."""
 
     name: str
     listen: Address
     seed: int
     coordinator: Address
-    known: tuple[Any, ...]               # events so far, as the coordinator would send them
+    known_updates: tuple[Any, ...]      # events so far, as the coordinator would send them
     deployment: Deployment
-    activations: int                     # calls under way
-    streams: int                         # sends on one connection to a worker
-    connect: int                         # ns
-    idle: int                            # ns
-    load_order: int                      # ns until an order to load counts as lost
-    sockets: int
-    memory: int                          # bytes
+    max_activations: int                # calls under way
+    streams_per_connection: int         # sends on one connection to a worker
+    connect_timeout: int                # ns
+    idle_timeout: int                   # ns
+    load_timeout: int                   # ns until an order to load counts as lost
+    max_sockets: int
+    memory_bytes: int                   # bytes
 
-    def links(self, workers: int) -> Told:
+    def link_limits(self, workers: int) -> Told:
         """Bounds of the connections to one of so many workers."""
-        return Told(self.connect, WRITE, self.idle, self.streams, pool.share(self.sockets, workers),
-                    pool.shared(self.deployment.front_ends),
-                    self.memory // BUFFER_PART + 2 * LONGEST_BODY, self.memory // BODY_PART)
+        return Told(self.connect_timeout, WRITE, self.idle_timeout, self.streams_per_connection,
+                    pool.share(self.max_sockets, workers), pool.shared(self.deployment.front_ends),
+                    self.memory_bytes // BUFFER_PART + 2 * LONGEST_BODY, self.memory_bytes // BODY_PART)
 
 
-def read(environment: Mapping[str, str]) -> Placement:
+def read_config(environment: Mapping[str, str]) -> FrontEndConfig:
     """The placement that the environment and its file tell. Raises Malformed."""
     path = environment.get("NODE_CONFIG", "")
     if not path:
@@ -62,10 +62,10 @@
         raise Malformed(f"NODE_CONFIG: {path}: {problem.strerror}") from None
     except (ValueError, RecursionError) as problem:
         raise Malformed(f"{path}: not JSON: {str(problem)[:200]}") from None
-    return understand(told, environment, path)
+    return parse_config(told, environment, path)
 
 
-def understand(told: Any, environment: Mapping[str, str], path: str) -> Placement:
+def parse_config(told: Any, environment: Mapping[str, str], path: str) -> FrontEndConfig:
     """Raises Malformed."""
     if not isinstance(told, dict):
         raise Malformed(f"{path}: an object is wanted")
@@ -92,7 +92,7 @@
     if not memory >= LEAST_MEMORY or sockets < LEAST_SOCKETS or not cores > 0:
         raise top.wrong(f"has limits of {cores:g} cores, {memory:g} MB and {sockets} sockets: too little to run")
     size = int(memory) << 20
-    return Placement(
+    return FrontEndConfig(
         top.read("name", values.name), top.read("listen", values.address),
         top.read("seed", lambda text: int(text, 16)), top.read("coordinator", values.address),
         tuple(updates or ()),
--- a/threadshift/node/start.py
+++ b/threadshift/node/start.py
@@ -14,9 +14,9 @@
     # Held until there is somebody to hear them: a signal's default is to end the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     from threadshift.conf.settings import Malformed
-    from threadshift.node import placement
+    from threadshift.node import front_end_config
     try:
-        told = placement.read(environment)
+        config = front_end_config.read_config(environment)
     except Malformed as problem:
         print(f"threadshift: {problem}", file=sys.stderr)
         return 2
@@ -25,9 +25,9 @@
     from threadshift import collector
     from threadshift.log import Log
     from threadshift.node.front import Node
-    log = Log("json", "info", LOG_LINES, front_end=told.name)
+    log = Log("json", "info", LOG_LINES, front_end=config.name)
     try:
-        node = Node(told, environment, log)
+        node = Node(config, environment, log)
         collector.calm()
         gevent.signal_handler(signal.SIGTERM, node.end)
         gevent.signal_handler(signal.SIGINT, node.end)
@@ -35,7 +35,7 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
         node.run()
     except OSError as problem:
-        print(f"threadshift: cannot listen at {told.listen}: {problem}", file=sys.stderr)
+        print(f"threadshift: cannot listen at {config.listen}: {problem}", file=sys.stderr)
         return 1
     finally:
         # One that comes from here on finds nobody to hear it, and would end the process by its default.
