--- a/tests/platform.py
+++ b/tests/platform.py
@@ -214,7 +214,7 @@
     def __enter__(self):
         self.running = gevent.spawn(self.node.run)
         until(lambda: self.node.links and all(link.up for link in self.node.links.values()) or (
-            not self.workers and self.node.listening))
+            not self.workers and self.node.listening_socket))
         until(lambda: not self.coordinator.answering.is_set() or not self.node.list_is_stale())
         return self
 
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -128,7 +128,7 @@
             self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [LATER])
 
     def test_without_any_answer_it_serves_all_the_same_after_a_while(self):
-        with mock.patch("threadshift.node.front.LIST_WAIT", 200 * MS), Platform(answering=False) as it:
+        with mock.patch("threadshift.node.front.FIRST_LIST_TIMEOUT", 200 * MS), Platform(answering=False) as it:
             until(lambda: it.client().alive()[0] == 200)
             self.assertEqual(it.call()[0], 200)
 
@@ -407,7 +407,7 @@
             event(1, instance("s-0", ANY), full=True)]}), {}, "test")
         self.assertEqual(placed.deployment.drain_grace, grace_ms * MS)
         node = Node(placed, {}, Silent())
-        node.ready_by = time.monotonic_ns() + SECOND
+        node.ready_deadline = time.monotonic_ns() + SECOND
         self.assertTrue(node.list_is_stale())
         self.assertFalse(node.ready())
         node.coordinator.freshness.caught_up()
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -180,7 +180,7 @@
         running = gevent.spawn(early.node.run)
         running.join(3)
         self.assertTrue(running.successful())
-        self.assertIsNone(early.node.listening)
+        self.assertIsNone(early.node.listening_socket)
         self.assertEqual(early.log.of("ended")[0]["owed"], 0)
 
     def test_the_last_answer_comes_before_it_may_be_killed(self):
@@ -492,7 +492,7 @@
             self.assertGreater(it.node.settled, before)
 
     def test_a_list_that_stays_empty_does_not_keep_it_from_being_ready(self):
-        with mock.patch("threadshift.node.front.LIST_WAIT", 100 * MS), Platform([]) as it:
+        with mock.patch("threadshift.node.front.FIRST_LIST_TIMEOUT", 100 * MS), Platform([]) as it:
             def alive():
                 return it.client().alive()[0]
             until(lambda: alive() == 200)
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -136,10 +136,11 @@
         return instance(f"s-{number}", self.worker.address, state)
 
     def test_a_worker_is_dialled_when_something_waits_for_it(self):
-        self.assertEqual(self.node.dialled, 0)
+        self.assertEqual(self.node.worker_connections, 0)
         self.assertEqual(self.platform.call()[0], 200)
-        self.assertEqual(self.node.dialled, sum(len(link.connections) for link in self.node.links.values()))
-        self.assertIn(self.node.dialled, (1, 2))        # the request's, and perhaps that of a load order
+        self.assertEqual(self.node.worker_connections, sum(
+            len(link.connections) for link in self.node.links.values()))
+        self.assertIn(self.node.worker_connections, (1, 2))        # the request's, and perhaps that of a load order
 
     def test_a_question_waits_for_its_dial(self):
         link = next(iter(self.node.links.values()))
@@ -150,12 +151,12 @@
     def test_a_connection_that_ended_is_not_dialled_again_for_nothing(self):
         self.assertEqual(self.platform.call()[0], 200)
         until(lambda: not any(link.dialler for link in self.node.links.values()))
-        in_all = self.node.dialled_in_all
+        in_all = self.node.total_dials
         for sock in self.worker.open:
             sock.shutdown(socket.SHUT_RDWR)
-        until(lambda: not self.node.dialled)
+        until(lambda: not self.node.worker_connections)
         gevent.sleep(0.1)
-        self.assertEqual((self.node.dialled, self.node.dialled_in_all), (0, in_all))
+        self.assertEqual((self.node.worker_connections, self.node.total_dials), (0, in_all))
 
     def test_what_drains_counts_at_once_and_new_workers_come_in_batches(self):
         new = range(self.WORKERS, self.WORKERS + 3 * JOIN_BATCH)
@@ -183,10 +184,11 @@
         for number in range(12):
             self.platform.call(id_=f"{number:016x}", item=f"{number:016x}")
         until(lambda: not any(link.dialler for link in self.node.links.values()))
-        self.assertEqual(self.node.dialled, sum(len(link.connections) for link in self.node.links.values()))
+        self.assertEqual(self.node.worker_connections, sum(
+            len(link.connections) for link in self.node.links.values()))
         for link in list(self.node.links.values()):
             link.stop()
-        self.assertEqual((self.node.dialled, self.node.connected), (0, {}))
+        self.assertEqual((self.node.worker_connections, self.node.open_connections), (0, {}))
 
 
 class WhileItStarts(unittest.TestCase):
@@ -194,11 +196,11 @@
     def test_the_list_is_taken_in_before_it_listens(self):
         platform = Platform(scripts=())
         listening = []
-        prepare = platform.node.prepare
-        with mock.patch.object(platform.node, "prepare",
-                               lambda: (listening.append(platform.node.listening), prepare())), platform:
+        prepare = platform.node.join_known_workers
+        with mock.patch.object(platform.node, "join_known_workers",
+                               lambda: (listening.append(platform.node.listening_socket), prepare())), platform:
             self.assertEqual(listening, [None])
-            self.assertIsNotNone(platform.node.listening)
+            self.assertIsNotNone(platform.node.listening_socket)
 
 
 class ToldToEndWhileItStarts(unittest.TestCase):
@@ -207,9 +209,9 @@
         # Its time until the kill runs from the signal, not from when the list has been taken in.
         platform = Platform(scripts=())
         self.addCleanup(platform.coordinator.stop)
-        with mock.patch.object(platform.node, "prepare", platform.node.end):
+        with mock.patch.object(platform.node, "join_known_workers", platform.node.end):
             platform.node.run()
-        self.assertIsNone(platform.node.listening)
+        self.assertIsNone(platform.node.listening_socket)
         names = [name for name, _ in platform.log.events]
         self.assertNotIn("started", names)
         self.assertEqual(names[-1], "ended")
@@ -233,7 +235,7 @@
                 self.assertTrue(came_up.wait(5))
                 it.node.links.pop("s-0").stop()
                 gevent.sleep(0.05)
-            self.assertEqual((it.node.dialled, link.connections), (0, []))
+            self.assertEqual((it.node.worker_connections, link.connections), (0, []))
 
 
 class AllWorkersCold(unittest.TestCase):
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -38,7 +38,7 @@
 TICK = 5 * MS              # pace of the timer; what falls due between two ticks has one of its own
 SIGNALS_HEARD = MS         # for a signal that came while the list was taken in
 TELL = 10 * SECOND         # between two lines on how it goes
-LIST_WAIT = 4 * SECOND     # for a list with a worker in it: as long as a lost coordinator may take to be found again
+FIRST_LIST_TIMEOUT = 4 * SECOND  # for a list with a worker in it: finding a lost coordinator may take as long
 
 
 class Node(Fleet):
@@ -50,16 +50,16 @@
         self.known_updates, self.config = config.known_updates, config._replace(known_updates=())
         self.environment = environment
         self.bounds, self.bounded_for = config.link_limits(0), 0
-        self.dialled = 0                         # connections to workers, those under way included ...
-        self.dialled_in_all = 0                  # ... and since the start
-        self.connected: dict[Link, int] = {}     # links that have some
+        self.worker_connections = 0                      # connections to workers, those under way included ...
+        self.total_dials = 0                             # ... and since the start
+        self.open_connections: dict[Link, int] = {}  # links that have some
         chance = random.Random(config.seed)
         self.chance, self.bits = chance.random, chance.getrandbits
         types = {each.name: each for each in config.deployment.types}
         self.admission = Admission(min(each.target_latency for each in types.values()))
         self.descriptors = Descriptors(config.max_sockets)
         self.listener = FastCgiListener(
-            lambda: self.descriptors.clients(self.dialled), config.max_activations, types,
+            lambda: self.descriptors.clients(self.worker_connections), config.max_activations, types,
             config.deployment.longest_advice, self.admission, self, self.note, self.chance)
         self.looks = self.listener.looks
         dispatcher = Dispatcher(chance.getrandbits(63), config.deployment, now)
@@ -69,10 +69,10 @@
                                              self.note, self.chance)
         self.shutdown = Shutdown(max(each.action_timeout for each in types.values()))
         self.greenlets = Group()
-        self.listening: socket.socket | None = None
-        self.prepared_in = 0         # ns that the list of the configuration took
+        self.listening_socket: socket.socket | None = None
+        self.join_duration = 0       # ns that the list of the configuration took
         self.list_complete = False   # the first list has been received, or is no longer waited for
-        self.ready_by = 0            # from then on it serves without an answer of a coordinator, or without workers
+        self.ready_deadline = 0      # from then on it serves without an answer of a coordinator, or without workers
 
     # Workers.
 
@@ -98,26 +98,26 @@
         return self.descriptors.dials_ahead(self.listed_workers)
 
     def connection_opened(self, link: Link) -> None:
-        self.dialled += 1
-        self.dialled_in_all += 1
-        self.connected[link] = self.connected.get(link, 0) + 1
+        self.worker_connections += 1
+        self.total_dials += 1
+        self.open_connections[link] = self.open_connections.get(link, 0) + 1
 
     def connection_closed(self, link: Link) -> None:
-        self.dialled -= 1
-        self.connected[link] -= 1
-        if not self.connected[link]:
-            del self.connected[link]
+        self.worker_connections -= 1
+        self.open_connections[link] -= 1
+        if not self.open_connections[link]:
+            del self.open_connections[link]
 
     def room(self, wanted: bool) -> bool:
         """Makes room for a connection to a worker; the dial that asks is counted as one already."""
-        others = self.dialled - 1
+        others = self.worker_connections - 1
         if self.descriptors.fits(len(self.listener.connections), others, self.listed_workers):
             return True
         if not wanted:
             return False
         if self.descriptors.yields(len(self.listener.connections)) and self.listener.make_room():
             return True
-        idle = {connection: link for link in self.connected for connection in link.connections}
+        idle = {connection: link for link in self.open_connections for connection in link.connections}
         if (goes := pool.who_goes(idle)) is None:
             return False
         idle[goes].end(goes)
@@ -141,7 +141,7 @@
         has answered; but not for ever, or no front end would serve while there is none."""
         if self.list_complete:
             return False
-        answered = self.coordinator.freshness.answered or time.monotonic_ns() >= self.ready_by
+        answered = self.coordinator.freshness.answered or time.monotonic_ns() >= self.ready_deadline
         self.list_complete = answered and not self.joining
         if self.list_complete:
             received = self.coordinator.freshness.answered
@@ -151,8 +151,8 @@
 
     def ready(self) -> bool:
         # A list that is late or empty is waited for, not for ever: refused for it, a whole fleet would never start.
-        return self.listening is not None and not self.shutdown.requested_at and not self.list_is_stale() and (
-            bool(self.desk.dispatcher.fleet) or time.monotonic_ns() >= self.ready_by)
+        return self.listening_socket is not None and not self.shutdown.requested_at and not self.list_is_stale() and (
+            bool(self.desk.dispatcher.fleet) or time.monotonic_ns() >= self.ready_deadline)
 
     # Signals.
 
@@ -180,21 +180,21 @@
     def run(self) -> None:
         """Serves until told to end and what is held has its answers. Raises OSError where it cannot listen."""
         self.greenlets.spawn(self.coordinator.run)    # before the links dial: calls wait for the coordinator's answer
-        self.prepare()
+        self.join_known_workers()
         gevent.sleep(SIGNALS_HEARD / SECOND)
         if self.shutdown.requested_at:          # told to end before anything could be taken
             self.stop_all()
             return
         sock = listener(self.config.listen, shared=False)
         self.listener.looks.start()
-        self.listening, self.ready_by = sock, time.monotonic_ns() + LIST_WAIT
+        self.listening_socket, self.ready_deadline = sock, time.monotonic_ns() + FIRST_LIST_TIMEOUT
         self.greenlets.spawn(self.listener.accept, sock)
         self.note("started", listen=str(self.config.listen), pid=os.getpid(), workers=len(self.links),
-                  last_event=self.coordinator.sequence.last, prepared_ms=self.prepared_in // MS)
-        self.keep_time(lambda: self.stage() not in (Stage.RUNNING, Stage.ACCEPTING))
+                  last_event=self.coordinator.sequence.last, prepared_ms=self.join_duration // MS)
+        self.run_timer(lambda: self.stage() not in (Stage.RUNNING, Stage.ACCEPTING))
         self.listener.closing = True        # the listener stays: who still comes is refused in words, not by a reset
         self.note("draining", owed=self.desk.owed, connections=len(self.listener.connections))
-        self.keep_time(lambda: self.stage() is Stage.DONE)
+        self.run_timer(lambda: self.stage() is Stage.DONE)
         self.listener.end(sock)
         self.stop_all()
 
@@ -205,19 +205,19 @@
         self.listener.looks.stop()
         self.note("ended", **self.state())
 
-    def prepare(self) -> None:
+    def join_known_workers(self) -> None:
         """Takes in the list of the configuration. With thousands of workers this takes a while, and a request counts
         as taken once the operating system has accepted its connection: so it comes before the listener."""
         since = time.monotonic_ns()
         self.coordinator.apply_known(self.known_updates)
         self.known_updates = ()
         self.join_workers(len(self.joining))
-        self.prepared_in = time.monotonic_ns() - since
+        self.join_duration = time.monotonic_ns() - since
 
     def stage(self) -> Stage:
         return self.shutdown.stage(time.monotonic_ns(), self.desk.owed + self.listener.under_way)
 
-    def keep_time(self, over: Callable[[], bool]) -> None:
+    def run_timer(self, over: Callable[[], bool]) -> None:
         """The one timer: every tick, what is due."""
         told = 0
         for now, late in ticks(TICK, over, self.desk.due):
@@ -233,8 +233,8 @@
         workers = dispatcher.workers.values()
         return {"owed": self.desk.owed, "held": len(self.desk.held), "connections": len(self.listener.connections),
                 "flying": len(dispatcher.flying), "links": len(self.links),
-                "up": sum(link.up for link in self.connected),
-                "worker_connections": self.dialled, "dialled_in_all": self.dialled_in_all,
+                "up": sum(link.up for link in self.open_connections),
+                "worker_connections": self.worker_connections, "dialled_in_all": self.total_dials,
                 "ready": len(dispatcher.fleet), "suspended": sum(it.until > now for it in workers),
                 "functions": len(dispatcher.functions), "roster_lost": self.roster_lost,
                 "lag_ms": round(self.admission.lag / MS, 1), "part": round(self.admission.part, 3),
