--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -220,7 +220,7 @@
     def test_connections_that_were_answered_make_room_but_not_with_a_request_unread(self):
         # Found by an incident: requests read from connections that had been closed to make room were lost.
         with Platform(limits={"cores": 1.0, "memory_mb": 96, "sockets": 32}) as it:
-            most, firm = it.node.listener.most(), it.node.descriptors.firm
+            most, firm = it.node.listener.most(), it.node.descriptors.reserved_for_clients
             for n in range(2 * most):
                 self.assertEqual(it.call(id_=f"{n:016x}")[0], 200)
                 gevent.sleep(connection_eviction.ACTIVITY_GRACE / SECOND if n >= firm - 1 else 0)
@@ -526,15 +526,17 @@
                 configuration(limits={"memory_mb": memory, "sockets": sockets}), {}, "f")
             self.assertLess(config.max_activations * 2 * (16 << 10), config.memory_bytes // 4)
             for workers in (12, 120, 400):
-                shared = Descriptors(config.max_sockets)
+                descriptors = Descriptors(config.max_sockets)
                 dialled = workers * config.link_limits(workers).most
-                clients = shared.clients(dialled)
+                clients = descriptors.client_limit(dialled)
                 self.assertGreaterEqual(clients, sockets // 3)
                 # What does not fit beside the clients is not dialled.
-                held = next(n for n in range(dialled + 1) if n == dialled or not shared.fits(clients, n))
+                held = next(n for n in range(dialled + 1)
+                            if n == dialled or not descriptors.has_room_for_worker(clients, n))
                 self.assertLess(clients + held, sockets - 20)
-            shared = Descriptors(config.max_sockets)
-            self.assertTrue(shared.yields(shared.clients(0)) and not shared.yields(shared.firm))
+            descriptors = Descriptors(config.max_sockets)
+            self.assertTrue(descriptors.clients_must_yield(descriptors.client_limit(0))
+                            and not descriptors.clients_must_yield(descriptors.reserved_for_clients))
 
     def test_what_was_known_at_the_start_counts_at_once(self):
         with Platform([]) as it:
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -64,7 +64,7 @@
         config = parse_config(json.loads(json.dumps(told)), {}, "drawn")
         types = config.deployment.types
         Admission(min(each.target_latency for each in types)).measured(SECOND, MS)
-        Descriptors(config.max_sockets).clients(40)
+        Descriptors(config.max_sockets).client_limit(40)
         shutdown = Shutdown(max(each.action_timeout for each in types))
         fleet, now, calls = Fleet(), SECOND, []
         desk = fleet.desk = Desk(Dispatcher(1, config.deployment, now), fleet, fleet, config.load_timeout)
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -286,9 +286,9 @@
         shared = Descriptors(512)
         self.assertTrue(shared.dials_ahead(128))
         self.assertFalse(shared.dials_ahead(129))
-        self.assertTrue(shared.fits(0, 255, 3_200))
-        self.assertFalse(shared.fits(0, 256, 3_200))
-        self.assertTrue(shared.fits(0, 256, 128))
+        self.assertTrue(shared.has_room_for_worker(0, 255, 3_200))
+        self.assertFalse(shared.has_room_for_worker(0, 256, 3_200))
+        self.assertTrue(shared.has_room_for_worker(0, 256, 128))
 
 
 class WhatTheLogSays(unittest.TestCase):
--- a/threadshift/node/descriptors.py
+++ b/threadshift/node/descriptors.py
@@ -9,10 +9,10 @@
 
 from threadshift.fastcgi import connection_eviction
 
-KEPT = 24                  # descriptors: standard ones, the loop's, listener, stream, its next dial, an accept
-KEPT_PART = 4              # of a small limit, one in so many is kept instead
-CLIENTS = 3 / 8            # of the descriptors, which clients do not give up: usual ones hold a third at the most
-AHEAD = 8                  # connections to workers that clients leave room for beyond those that stand
+RESERVED = 24              # descriptors: standard ones, the loop's, listener, stream, its next dial, an accept
+RESERVED_PART = 4          # of a small limit, one in so many is kept instead
+CLIENT_RESERVE = 3 / 8     # of the descriptors, which clients do not give up: usual ones hold a third at the most
+WORKER_HEADROOM = 8        # connections to workers that clients leave room for beyond those that stand
 FLEET_PART = 4             # of the descriptors, one in so many: with more workers they are dialled when needed ...
 ON_DEMAND_PART = 2         # ... and so many connections stand at the most, those used longest ago making room
 
@@ -20,25 +20,25 @@
 class Descriptors:
     """One front end's, by the limit it was told."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.sum = most - min(KEPT, most // KEPT_PART)
-        self.share = connection_eviction.max_client_connections(most)
-        self.firm = min(self.share, max(8, int(most * CLIENTS)))
+    def __init__(self, limit: int) -> None:
+        self.limit = limit
+        self.available = limit - min(RESERVED, limit // RESERVED_PART)
+        self.max_clients = connection_eviction.max_client_connections(limit)
+        self.reserved_for_clients = min(self.max_clients, max(8, int(limit * CLIENT_RESERVE)))
 
-    def clients(self, workers: int) -> int:
+    def client_limit(self, workers: int) -> int:
         """Connections that clients may hold while so many stand to workers."""
-        return max(self.firm, min(self.share, self.sum - workers - AHEAD))
+        return max(self.reserved_for_clients, min(self.max_clients, self.available - workers - WORKER_HEADROOM))
 
     def dials_ahead(self, fleet: int) -> bool:
         """Whether each of so many workers is dialled before anything waits for its connection."""
-        return fleet <= self.most // FLEET_PART
+        return fleet <= self.limit // FLEET_PART
 
-    def fits(self, clients: int, connections: int, fleet: int = 0) -> bool:
+    def has_room_for_worker(self, clients: int, connections: int, fleet: int = 0) -> bool:
         """Whether one more connection to a worker has room beside so many, in a fleet of so many workers."""
-        return clients + connections < self.sum and (
-            self.dials_ahead(fleet) or connections < self.most // ON_DEMAND_PART)
+        return clients + connections < self.available and (
+            self.dials_ahead(fleet) or connections < self.limit // ON_DEMAND_PART)
 
-    def yields(self, clients: int) -> bool:
+    def clients_must_yield(self, clients: int) -> bool:
         """Whether clients are the ones to make room for it."""
-        return clients > self.firm
+        return clients > self.reserved_for_clients
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -59,7 +59,7 @@
         self.admission = Admission(min(each.target_latency for each in types.values()))
         self.descriptors = Descriptors(config.max_sockets)
         self.listener = FastCgiListener(
-            lambda: self.descriptors.clients(self.worker_connections), config.max_activations, types,
+            lambda: self.descriptors.client_limit(self.worker_connections), config.max_activations, types,
             config.deployment.longest_advice, self.admission, self, self.note, self.chance)
         self.looks = self.listener.looks
         dispatcher = Dispatcher(chance.getrandbits(63), config.deployment, now)
@@ -111,11 +111,11 @@
     def room(self, wanted: bool) -> bool:
         """Makes room for a connection to a worker; the dial that asks is counted as one already."""
         others = self.worker_connections - 1
-        if self.descriptors.fits(len(self.listener.connections), others, self.listed_workers):
+        if self.descriptors.has_room_for_worker(len(self.listener.connections), others, self.listed_workers):
             return True
         if not wanted:
             return False
-        if self.descriptors.yields(len(self.listener.connections)) and self.listener.make_room():
+        if self.descriptors.clients_must_yield(len(self.listener.connections)) and self.listener.make_room():
             return True
         idle = {connection: link for link in self.open_connections for connection in link.connections}
         if (goes := pool.who_goes(idle)) is None:
