--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -95,7 +95,7 @@
         update = event(2, *(self.entry(name, "Terminating") for name in going),
                        *(self.entry(f"{name}-new", started=started) for name in going))
         self.list_bytes += len(json.dumps(update))
-        self.coordinator.say(update)
+        self.coordinator.publish(update)
 
     def ask(self, number: int) -> None:
         try:
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -52,27 +52,27 @@
 
     def __init__(self, script=serve):
         super().__init__()
-        self.script, self.heard, self.news = script, [], Event()
+        self.script, self.received, self.news = script, [], Event()
 
     def converse(self, sock):
         cut = Frames(1 << 20, FROM_US)
         while data := sock.recv(65536):
             for it in cut.feed(data):
-                self.heard.append(it)
+                self.received.append(it)
                 self.script(self, sock, it)
 
-    def codes(self, code):
-        return [it for it in self.heard if it.code == code]
+    def frames_with(self, code):
+        return [it for it in self.received if it.code == code]
 
 
 class Coordinator(Server):
-    """Serves the stream: `events` on connecting, then what say() is given; one that is dumb says nothing more.
+    """Serves the stream: `events` on connecting, then what publish() is given; one that is dumb says nothing more.
 
     While `answering` is not set, requests are read and not answered."""
 
     def __init__(self, events=(), address=ANY):
         super().__init__(address)
-        self.events, self.asked, self.dumb = list(events), [], False
+        self.events, self.last_event_ids, self.is_silent = list(events), [], False
         self.answering = Event()
         self.answering.set()
 
@@ -85,13 +85,13 @@
             head += data
         last = next(int(line.split(b":")[1]) for line in head.split(b"\r\n")
                     if line.lower().startswith(b"last-event-id"))
-        self.asked.append(last)
+        self.last_event_ids.append(last)
         self.answering.wait()
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         for each in self.events:
             if each["index"] > last:
                 sock.sendall(self.frame(each))
-        while not self.dumb:
+        while not self.is_silent:
             sock.sendall(b": alive\n\n")
             gevent.sleep(0.2)
         gevent.sleep(60)
@@ -100,7 +100,7 @@
     def frame(it):
         return f"id: {it['index']}\ndata: {json.dumps(it)}\n\n".encode()
 
-    def say(self, it):
+    def publish(self, it):
         self.events.append(it)
         for sock in self.open:
             try:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -390,7 +390,7 @@
 
     def tell(self, it: dict) -> None:
         self.history.append(it)
-        self.coordinator.say(it)
+        self.coordinator.publish(it)
 
     def told_by_now(self) -> int:
         """When a change made now counts as told: at once, but for a while after the coordinator broke off."""
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -68,7 +68,7 @@
 
     def received(self, name):
         worker = self.workers[name]
-        return worker.codes(INVOKE) + worker.codes(HOLD)
+        return worker.frames_with(INVOKE) + worker.frames_with(HOLD)
 
     def test_nothing_goes_to_a_worker_that_drained_while_they_started(self):
         # As on the herd day of the variant `many`: 5 to 11 sends and load orders by front ends that had just been
@@ -79,7 +79,7 @@
                 folder, f"n{n}", coordinator=str(self.coordinator.address), known=self.known,
                 settings=short_grace_settings())) for n in range(FRONT_ENDS)]
             clients = [each.client() for each in front_ends]
-            until(lambda: len(self.coordinator.asked) >= FRONT_ENDS)
+            until(lambda: len(self.coordinator.last_event_ids) >= FRONT_ENDS)
             until(lambda: len(self.workers[DRAINING_WORKER].open) >= FRONT_ENDS)     # connections stand
             for client in clients:
                 for number, item in enumerate(ITEMS, 1):
@@ -114,7 +114,7 @@
             self.assertEqual(it.node.listener.tally.totals(), {"too-late": 1})
             it.coordinator.answering.set()
             self.assertEqual(it.call(id_=LATER)[0], 200)
-            self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [LATER])
+            self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [LATER])
 
     def test_one_whose_client_gives_it_up_is_never_sent(self):
         with Platform(answering=False) as it:
@@ -125,7 +125,7 @@
             until(lambda: not len(it.node.listener.postponed))
             it.coordinator.answering.set()
             self.assertEqual(it.call(id_=LATER)[0], 200)
-            self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [LATER])
+            self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [LATER])
 
     def test_without_any_answer_it_serves_all_the_same_after_a_while(self):
         with mock.patch("threadshift.node.front.FIRST_LIST_TIMEOUT", 200 * MS), Platform(answering=False) as it:
@@ -157,12 +157,12 @@
 
     def drain_unread(self, it):
         """The drain lies in the socket of the stream; the loop has not turned since."""
-        it.coordinator.say(event(2, instance("s-0", it.workers[0].address, "Terminating")))
+        it.coordinator.publish(event(2, instance("s-0", it.workers[0].address, "Terminating")))
         self.assertTrue(it.node.desk.dispatcher.workers["s-0"].ready)
 
     def assert_not_sent(self, it):
         self.assertFalse(it.node.desk.dispatcher.workers["s-0"].ready)
-        self.assertEqual(it.workers[0].codes(INVOKE) + it.workers[0].codes(HOLD), [])
+        self.assertEqual(it.workers[0].frames_with(INVOKE) + it.workers[0].frames_with(HOLD), [])
 
     def test_is_read_before_what_an_answer_brings(self):
         with Platform() as it:
@@ -205,7 +205,7 @@
         with Platform([silent]) as it:
             client, seen = it.client(), self.settling(it)
             client.ask(type_="submit")
-            until(lambda: it.workers[0].codes(INVOKE))
+            until(lambda: it.workers[0].frames_with(INVOKE))
             for sock in it.workers[0].open:
                 sock.shutdown(socket.SHUT_RDWR)
             self.assertEqual(client.answer()[0], 502)
@@ -256,18 +256,18 @@
         with Platform([silent, silent]) as it:
             client = it.client()
             client.ask(left="900")
-            until(lambda: any(each.codes(INVOKE) for each in it.workers))
-            moved = next(n for n, each in enumerate(it.workers) if each.codes(INVOKE))
+            until(lambda: any(each.frames_with(INVOKE) for each in it.workers))
+            moved = next(n for n, each in enumerate(it.workers) if each.frames_with(INVOKE))
             successor, other = Worker(), 1 - moved
             it.extra.append(successor)
-            it.coordinator.say(event(2, instance(f"s-{moved}", successor.address),
+            it.coordinator.publish(event(2, instance(f"s-{moved}", successor.address),
                                      instance(f"s-{other}", it.workers[other].address, "Terminating")))
             self.assertEqual(client.answer()[0], 200)
-            self.assertEqual(it.workers[other].codes(INVOKE), [])
+            self.assertEqual(it.workers[other].frames_with(INVOKE), [])
 
     def test_a_bad_entry_does_not_keep_a_drain_beside_it_from_being_heard(self):
         with Platform() as it:
-            it.coordinator.say(event(2, instance("s-7", "nowhere", weight="heavy"),
+            it.coordinator.publish(event(2, instance("s-7", "nowhere", weight="heavy"),
                                      instance("s-0", it.workers[0].address, "Terminating")))
             until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
             self.assertEqual(it.log.of("event-unreadable")[0]["entries"], 1)
@@ -275,12 +275,12 @@
 
     def test_nor_does_what_is_wrong_with_the_drain_s_own_entry(self):
         with Platform() as it:
-            it.coordinator.say(event(2, instance("s-0", "nowhere", "Terminating", weight=None, zone=7)))
+            it.coordinator.publish(event(2, instance("s-0", "nowhere", "Terminating", weight=None, zone=7)))
             until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
 
     def test_a_worker_of_a_full_list_whose_entry_is_bad_stays_as_it_was(self):
         with Platform([serve, serve]) as it:
-            it.coordinator.say(event(2, instance("s-0", "nowhere"), full=True))
+            it.coordinator.publish(event(2, instance("s-0", "nowhere"), full=True))
             until(lambda: not it.node.desk.dispatcher.workers["s-1"].ready)
             self.assertTrue(it.node.desk.dispatcher.workers["s-0"].ready)
             self.assertEqual(it.call()[0], 200)
@@ -311,7 +311,7 @@
             it.extra.append(moved)
             self.reload(it, {"index": 9, "updates": []}, moved)
             self.drained(it)
-            self.assertEqual(moved.asked, [1])
+            self.assertEqual(moved.last_event_ids, [1])
 
     def test_the_events_of_a_new_configuration_count_at_once(self):
         with Platform() as it:
@@ -325,12 +325,12 @@
         with Platform() as it:
             address = it.workers[0].address
             it.coordinator.events.append(event(2, instance("s-0", address, "Terminating")))     # not written
-            it.coordinator.say(event(3, instance("s-9", address, "Gone")))
+            it.coordinator.publish(event(3, instance("s-9", address, "Gone")))
             self.drained(it)
-            self.assertEqual(it.coordinator.asked[1:], [1])
-            it.coordinator.say(event(5, instance("s-0", address)))      # there is no fourth
+            self.assertEqual(it.coordinator.last_event_ids[1:], [1])
+            it.coordinator.publish(event(5, instance("s-0", address)))      # there is no fourth
             until(lambda: it.node.desk.dispatcher.workers["s-0"].ready)
-            self.assertEqual(it.coordinator.asked[2:], [3])
+            self.assertEqual(it.coordinator.last_event_ids[2:], [3])
 
 
 class FindingTheCoordinatorAgain(unittest.TestCase):
@@ -364,7 +364,7 @@
 
     def test_a_coordinator_that_accepts_and_does_not_answer_is_dialled_anew(self):
         with mock.patch.object(freshness, "ANSWER", 100 * MS), Platform(answering=False) as it:
-            until(lambda: len(it.coordinator.asked) == 2, seconds=1.0)
+            until(lambda: len(it.coordinator.last_event_ids) == 2, seconds=1.0)
             self.assertEqual(it.log.of("coordinator-lost")[0]["problem"], "no answer in time")
 
     def test_one_that_is_slow_is_found_by_tries_with_more_time(self):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -52,7 +52,7 @@
         with Platform() as it:
             body = bytes(range(256)) * 64
             self.assertEqual(it.call(body=body), (200, {"Content-Type": "application/octet-stream"}, b"did " + body))
-            frame = it.workers[0].codes(INVOKE)[0]
+            frame = it.workers[0].frames_with(INVOKE)[0]
             self.assertEqual((frame.id.hex(), frame.fields["class"], frame.fields["key"], frame.body),
                              (A, "check", "00000000000000f1", body))
             self.assertLess(int(frame.fields["wait"]), 901)
@@ -99,10 +99,10 @@
         with Platform([silent]) as it:
             client = it.client()
             client.ask()
-            until(lambda: it.workers[0].codes(INVOKE))
+            until(lambda: it.workers[0].frames_with(INVOKE))
             client.abort()
-            until(lambda: it.workers[0].codes(GIVE_UP))
-            self.assertEqual(it.workers[0].codes(GIVE_UP)[0].id.hex(), A)
+            until(lambda: it.workers[0].frames_with(GIVE_UP))
+            self.assertEqual(it.workers[0].frames_with(GIVE_UP)[0].id.hex(), A)
             # Under the same number, the next one gets its own answer and nothing of the old one's.
             it.workers[0].script = serve
             client.ask(id_="00000000000000a2", body=b"new")
@@ -112,14 +112,14 @@
     def test_a_send_whose_time_is_up_is_given_up_and_answered_before(self):
         with Platform([silent]) as it:
             self.assertEqual(it.call(type_="submit", left="80")[0], 502)
-            until(lambda: it.workers[0].codes(GIVE_UP))
+            until(lambda: it.workers[0].frames_with(GIVE_UP))
             until(lambda: not it.node.desk.held)
             self.assertFalse(it.node.links["s-0"].ways)
 
     def test_an_answer_that_crosses_its_end_is_not_the_next_sends(self):
         # A second copy of a 'full' would end the send after it as never run.
         def script(worker, sock, it):
-            if it.code == INVOKE and not worker.codes(INVOKE)[1:]:
+            if it.code == INVOKE and not worker.frames_with(INVOKE)[1:]:
                 sock.sendall(encode(FULL, it.id, mark=FROM_WORKER))
                 gevent.spawn_later(0.03, sock.sendall, encode(FULL, it.id, mark=FROM_WORKER))
             elif it.code == INVOKE:
@@ -165,7 +165,7 @@
                 for name, client in clients.items():
                     got = outcome(client)
                     self.assertTrue(got is None or got[0] != 200, (name, got))
-            self.assertEqual(it.workers[0].codes(INVOKE), [])
+            self.assertEqual(it.workers[0].frames_with(INVOKE), [])
             self.assertEqual(it.call()[0], 200)
 
     def test_sixty_megabytes_are_neither_kept_nor_waited_for(self):
@@ -186,11 +186,11 @@
         with Platform([late]) as it:
             first, second = it.client(), it.client()
             first.ask(body=b"one")
-            until(lambda: it.workers[0].codes(INVOKE))
+            until(lambda: it.workers[0].frames_with(INVOKE))
             second.ask(body=b"two")
             self.assertEqual(second.answer()[0], 409)
             self.assertEqual(first.answer()[2], b"did one")
-            self.assertEqual(len(it.workers[0].codes(INVOKE)), 1)
+            self.assertEqual(len(it.workers[0].frames_with(INVOKE)), 1)
 
     def test_more_than_may_be_open_are_refused_and_the_rest_is_served(self):
         def late(worker, sock, it):
@@ -251,7 +251,7 @@
             with Platform([script]) as it:
                 # It may have run, so a once-only call is neither sent again nor rejected.
                 self.assertEqual(it.call(type_="submit")[0], 502, name)
-                self.assertEqual(len(it.workers[0].codes(INVOKE)), 1, name)
+                self.assertEqual(len(it.workers[0].frames_with(INVOKE)), 1, name)
                 until(lambda it=it: it.log.of("link-broke"))
 
     def test_more_than_belongs_to_an_answer_is_dropped(self):
@@ -274,7 +274,7 @@
                 sock.close()
         with Platform([reset, reset, serve]) as it:
             self.assertIn(it.call(type_="submit", item="00000000000000f3")[0], (200, 502))
-            self.assertEqual(sum(len(worker.codes(INVOKE)) for worker in it.workers), 1)
+            self.assertEqual(sum(len(worker.frames_with(INVOKE)) for worker in it.workers), 1)
             self.assertIn(it.call(id_="00000000000000a2")[0], (200, 503))
 
     def test_a_worker_that_is_gone_is_never_run_on(self):
@@ -304,15 +304,15 @@
             self.assertTrue(link.busy)
             self.assertEqual(link.cancel(held, 0, True).value, "cancelled")
             self.assertFalse(link.busy)
-            until(lambda: it.workers[0].codes(GIVE_UP))
+            until(lambda: it.workers[0].frames_with(GIVE_UP))
 
     def test_load_orders_leave_at_once_or_not_at_all(self):
         with Platform([silent]) as it:
             link, ends = it.node.links["s-0"], []
             asked = Of(fn="00000000000000f1", answered=lambda now, outcome, **_: ends.append(outcome.value))
             self.assertIsNone(link.order(asked))
-            until(lambda: it.workers[0].codes(HOLD))
-            self.assertEqual(it.workers[0].codes(HOLD)[0].fields, {"key": "00000000000000f1", "n": "1"})
+            until(lambda: it.workers[0].frames_with(HOLD))
+            self.assertEqual(it.workers[0].frames_with(HOLD)[0].fields, {"key": "00000000000000f1", "n": "1"})
             it.workers[0].stop()
             until(lambda: ends == ["reset"])
             self.assertEqual(link.order(asked).value, "unreachable")
@@ -324,31 +324,31 @@
 class Word(unittest.TestCase):
     def test_the_coordinator_is_followed_over_breaks_and_repeats(self):
         with Platform([serve]) as it:
-            until(lambda: it.coordinator.asked == [0])
+            until(lambda: it.coordinator.last_event_ids == [0])
             other = Worker()
             it.extra.append(other)
             it.coordinator.open[-1].sendall(it.coordinator.frame(event(2, instance("s-9", other.address)))[:40])
             it.coordinator.open[-1].shutdown(2)
             it.coordinator.events.append(event(2, instance("s-9", other.address)))
             until(lambda: "s-9" in it.node.links)
-            self.assertEqual(it.coordinator.asked[1:], [1])
-            it.coordinator.say(event(2, instance("s-8", other.address)))
-            it.coordinator.say(event(3, instance("s-9", other.address, "Terminating")))
+            self.assertEqual(it.coordinator.last_event_ids[1:], [1])
+            it.coordinator.publish(event(2, instance("s-8", other.address)))
+            it.coordinator.publish(event(3, instance("s-9", other.address, "Terminating")))
             until(lambda: not it.node.desk.dispatcher.workers["s-9"].ready)
             self.assertNotIn("s-8", it.node.links)
 
     def test_a_new_worker_at_the_address_of_one_that_is_gone(self):
         with Platform([serve]) as it:
             at = it.workers[0].address
-            it.coordinator.say(event(2, instance("s-0", at, "Gone"), instance("s-7", at)))
+            it.coordinator.publish(event(2, instance("s-0", at, "Gone"), instance("s-7", at)))
             until(lambda: "s-7" in it.node.links and it.node.links["s-7"].up)
             self.assertEqual(it.call()[0], 200)
             until(lambda: "s-0" not in it.node.links)
 
     def test_silence_has_the_stream_dialled_anew(self):
         with Platform([serve]) as it:
-            it.coordinator.dumb = True
-            until(lambda: len(it.coordinator.asked) > 1)
+            it.coordinator.is_silent = True
+            until(lambda: len(it.coordinator.last_event_ids) > 1)
             self.assertTrue(it.node.roster_lost)
 
     def test_another_configuration_moves_the_stream_and_a_bad_one_does_not(self):
@@ -369,7 +369,7 @@
             file.flush()
             it.node.reload()
             until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
-            self.assertEqual(other.asked, [1])
+            self.assertEqual(other.last_event_ids, [1])
 
 
 class Ending(unittest.TestCase):
@@ -383,7 +383,7 @@
             gevent.sleep(0.6)
             fresh = Client(it.address)              # still let in
             fresh.ask(left="950")
-            until(lambda: it.workers[0].codes(INVOKE))
+            until(lambda: it.workers[0].frames_with(INVOKE))
             until(lambda: it.node.listener.closing)
             kept.ask(id_="00000000000000a2")
             self.assertEqual(kept.answer()[0], 503)
@@ -465,7 +465,7 @@
             asks = [gevent.spawn_later(0.004 * n, ask, n) for n in range(200)]
             gevent.sleep(0.4)
             note("roster", "told", front="front-0", full=False, states={"s-1": "draining"})
-            it.coordinator.say(event(2, instance("s-1", it.workers[1].address, "Terminating")))
+            it.coordinator.publish(event(2, instance("s-1", it.workers[1].address, "Terminating")))
             gevent.joinall(asks)
             self.assertEqual({ask.get() for ask in asks}, {200, 502, 503})
             seen.sort(key=lambda each: each.t)
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -135,14 +135,14 @@
         with self.played() as it:
             self.assertEqual(it.call(HTTP_X_UNIQUE="f4031e2e", HTTP_X_TEAM="one")[0], 200)
             self.assertEqual(it.call(id_="00000000000000a2", type_="submit", HTTP_X_TEAM="one")[0], 200)
-            marked, plain = it.workers[0].codes(INVOKE)
+            marked, plain = it.workers[0].frames_with(INVOKE)
             self.assertEqual((marked.fields["once"], "once" in plain.fields), ("f4031e2e", False))
 
     def test_a_mark_that_would_break_a_frame_is_refused(self):
         with self.played() as it:
             for mark in ("a,b", "a=b\n", "x" * 200):
                 self.assertEqual(it.call(HTTP_X_UNIQUE=mark)[0], 400)
-            self.assertEqual(it.workers[0].codes(INVOKE), [])
+            self.assertEqual(it.workers[0].frames_with(INVOKE), [])
 
     def test_a_tenants_calls_are_its_own_and_not_nobodys(self):
         with self.played() as it:
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -101,7 +101,7 @@
             with Platform([silent]) as it:
                 client = it.client()
                 client.ask(type_=type_, left="1880")
-                until(lambda: it.workers[0].codes(INVOKE))
+                until(lambda: it.workers[0].frames_with(INVOKE))
                 it.node.end()
                 self.assertEqual((client.answer() or [None])[0], wanted)
                 self.assertFalse(it.node.desk.counts["overdue"])
@@ -218,7 +218,7 @@
             come.set()
             until(lambda: only.up)
         self.assertEqual(it.call(id_=B)[0], 200)
-        self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [B])
+        self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [B])
 
     def test_a_close_that_lies_unread_as_its_connection_comes_up_stops_it(self):
         with Platform() as it:
@@ -232,7 +232,7 @@
                 stand_still()
                 until(lambda: it.node.desk.counts["left"])
             self.assertEqual(it.call(id_=B)[0], 200)
-            self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [B])
+            self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [B])
 
     def test_a_close_that_lies_unread_stops_the_next_send(self):
         it, fleet = desk(workers=2, at_once=[Outcome.FULL])
@@ -253,7 +253,7 @@
             stand_still()
             until(lambda: connection.active > before and not connection.open)
             self.assertEqual(it.call(id_=B)[0], 200)
-            self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [B])
+            self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [B])
             client.close()
 
     def test_so_does_a_close(self):
@@ -265,13 +265,13 @@
             stand_still()
             until(lambda: not it.node.listener.connections)
             self.assertEqual(it.call(id_=B)[0], 200)
-            self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [B])
+            self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [B])
 
     def test_an_offence_does_not_keep_an_abort_from_being_read(self):
         with Platform([silent]) as it:
             client = it.client()
             client.ask(left="1800")
-            until(lambda: it.workers[0].codes(INVOKE))
+            until(lambda: it.workers[0].frames_with(INVOKE))
             client.send(record(77, 0, b"x") * 4)        # after four, nothing is read for 0.8 s
             until(lambda: next(iter(it.node.listener.connections)).offences == 4)
             client.abort()
@@ -336,7 +336,7 @@
                 stand_still(0.3)
                 come.set()
                 self.assertEqual(client.answer()[0], 200)
-            self.assertLess(int(it.workers[0].codes(INVOKE)[0].fields["wait"]), 650)
+            self.assertLess(int(it.workers[0].frames_with(INVOKE)[0].fields["wait"]), 650)
 
     def test_one_that_waited_for_a_full_socket_does_so_too(self):
         reads, arrived = Event(), []
@@ -377,14 +377,14 @@
                 only.invoke(held, 0, left.pop(0))
             until(lambda: len(only.connections) == 2)
             only.broke(connection, "reset")
-            until(lambda: it.workers[0].codes(INVOKE))
-            self.assertEqual(it.workers[0].codes(INVOKE)[0].fields["wait"], "300")
+            until(lambda: it.workers[0].frames_with(INVOKE))
+            self.assertEqual(it.workers[0].frames_with(INVOKE)[0].fields["wait"], "300")
 
     def test_a_connection_that_broke_carries_nothing_new_while_unread_news_is_waited_for(self):
         with Platform([silent]) as it:
             client, only, carried = it.client(), it.node.links["s-0"], []
             client.ask(type_="submit")
-            until(lambda: it.workers[0].codes(INVOKE))
+            until(lambda: it.workers[0].frames_with(INVOKE))
             broken = next(each for each in only.connections if each.waiting)
             it.node.settle = lambda: carried.append(pool.fit(only.connections, b"another!", 32) is broken)
             for sock in it.workers[0].open:
@@ -410,10 +410,10 @@
         with Platform() as it:
             apply = it.node.coordinator.on_update
             it.node.coordinator.on_update = mock.Mock(side_effect=KeyError("planted"))
-            it.coordinator.say(event(2, instance("s-0", it.workers[0].address, weight=2.0)))
+            it.coordinator.publish(event(2, instance("s-0", it.workers[0].address, weight=2.0)))
             until(lambda: it.log.of("fault"))
             it.node.coordinator.on_update = apply
-            it.coordinator.say(event(3, instance("s-0", it.workers[0].address, "Terminating")))
+            it.coordinator.publish(event(3, instance("s-0", it.workers[0].address, "Terminating")))
             until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
 
     def test_a_move_while_a_dial_is_out_and_two_at_once(self):
@@ -433,14 +433,14 @@
             it.node.coordinator.move(others[0].address)
             it.node.coordinator.move(others[1].address)
             until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
-            self.assertEqual((others[0].asked, others[1].asked), ([], [1]))
+            self.assertEqual((others[0].last_event_ids, others[1].last_event_ids), ([], [1]))
             for each in [hole, *fillers]:
                 each.close()
 
     def test_a_worker_gone_and_another_at_its_address_within_one_event(self):
         with Platform() as it:
             address = it.workers[0].address
-            it.coordinator.say(event(2, instance("s-0", address, "Gone"), instance("s-9", address)))
+            it.coordinator.publish(event(2, instance("s-0", address, "Gone"), instance("s-9", address)))
             until(lambda: it.node.links.get("s-9") and it.node.links["s-9"].up)
             self.assertEqual(it.call()[0], 200)
             self.assertEqual([each.name for each in it.node.desk.dispatcher.fleet], ["s-9"])
@@ -453,18 +453,18 @@
                 sock = it.node.coordinator.sock
                 return sock and sock.gettimeout()
             self.assertEqual(waits(), 0.4)
-            it.coordinator.dumb = True              # from now on: a head and nothing more
+            it.coordinator.is_silent = True              # from now on: a head and nothing more
             until(lambda: waits() == 0.3)
             until(lambda: len(it.log.of("coordinator-lost")) >= 2)
-            it.coordinator.dumb = False
+            it.coordinator.is_silent = False
             until(lambda: waits() == 0.4)
-            it.coordinator.say(event(2, instance("s-0", it.workers[0].address, "Terminating")))
+            it.coordinator.publish(event(2, instance("s-0", it.workers[0].address, "Terminating")))
             until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
 
     def test_a_worker_that_starts_twice_within_two_seconds_is_cold_anew(self):
         with Platform() as it:
             def start(number, at):
-                it.coordinator.say(event(number, instance("s-0", it.workers[0].address, startedAtMs=at)))
+                it.coordinator.publish(event(number, instance("s-0", it.workers[0].address, startedAtMs=at)))
                 until(lambda: it.node.coordinator.sequence.last == number)
                 return it.node.desk.dispatcher.workers["s-0"].since
             now = time.time_ns() // MS
@@ -578,10 +578,10 @@
                 self.assertLess(most, limit)
                 coordinator = Coordinator([event(1), event(2, *(
                     instance(f"s-{n}", it.address) for n, it in enumerate(workers)))], place)
-                until(lambda: coordinator.asked)
+                until(lambda: coordinator.last_event_ids)
                 got = [serves(n) for n in range(2, 100)]
                 self.assertEqual(set(got), {200})
-                self.assertGreater(sum(bool(it.codes(INVOKE)) for it in workers[4:]), 20)
+                self.assertGreater(sum(bool(it.frames_with(INVOKE)) for it in workers[4:]), 20)
                 self.assertLess(held(), limit)
                 child.send_signal(signal.SIGTERM)
                 said = [json.loads(line) for line in child.stderr.read().splitlines()]
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -53,7 +53,7 @@
         for number in range(1, STOPS + 1):
             self.stopped(lambda number=number: self.client.ask(number, id_=f"{number:016x}", left=str(LEFT_MS)))
             statuses.append(self.client.answer(number)[0])
-        passed_on = [int(it.fields["wait"]) for it in self.worker.codes(INVOKE)]
+        passed_on = [int(it.fields["wait"]) for it in self.worker.frames_with(INVOKE)]
         self.assertEqual(set(statuses) - {503}, {200})
         self.assertEqual(len(passed_on), statuses.count(200))
         self.assertLessEqual(max(passed_on), LEFT_MS - STOPPED_MS + SLACK_MS)
@@ -66,7 +66,7 @@
         for number in range(1, STOPS + 1):
             self.stopped(lambda number=number: ask_and_leave(f"{number:016x}"))
             self.assertEqual(self.client.alive(2)[0], 200)
-        self.assertEqual(self.worker.codes(INVOKE), [])
+        self.assertEqual(self.worker.frames_with(INVOKE), [])
 
 
 class TimeThatEndedMeanwhile(unittest.TestCase):
@@ -81,7 +81,7 @@
             id_ = bytes.fromhex(held.ivk)
             self.assertEqual(link.place(id_, (held, 0), request_now(id_, held)), Outcome.MOOT)
             self.assertEqual(it.call()[0], 200)
-            self.assertEqual(len(it.workers[0].codes(INVOKE)), 1)
+            self.assertEqual(len(it.workers[0].frames_with(INVOKE)), 1)
 
 
 class SignalsInSeries(unittest.TestCase):
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -113,7 +113,7 @@
                 for number, item in enumerate(ITEMS, 1):
                     client.ask(number, id_=f"{number:016x}", left=str(LEFT_MS), item=item)
             statuses = [answer_of(client, number)[0] for client in clients for number in range(1, len(ITEMS) + 1)]
-        self.assertEqual(self.draining.codes(INVOKE) + self.draining.codes(HOLD), [])
+        self.assertEqual(self.draining.frames_with(INVOKE) + self.draining.frames_with(HOLD), [])
         self.assertEqual(set(statuses), {200})
 
 
@@ -146,7 +146,7 @@
         link = next(iter(self.node.links.values()))
         self.assertIsNone(link.ask(Asked(self.node.desk, link.worker)))
         self.assertEqual(len(link.queue), 1)
-        until(lambda: len(self.worker.codes(ASK)) == 1)
+        until(lambda: len(self.worker.frames_with(ASK)) == 1)
 
     def test_a_connection_that_ended_is_not_dialled_again_for_nothing(self):
         self.assertEqual(self.platform.call()[0], 200)
