--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,11 +15,11 @@
 
 def front_end(workers=4, seed=1, now=0, since=0, **changes):
     it = Dispatcher(seed, deployment(**changes), now)
-    it.roster(now, [ready(f"w{n}", since=since) for n in range(workers)], full=True)
+    it.roster(now, [listing(f"w{n}", since=since) for n in range(workers)], full=True)
     return it
 
 
-def ready(worker, state=State.READY, **facts):
+def listing(worker, state=State.READY, **facts):
     return Listing(worker, state, **facts)
 
 
@@ -29,9 +29,9 @@
     return act, act.start(now)
 
 
-def sent(steps):
+def sent_to(steps):
     return [step.worker for step in steps if step.do is Do.SEND]
 
 
-def does(steps):
+def actions(steps):
     return [step.do for step in steps]
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -2,7 +2,7 @@
 import unittest
 from itertools import islice
 
-from tests.helpers import call, does, front_end, ready, sent
+from tests.helpers import actions, call, front_end, listing, sent_to
 from threadshift.choice import NAMES, PARKED
 from threadshift.interface import MS, SECOND, Copy, Do, Effect, NamespaceType, Outcome, Report, State, Tenant
 from threadshift.ring import POINTS
@@ -14,13 +14,13 @@
     """One call asked for and completed at once; where it went."""
     act, steps = call(it, ivk, now, fn, **facts)
     act.returned(now + took, 0, Outcome.COMPLETED, took, copy=copy, final=True)
-    return sent(steps)[0]
+    return sent_to(steps)[0]
 
 
 class Mechanism(unittest.TestCase):
     def test_homes_agree_and_move_minimally(self):
         one, other, third = front_end(8, seed=1), front_end(8, seed=2), front_end(8)
-        third.roster(0, [ready("w3", State.DRAINING)], full=False)
+        third.roster(0, [listing("w3", State.DRAINING)], full=False)
         for fn in [f"fn{n}" for n in range(60)]:
             homes = [serve(it, fn) for it in (one, other, third)]
             self.assertEqual(homes[0], homes[1])
@@ -41,7 +41,7 @@
             home = serve(it, lanes=lanes)
             stops = [worker.name for worker in it.walk(it.functions["f"])]
             it.workers[stops[1]].warm["f"] = 10 * SECOND
-            went = [place for n in range(held) for place in sent(call(it, f"c{n}", fn="f")[1])]
+            went = [place for n in range(held) for place in sent_to(call(it, f"c{n}", fn="f")[1])]
             self.assertEqual((went[0], len(set(went))), (home, used), (held, fronts, lanes))
 
     def test_a_home_that_is_no_stop_is_no_last_choice(self):
@@ -61,7 +61,7 @@
                 home.until = 9 * SECOND
             else:
                 home.since, home.credit, home.earned = 2 * SECOND, 0.0, 2 * SECOND
-            went = sent(call(it, "b", 2 * SECOND)[1])
+            went = sent_to(call(it, "b", 2 * SECOND)[1])
             self.assertEqual(len(went), 1)
             self.assertNotIn(home.name, went, why)
 
@@ -97,7 +97,7 @@
         home.warm.clear()
         other.warm["f"] = 10 * SECOND
         _, steps = call(it, now=2 * SECOND)
-        self.assertEqual(sent(steps), [other.name])
+        self.assertEqual(sent_to(steps), [other.name])
         self.assertEqual([step.worker for step in steps if step.do is Do.HOLD], [home.name])
         it.held(3 * SECOND, home.name, "f", Outcome.COMPLETED, 1)
         self.assertEqual(serve(it, now=3 * SECOND), home.name)
@@ -105,17 +105,17 @@
     def test_calls_wait_for_one_load(self):
         it = front_end(4)
         acts = [call(it, f"c{n}", lanes=2) for n in range(5)]
-        self.assertEqual([len(sent(steps)) for _, steps in acts], [1, 0, 0, 0, 0])
+        self.assertEqual([len(sent_to(steps)) for _, steps in acts], [1, 0, 0, 0, 0])
         steps = acts[0][0].returned(SECOND, 0, Outcome.COMPLETED, SECOND, copy=Copy.BEGAN, final=True)
-        self.assertEqual(len(sent(steps)), 2)
+        self.assertEqual(len(sent_to(steps)), 2)
 
     def test_miss_orders_a_copy_and_sends_again(self):
         it = front_end(4, loads_on_miss=False)
         act, steps = call(it)
-        home = sent(steps)[0]
+        home = sent_to(steps)[0]
         steps = act.returned(5 * MS, 0, Outcome.MISS, 5 * MS)
         self.assertEqual([(step.do, step.worker, step.amount) for step in steps], [(Do.HOLD, home, 1)])
-        self.assertEqual(sent(it.held(SECOND, home, "f", Outcome.COMPLETED, 1)), [home])
+        self.assertEqual(sent_to(it.held(SECOND, home, "f", Outcome.COMPLETED, 1)), [home])
 
 
 class Rules(unittest.TestCase):
@@ -128,18 +128,18 @@
                 steps = act.returned(10 * MS, 0, outcome, 10 * MS)
                 # workers here share one zone, so a deduplicated activation may go to any of them
                 again = effect is not ONCE or outcome in unrun
-                self.assertEqual(does(steps), [Do.SEND if again else Do.ABORT], (outcome, effect))
+                self.assertEqual(actions(steps), [Do.SEND if again else Do.ABORT], (outcome, effect))
 
     def test_deduplicated_stays_in_group_and_span(self):
         # zone of the other worker, when the time-out comes, whether sent again
         for zone, when, again in (("z", SECOND, True), ("y", SECOND, False), ("z", 1990 * MS, True),
                                   ("z", 1993 * MS, False)):
             it = front_end(0)
-            it.roster(0, [ready("w0", zone="z"), ready("w1", zone=zone)], full=True)
+            it.roster(0, [listing("w0", zone="z"), listing("w1", zone=zone)], full=True)
             act, steps = call(it, effect=MARKED)
-            it.workers[sent(steps)[0]].until = 10 * SECOND
+            it.workers[sent_to(steps)[0]].until = 10 * SECOND
             steps = act.returned(when, 0, Outcome.TIMEOUT, when)
-            self.assertEqual(does(steps), [Do.SEND if again else Do.ABORT], (zone, when))
+            self.assertEqual(actions(steps), [Do.SEND if again else Do.ABORT], (zone, when))
 
     def test_answered_in_time_and_once(self):
         for effect in Effect:
@@ -150,13 +150,13 @@
                 now = it.due()
                 self.assertLess(now, 100 * MS)
                 steps += it.tick(now)
-            final = [do for do in does(steps) if do in (Do.ABORT, Do.REJECT)]
+            final = [do for do in actions(steps) if do in (Do.ABORT, Do.REJECT)]
             self.assertEqual(final, [Do.REJECT if effect is AGAIN else Do.ABORT])
             self.assertEqual(act.returned(99 * MS, 0, Outcome.FULL, 99 * MS), [])
 
     def test_nothing_new_to_draining_gone_or_unlisted(self):
-        listings = ([ready("w0", State.DRAINING)], [ready("w0", State.GONE)])
-        for changes, full in ((listings[0], False), (listings[1], False), ([ready("w1")], True)):
+        listings = ([listing("w0", State.DRAINING)], [listing("w0", State.GONE)])
+        for changes, full in ((listings[0], False), (listings[1], False), ([listing("w1")], True)):
             it = front_end(2)
             it.roster(0, changes, full=full)
             for n in range(20):
@@ -165,7 +165,7 @@
                 self.assertFalse(it.hold(it.workers["w0"], it.functions[fn], 0))
 
     def test_empty_ring_rejects_at_once(self):
-        self.assertEqual(does(call(front_end(0))[1]), [Do.REJECT])
+        self.assertEqual(actions(call(front_end(0))[1]), [Do.REJECT])
 
     def test_a_cold_worker_gets_no_more_than_its_budget_from_all_front_ends(self):
         # front ends, age, completed work a second and worker in all, most and least sends in one stretch
@@ -180,8 +180,8 @@
                     now = start + age + n * 125 * MS
                     it.done, it.done_at, it.budget = budget, now, 10.0
                     act, steps = call(it, f"c{n}", now, fn=f"fn{n}")
-                    sends += [now - start - age] * len(sent(steps))
-                    act.returned(now, 0, Outcome.FULL, 0) if sent(steps) else None
+                    sends += [now - start - age] * len(sent_to(steps))
+                    act.returned(now, 0, Outcome.FULL, 0) if sent_to(steps) else None
                     worker.until, worker.limit = 0, 100.0
             counts = [sum(0 <= it - at < SECOND for it in sends) for at in range(0, 2 * SECOND, MS * 125)]
             self.assertLessEqual(max(counts), most, (fronts, age, rate))
@@ -190,10 +190,10 @@
     def test_told_tables_of_workers_new_and_gone(self):
         it = front_end(3)
         homes = [serve(it, f"fn{n}", ivk=str(n)) for n in range(30)]
-        it.roster(0, [ready("new1"), ready("new2")], full=False)
-        it.roster(0, [ready("new1", State.GONE), ready("new2", State.DRAINING)], full=False)
+        it.roster(0, [listing("new1"), listing("new2")], full=False)
+        it.roster(0, [listing("new1", State.GONE), listing("new2", State.DRAINING)], full=False)
         self.assertEqual([serve(it, f"fn{n}", ivk=f"b{n}") for n in range(30)], homes)
-        it.roster(0, [ready(f"later{n}") for n in range(5)], full=True)
+        it.roster(0, [listing(f"later{n}") for n in range(5)], full=True)
         self.assertEqual({serve(it, f"fn{n}", ivk=f"c{n}")[:5] for n in range(30)}, {"later"})
 
     def test_calls_withdrawn_by_their_clients_earn_no_load_orders(self):
@@ -237,7 +237,7 @@
             for n in range(400):
                 now += chance.randrange(40) * MS
                 if chance.random() < 0.05:
-                    it.roster(now, [ready(f"w{n % 5}", chance.choice(list(State)), since=now)], full=False)
+                    it.roster(now, [listing(f"w{n % 5}", chance.choice(list(State)), since=now)], full=False)
                 steps = it.tick(now)
                 if chance.random() < 0.5:
                     act, more = call(it, str(n), now, f"fn{n % 7}", chance.choice(list(Effect)),
@@ -292,7 +292,7 @@
                 it = self.front_end(pressed, copies, seed=seed)
                 it.crowd(crowded, SECOND)
                 it.orders += loads
-                asked += Do.ASK in does(call(it, "a", SECOND)[1])
+                asked += Do.ASK in actions(call(it, "a", SECOND)[1])
             self.assertTrue(least <= asked / 100 <= most, (pressed, copies, crowded, loads, asked))
 
     def test_a_crowded_store_is_asked_for_less_than_one_load_each(self):
@@ -305,7 +305,7 @@
             begun, now = 0, 200 * SECOND
             for n in range(1000):
                 act, steps = call(it, f"a{n}", now, fn=f"new{n}", left=600 * MS)
-                if sent(steps):
+                if sent_to(steps):
                     begun += 1
                     it.load_base = float(SECOND)
                     act.returned(now + SECOND, 0, Outcome.COMPLETED, SECOND // 2, copy=Copy.UNTOLD)
@@ -322,7 +322,7 @@
         for fronts, price, zone, used in ((100, 0.03, "a", {"a"}), (100, 0.0, "a", {"a", "b"}),
                                           (3, 0.03, "a", {"a", "b"}), (100, 0.03, "c", {"a", "b"})):
             it = front_end(6, front_ends=fronts, crossing=price, zone=zone)
-            it.roster(0, [ready(f"w{n}", zone="ab"[n % 2]) for n in range(6)], full=True)
+            it.roster(0, [listing(f"w{n}", zone="ab"[n % 2]) for n in range(6)], full=True)
             it.spread = lambda fn, kind, now: setattr(fn, "width", 6)
             for worker in it.fleet:
                 worker.warm["f"] = 9 * SECOND
@@ -356,12 +356,12 @@
             it = self.front_end()
             act, steps = call(it, "a", SECOND, "f")
             asked = [step.worker for step in steps if step.do is Do.ASK]
-            self.assertEqual((len(asked), sent(steps)), (1, []))
+            self.assertEqual((len(asked), sent_to(steps)), (1, []))
             if report:
                 steps = it.told(SECOND + MS, asked[0], Outcome.COMPLETED, report)
             else:
                 steps = it.tick(SECOND + 31 * MS)
-            on = sent(steps) or [step.worker for step in steps if step.do is Do.ASK]
+            on = sent_to(steps) or [step.worker for step in steps if step.do is Do.ASK]
             self.assertEqual(on == asked, there, report)
 
     def test_asking_ends_where_probes_tell_no_load_and_never_starts_with_few_front_ends(self):
@@ -373,7 +373,7 @@
             for name in asked:
                 it.told(SECOND + n * SECOND, name, Outcome.COMPLETED, None)
             act.returned(SECOND + n * SECOND, 0, Outcome.COMPLETED, MS, final=True)
-        self.assertEqual(does(call(front_end(may_probe=True, front_ends=3))[1]), [Do.SEND])
+        self.assertEqual(actions(call(front_end(may_probe=True, front_ends=3))[1]), [Do.SEND])
 
     def test_answered_while_it_waits_for_a_report(self):
         it = self.front_end()
@@ -381,7 +381,7 @@
         while not act.answered:
             self.assertLess(it.due(), SECOND + 20 * MS)
             steps += it.tick(max(SECOND, it.due()))
-        self.assertEqual([do for do in does(steps) if do is not Do.ASK], [Do.REJECT])
+        self.assertEqual([do for do in actions(steps) if do is not Do.ASK], [Do.REJECT])
         asked = act.asked
         self.assertEqual(it.told(2 * SECOND, asked.name, Outcome.COMPLETED, Report(waiting=0.0)), [])
 
@@ -399,9 +399,9 @@
             for n in range(2):
                 it.workers[home].warm["f"] = 10 * SECOND
                 act, steps = call(it, f"x{n}")
-                self.assertEqual(sent(steps), [home])
+                self.assertEqual(sent_to(steps), [home])
                 act.returned(MS, 0, outcome, MS)
-            self.assertNotEqual(sent(call(it, "y", 2 * MS)[1]), [home], outcome)
+            self.assertNotEqual(sent_to(call(it, "y", 2 * MS)[1]), [home], outcome)
             later = 5 * SECOND
             worker = it.workers[home]
             for effect, fits in ((AGAIN, True), (ONCE, False)):
@@ -411,12 +411,12 @@
         it = front_end(4)
         home = serve(it)
         act, steps = call(it, "b", 20 * MS, lanes=3)
-        self.assertEqual(sent(steps), [home])
+        self.assertEqual(sent_to(steps), [home])
         steps = [step for _ in range(20) for step in it.tick(it.due())]
         self.assertIn((Do.CANCEL, act), [(step.do, step.act) for step in steps])
         again = act.returned(SECOND, 0, Outcome.CANCELLED, SECOND)
-        self.assertEqual(len(sent(again)), 1)
-        self.assertNotEqual(sent(again), [home])
+        self.assertEqual(len(sent_to(again)), 1)
+        self.assertNotEqual(sent_to(again), [home])
 
     def test_a_silent_worker_that_loads_with_cores_free_is_not_suspended(self):
         # Found on sockets: copies were dropped, workers loaded them for calls thought warm, and four of six were
@@ -450,11 +450,11 @@
             it = front_end(20, front_ends=fronts, may_probe=True)
             it.may_ask = 0
             act, steps = call(it, "a", SECOND, left=9 * SECOND)
-            home, now = sent(steps)[0], SECOND
-            while Do.CANCEL not in does(steps) and now < 9 * SECOND:
+            home, now = sent_to(steps)[0], SECOND
+            while Do.CANCEL not in actions(steps) and now < 9 * SECOND:
                 now += 20 * MS
                 steps = it.tick(now)
-                if Do.ASK in does(steps) and outcome:
+                if Do.ASK in actions(steps) and outcome:
                     it.told(now + MS, home, outcome, None)
             self.assertTrue(soonest * MS <= now - SECOND <= latest * MS, (fronts, outcome, now))
 
@@ -463,7 +463,7 @@
         for fronts, halls, fails, left in ((100, 2, 3, True), (100, 2, 2, False), (100, 1, 3, False),
                                            (3, 2, 3, False)):
             it = front_end(12, front_ends=fronts)
-            it.roster(0, [ready(f"w{n}", zone="ab"[n % halls]) for n in range(12)], full=True)
+            it.roster(0, [listing(f"w{n}", zone="ab"[n % halls]) for n in range(12)], full=True)
             del it.halls[""]                # of the list that front_end() gave
             here = [worker for worker in it.fleet if worker.zone == "a"]
             for n, worker in enumerate(here[:fails]):
@@ -492,16 +492,16 @@
         home = serve(it, ivk="first")
         act, _ = call(it, "late", now=20 * MS)
         now, steps = 20 * MS, []
-        while Do.ASK not in does(steps):
+        while Do.ASK not in actions(steps):
             now += 20 * MS
             steps = it.tick(now)
         act.returned(now, 0, Outcome.RESET, now)
-        it.roster(now, [ready(f"new{n}") for n in range(3)], full=True)
+        it.roster(now, [listing(f"new{n}") for n in range(3)], full=True)
         self.assertIn(home, it.workers)
         self.assertLess(len(it.workers), 8)             # the others are forgotten, but for one it was moved to
         it.told(now, home, Outcome.RESET, None)
         for life in "abc":                              # nor kept for good
-            it.roster(now, [ready(f"{life}{n}") for n in range(20)], full=True)
+            it.roster(now, [listing(f"{life}{n}") for n in range(20)], full=True)
         self.assertNotIn(home, it.workers)
 
     def test_full_answers_shrink_the_limit_once_a_while(self):
@@ -524,7 +524,7 @@
             it = front_end(4)
             home = it.workers[serve(it)]
             home.limit, it.cold_out, it.load_limit = 0.0, out, 4.0
-            self.assertEqual(len(sent(call(it, "b", SECOND)[1])) == 1, widened, out)
+            self.assertEqual(len(sent_to(call(it, "b", SECOND)[1])) == 1, widened, out)
 
     def test_pressed_stops_take_no_call_bound_to_be_late(self):
         # cost hint over the usual, pace of the one warm stop, whether a call is sent there all the same
@@ -533,7 +533,7 @@
             home = it.workers[serve(it, work=100 * MS)]
             home.pace, home.limit, home.settled, it.load_limit = pace, 9.0, SECOND, 0.0
             steps = call(it, "b", SECOND, lanes=2, work=weight * 100 * MS)[1]
-            self.assertEqual(does(steps), [Do.SEND if taken else Do.REJECT], (weight, pace))
+            self.assertEqual(actions(steps), [Do.SEND if taken else Do.REJECT], (weight, pace))
 
     def test_under_pressure_less_utility_needs_a_calmer_worker(self):
         # pace of the one warm stop, utility asked for, whether it is sent
@@ -544,7 +544,7 @@
             home = it.workers["w0"]
             home.pace, home.limit, it.load_limit, home.warm["f"] = pace, 9.0, 0.0, 10 * SECOND
             act = it.take(SECOND, "a", name, "f", SECOND)
-            self.assertEqual(does(act.start(SECOND)), [Do.SEND if taken else Do.REJECT], (pace, name))
+            self.assertEqual(actions(act.start(SECOND)), [Do.SEND if taken else Do.REJECT], (pace, name))
 
     def test_a_rarely_heard_slow_worker_does_not_look_fast(self):
         it = front_end(1)
@@ -608,14 +608,14 @@
         for by in ("order", "send"):
             it = front_end(4)
             first, steps = call(it, "a", 0, lanes=1)
-            home = it.workers[sent(steps)[0]]
+            home = it.workers[sent_to(steps)[0]]
             if by == "order":
                 it.hold(home, first.fn, 0)
             second, steps = call(it, "b", MS)
-            self.assertEqual(sent(steps), [])
+            self.assertEqual(sent_to(steps), [])
             home.until = 9 * SECOND         # it answers nothing
             steps = it.tick(200 * MS)
-            self.assertEqual([place != home.name for place in sent(steps)], [True], by)
+            self.assertEqual([place != home.name for place in sent_to(steps)], [True], by)
 
     def test_no_call_waits_for_a_load_that_cannot_come_in_time(self):
         # All loads that the store bears are under way, none for this function, and one takes longer than the call
@@ -623,13 +623,13 @@
         it = front_end(4)
         it.load_limit, it.orders, it.load_base = 1.0, 1, float(SECOND)
         act, steps = call(it, "a", 0, left=300 * MS)
-        self.assertEqual(does(steps), [Do.REJECT])
+        self.assertEqual(actions(steps), [Do.REJECT])
         act, steps = call(it, "b", 0, left=2000 * MS)
-        self.assertEqual(does(steps), [])           # there is time: it waits ...
+        self.assertEqual(actions(steps), [])           # there is time: it waits ...
         it.tick(1000 * MS)
         self.assertFalse(act.answered)
         steps = it.tick(1700 * MS)                  # ... until there is none
-        self.assertEqual(does(steps), [Do.REJECT])
+        self.assertEqual(actions(steps), [Do.REJECT])
 
     def test_a_load_that_was_ordered_is_coming_until_it_ended(self):
         it = front_end(2)
@@ -651,7 +651,7 @@
         for act in gone:
             act.left(MS)
         act, steps = call(it, "c", 2 * MS)
-        self.assertEqual((does(steps), act.answered), ([], False))
+        self.assertEqual((actions(steps), act.answered), ([], False))
         steps = first.returned(3 * MS, 0, Outcome.COMPLETED, 3 * MS, copy=Copy.BEGAN, final=True)
         self.assertEqual([step.act for step in steps if step.do is Do.SEND], [act])
 
@@ -684,7 +684,7 @@
     def test_workers_long_gone_leave_the_ring_and_the_memory(self):
         it = front_end(4)
         for n in range(200):
-            it.roster(n * SECOND, [ready(f"n{n}"), *([ready(f"n{n - 1}", State.GONE)] if n else [])], full=False)
+            it.roster(n * SECOND, [listing(f"n{n}"), *([listing(f"n{n - 1}", State.GONE)] if n else [])], full=False)
         self.assertLess(len(it.workers), 20)
         self.assertEqual(len(it.ring), sum(map(len, it.ring.sections)))
         self.assertLess(len(it.ring), 20 * POINTS)
@@ -694,10 +694,10 @@
     def test_a_worker_gone_with_something_out_is_kept_until_it_ended(self):
         it = front_end(2)
         act, steps = call(it)
-        busy = sent(steps)[0]
+        busy = sent_to(steps)[0]
         for n in range(100):
-            it.roster(n, [ready(busy, State.GONE), ready(f"n{n}"),
-                          *([ready(f"n{n - 1}", State.GONE)] if n else [])], full=False)
+            it.roster(n, [listing(busy, State.GONE), listing(f"n{n}"),
+                          *([listing(f"n{n - 1}", State.GONE)] if n else [])], full=False)
         self.assertIn(busy, it.workers)
         act.returned(SECOND, 0, Outcome.RESET, SECOND)
         self.assertLess(len(it.workers), 60)
@@ -708,7 +708,7 @@
         for n in range(8):
             act, steps = call(it, f"c{n}", n * MS, "poison")
             number = 0
-            while places := sent(steps):
+            while places := sent_to(steps):
                 steps = act.returned(n * MS, number, Outcome.ERROR, MS)
                 number += len(places)
         self.assertEqual([worker.name for worker in it.fleet if worker.until > 8 * MS], [])
@@ -721,19 +721,19 @@
         for fn, sends in (("made-up", 2), ("real", 4)):
             act, steps = call(it, fn, fn=fn, now=SECOND)
             it.budget = 10.0
-            while sent(steps):
+            while sent_to(steps):
                 steps = act.returned(SECOND, len(act.sends) - 1, Outcome.ERROR, MS)
-            self.assertEqual((len(act.sends), does(steps)[-1]), (sends, Do.REJECT))
+            self.assertEqual((len(act.sends), actions(steps)[-1]), (sends, Do.REJECT))
 
     def test_a_worker_that_fails_what_others_serve_is_suspended(self):
         it = front_end(4)
         for n in range(6):
             serve(it, f"f{n}", n, f"s{n}")
-        bad = it.workers[sent(call(it, "x", 10 * MS, "f0")[1])[0]]
+        bad = it.workers[sent_to(call(it, "x", 10 * MS, "f0")[1])[0]]
         struck = 0
         for n in range(40):
             act, steps = call(it, f"c{n}", (11 + n) * MS, f"f{n % 6}")
-            if sent(steps) == [bad.name]:
+            if sent_to(steps) == [bad.name]:
                 act.returned((11 + n) * MS, 0, Outcome.ERROR, MS)
                 struck += 1
                 if struck == 2:
@@ -750,7 +750,7 @@
             call(it, f"a{n}", n * MS // 10, "f", tenant="a", lanes=64)
         self.assertLess(max(len(worker.sends) for worker in it.fleet), 4)
         _, steps = call(it, "b", 7 * MS, "g", tenant="b", lanes=64)
-        self.assertEqual(len(sent(steps)), 1)
+        self.assertEqual(len(sent_to(steps)), 1)
 
     def test_reports_count_where_our_own_counts_say_little(self):
         # Found by switching reports off: with four front ends and 30 workers they took 0.2 of the service away.
@@ -765,7 +765,7 @@
             for worker in it.fleet:
                 worker.warm["f"] = 9 * SECOND
             _, steps = call(it, "a", SECOND)
-            self.assertEqual(Do.ASK in does(steps), asked, held)
+            self.assertEqual(Do.ASK in actions(steps), asked, held)
 
     def test_a_heavy_call_takes_its_own_weight_of_a_cold_budget(self):
         it = front_end(1, since=SECOND, now=SECOND, front_ends=1)
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.helpers import deployment, ready
+from tests.helpers import deployment, listing
 from threadshift.choice import NEVER_RAN, Dispatcher
 from threadshift.desk import earlier
 from threadshift.desk.desk import Answer, Call, Desk, Final
@@ -61,7 +61,7 @@
 def desk(workers=4, at_once=(), **changes):
     fleet = Fleet(at_once)
     it = fleet.desk = Desk(Dispatcher(1, deployment(**changes), 0), fleet, fleet)
-    it.roster(0, [ready(f"w{n}") for n in range(workers)], full=True)
+    it.roster(0, [listing(f"w{n}") for n in range(workers)], full=True)
     return it, fleet
 
 
@@ -222,7 +222,7 @@
             self.unready.pop(name, None)
         else:
             self.unready[name] = self.now
-        self.it.roster(self.now, [ready(name, state, since=age and max(1, self.now - age))], full=False)
+        self.it.roster(self.now, [listing(name, state, since=age and max(1, self.now - age))], full=False)
 
     def held(self, pick, outcome):
         if self.fleet.asked:
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.helpers import ready
+from tests.helpers import listing
 from tests.platform import SETTINGS, Platform, configuration
 from tests.test_desk import Fleet
 from threadshift.choice import Dispatcher
@@ -68,7 +68,7 @@
         shutdown = Shutdown(max(each.action_timeout for each in types))
         fleet, now, calls = Fleet(), SECOND, []
         desk = fleet.desk = Desk(Dispatcher(1, config.deployment, now), fleet, fleet, config.load_timeout)
-        desk.roster(now, [ready(f"w{n}", since=now if n == 3 else 0) for n in range(4)], full=True)
+        desk.roster(now, [listing(f"w{n}", since=now if n == 3 else 0) for n in range(4)], full=True)
         for what, pick, outcome in events:
             out = [(held, n) for held in calls for n, sent in enumerate(held.sends) if sent.outcome is None]
             if what == "take":
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -6,7 +6,7 @@
 from itertools import count
 from unittest import mock
 
-from tests.helpers import deployment, ready
+from tests.helpers import deployment, listing
 from threadshift.choice import Dispatcher
 from threadshift.interface import MS, SECOND, Copy, Do, Effect, NamespaceType, Outcome
 
@@ -34,7 +34,7 @@
         self.settings, self.late, self.restarted = settings, late, restarted
         self.fronts = [self.front_end(self.begin) for _ in range(front_ends)]
         for each in self.fronts:
-            each.roster(self.begin, [ready(name) for name in self.names], True)
+            each.roster(self.begin, [listing(name) for name in self.names], True)
         self.shares = [1 / (1 + n % 20) for n in range(front_ends)]
         self.popular = [1 / (3 + n) ** 1.25 for n in range(60)]
         self.type_of = self.chance.choices(range(len(kinds)), [part for part, _ in kinds], k=60)
@@ -62,13 +62,13 @@
         if self.restarted:      # all front ends, too: they know nothing but the list
             self.fronts = [self.front_end(now) for _ in self.fronts]
             for front in self.fronts:
-                front.roster(now, [ready(name) for name in self.names], True)
+                front.roster(now, [listing(name) for name in self.names], True)
         for number, front in enumerate(self.fronts):
             self.at(now + (self.late if number % 4 == 3 else 0), self.hear, front, now)
 
     def hear(self, now, front, since):
         """A front end hears that the workers have started: one in four late, where any is."""
-        self.carry(front, front.roster(now, [ready(name, since=since) for name in self.starts], False), now)
+        self.carry(front, front.roster(now, [listing(name, since=since) for name in self.starts], False), now)
 
     def call(self, now):
         self.at(now + int(self.chance.expovariate(self.rate) * SECOND), self.call)
