--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -144,7 +144,7 @@
 
     def test_no_more_requests_wait_than_there_may_be_calls(self):
         with Platform(answering=False) as it:
-            it.node.listener.activations = 2
+            it.node.listener.max_activations = 2
             client = it.client()
             for number in (1, 2, 3):
                 client.ask(number, id_=f"{number:016x}", left="900")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -211,7 +211,7 @@
 
     def test_silent_connections_make_room_for_who_asks(self):
         with Platform(limits={"cores": 1.0, "memory_mb": 96, "sockets": 32}) as it:
-            quiet = [it.client() for _ in range(it.node.listener.most())]
+            quiet = [it.client() for _ in range(it.node.listener.max_connections())]
             until(lambda: len(it.node.listener.connections) == len(quiet))
             gevent.sleep(0.03)
             self.assertEqual(it.call()[0], 200)
@@ -220,7 +220,7 @@
     def test_connections_that_were_answered_make_room_but_not_with_a_request_unread(self):
         # Found by an incident: requests read from connections that had been closed to make room were lost.
         with Platform(limits={"cores": 1.0, "memory_mb": 96, "sockets": 32}) as it:
-            most, firm = it.node.listener.most(), it.node.descriptors.reserved_for_clients
+            most, firm = it.node.listener.max_connections(), it.node.descriptors.reserved_for_clients
             for n in range(2 * most):
                 self.assertEqual(it.call(id_=f"{n:016x}")[0], 200)
                 gevent.sleep(connection_eviction.ACTIVITY_GRACE / SECOND if n >= firm - 1 else 0)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -82,7 +82,7 @@
 
 def fill(it, left):
     """As many clients as there may be, each with a request under way."""
-    busy = [it.client() for _ in range(it.node.listener.most())]
+    busy = [it.client() for _ in range(it.node.listener.max_connections())]
     for n, each in enumerate(busy):
         each.ask(id_=f"{n:016x}", left=left)
     until(lambda: it.node.desk.owed == len(busy))
@@ -505,7 +505,7 @@
     def test_who_comes_with_requests_amid_hundreds_that_say_nothing_is_not_closed_upon(self):
         # Taken for what lost nine requests at once on a day of bad clients, in one of four plays.
         with Platform(limits={"cores": 1.0, "memory_mb": 96, "sockets": 32}) as it:
-            most = it.node.listener.most()
+            most = it.node.listener.max_connections()
             silent = [native(it.address) for _ in range(most)]
             usual = native(it.address)          # all in one round of the loop: none is old enough to make room
             usual.sendall(request(1, A) + request(2, B))
--- a/threadshift/fastcgi/connection.py
+++ b/threadshift/fastcgi/connection.py
@@ -36,7 +36,7 @@
     """What a connection asks of the listener that accepted it."""
 
     tally: Tally
-    most: Callable[[], int]              # connections that clients may hold now
+    max_connections: Callable[[], int]   # connections that clients may hold now
     note: Callable[..., None]
 
     def take(self, request: Request, unread: int) -> None: ...
@@ -119,7 +119,7 @@
         """One record. Raises ProtocolError."""
         if number == 0:
             if kind == GET_VALUES:
-                self.put(codec.values(content, self.listener.most(), MOST_OPEN))
+                self.put(codec.values(content, self.listener.max_connections(), MOST_OPEN))
                 self.offences += 1      # nobody needs it twice; asked again and again, it is answered slowly
             elif kind in (BEGIN, ABORT, PARAMS, STDIN):
                 raise ProtocolError(f"type {kind} under number 0")
--- a/threadshift/fastcgi/listener.py
+++ b/threadshift/fastcgi/listener.py
@@ -45,9 +45,11 @@
 class FastCgiListener:
     """The listener and all connections; the desk's port to clients."""
 
-    def __init__(self, most: Callable[[], int], activations: int, types: dict[str, NamespaceType], advice: int,
-                 admission: Admission, front_end: FrontEnd, note: Callable[..., None], chance: Callable[[], float]):
-        self.most, self.activations, self.types, self.advice = most, activations, types, advice
+    def __init__(self, max_connections: Callable[[], int], max_activations: int, types: dict[str, NamespaceType],
+                 max_retry_advice: int, admission: Admission, front_end: FrontEnd, note: Callable[..., None],
+                 chance: Callable[[], float]):
+        self.max_connections, self.max_activations, self.types, self.max_retry_advice = (
+            max_connections, max_activations, types, max_retry_advice)
         self.admission, self.front_end, self.note, self.chance = admission, front_end, note, chance
         self.looks, self.tally = Looks(), Tally()
         self.connections: set[Connection] = set()
@@ -60,7 +62,7 @@
     def accept(self, sock: socket.socket) -> None:
         for client in arriving(sock, self.note):
             self.wait_for_room()
-            if len(self.connections) >= self.most():
+            if len(self.connections) >= self.max_connections():
                 self.tally.note(time.monotonic_ns(), CROWDED)
                 self.turn_away(client)
                 continue
@@ -81,7 +83,7 @@
         what it had sent on a new connection: it waits for the first that may go. In vain, none is waited for again
         for a while."""
         since = time.monotonic_ns()
-        while len(self.connections) >= self.most():
+        while len(self.connections) >= self.max_connections():
             if self.make_room():
                 continue
             now = time.monotonic_ns()
@@ -139,7 +141,7 @@
         unread = max(unread, self.looks.unread(time.monotonic_ns()))
         if unread < STALL and not self.front_end.list_is_stale() and not self.front_end.update_unread():
             self.let_in(request, asked, unread)
-        elif len(self.postponed) + len(self.desk.held) >= self.activations:
+        elif len(self.postponed) + len(self.desk.held) >= self.max_activations:
             self.refuse(request, FULL, asked.ivk)
         else:
             self.postponed.add(request, asked, unread)
@@ -153,10 +155,10 @@
         """Whether something lies unread on the connection of a request that is open."""
         return self.still_open(request) and shows(request.connection.sock, select.POLLIN | select.POLLRDHUP)
 
-    def refuse_late(self, request: Request, asked: requests.Asked) -> None:
+    def refuse_late(self, request: Request, asked: requests.ParsedRequest) -> None:
         self.refuse(request, LATE, asked.ivk)
 
-    def take_postponed(self, request: Request, asked: requests.Asked, unread: int) -> None:
+    def take_postponed(self, request: Request, asked: requests.ParsedRequest, unread: int) -> None:
         """A request that has waited long enough: refused, or the desk's from here on."""
         try:
             self.let_in(request, asked, unread)
@@ -166,12 +168,12 @@
             self.note("fault", level="error", **fault_of(fault))
             self.refuse(request, FAULT)
 
-    def let_in(self, request: Request, asked: requests.Asked, unread: int) -> None:
+    def let_in(self, request: Request, asked: requests.ParsedRequest, unread: int) -> None:
         """Refused, or the desk's from here on. Raises InvalidRequest."""
         if asked.ivk in self.desk.held:
             raise InvalidRequest(409, "a request with this id is open")
         call = asked.call._replace(left=asked.call.left - unread)
-        if self.closing or call.left <= 0 or len(self.desk.held) >= self.activations:
+        if self.closing or call.left <= 0 or len(self.desk.held) >= self.max_activations:
             self.refuse(request, CLOSING if self.closing else LATE if call.left <= 0 else FULL, asked.ivk)
             return
         request.held = self.desk.take(time.monotonic_ns(), asked.ivk, call, request)
@@ -186,7 +188,7 @@
         request.respond(self.busy(reason))
 
     def busy(self, reason: str) -> bytes:
-        return requests.busy(reason, int(self.advice * (1 - self.chance() / 2)))
+        return requests.busy(reason, int(self.max_retry_advice * (1 - self.chance() / 2)))
 
     # The desk's port.
 
--- a/threadshift/fastcgi/postponed.py
+++ b/threadshift/fastcgi/postponed.py
@@ -17,7 +17,7 @@
 
 import gevent
 
-from threadshift.fastcgi.requests import Asked
+from threadshift.fastcgi.requests import ParsedRequest
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.looks import SETTLE
 
@@ -29,7 +29,7 @@
     """One request that waits."""
 
     request: Any
-    asked: Asked
+    asked: ParsedRequest
     unread: int                # ns for which it lay unread before
     since: int                 # when it began to wait, monotonic ns
 
@@ -57,8 +57,8 @@
 
     def still_open(self, request: Any) -> bool: ...
     def unread_on(self, request: Any) -> bool: ...
-    def take_postponed(self, request: Any, asked: Asked, unread: int) -> None: ...
-    def refuse_late(self, request: Any, asked: Asked) -> None: ...
+    def take_postponed(self, request: Any, asked: ParsedRequest, unread: int) -> None: ...
+    def refuse_late(self, request: Any, asked: ParsedRequest) -> None: ...
 
 
 class PostponedRequests:
@@ -71,7 +71,7 @@
     def __len__(self) -> int:
         return len(self.waiting)
 
-    def add(self, request: Any, asked: Asked, unread: int) -> None:
+    def add(self, request: Any, asked: ParsedRequest, unread: int) -> None:
         if not self.waiting:
             self.spawn(self.run)
         self.waiting.append(Postponed(request, asked, unread, time.monotonic_ns()))
--- a/threadshift/fastcgi/requests.py
+++ b/threadshift/fastcgi/requests.py
@@ -42,7 +42,7 @@
         self.status = status
 
 
-class Asked(NamedTuple):
+class ParsedRequest(NamedTuple):
     """One request, read."""
 
     ivk: str
@@ -91,7 +91,7 @@
     return int(lanes), round(figure(load, LONGEST_WORK / MS, "load time") * MS) if load is not None else 0
 
 
-def read(told: Mapping[bytes, str], body: bytes, types: Mapping[str, NamespaceType]) -> Asked:
+def read(told: Mapping[bytes, str], body: bytes, types: Mapping[str, NamespaceType]) -> ParsedRequest:
     """A request as a call. Raises InvalidRequest."""
     def need(name: bytes) -> str:
         if name not in told:
@@ -117,8 +117,9 @@
     if length and (not length.isascii() or not length.isdigit() or int(length[:12]) != len(body)):
         raise InvalidRequest(400, f"CONTENT_LENGTH '{length[:40]}' with a body of {len(body)} bytes")
     lanes, load = spec(told.get(b"HTTP_X_SPEC", ""))
-    return Asked(ivk, Call(type_.name, function, round(left * MS), body, told.get(b"HTTP_X_TEAM", ""), mark,
-                           round(work * MS), lanes, load, b"HTTP_X_AGAIN" in told))
+    return ParsedRequest(ivk, Call(
+        type_.name, function, round(left * MS), body, told.get(b"HTTP_X_TEAM", ""), mark,
+        round(work * MS), lanes, load, b"HTTP_X_AGAIN" in told))
 
 
 def plain(status: bytes, text: str, wait: int = 0) -> bytes:
