--- a/tests/platform.py
+++ b/tests/platform.py
@@ -11,7 +11,7 @@
 from threadshift.fastcgi.codec import ABORT, BEGIN, BEGUN, END, KEEP, PARAMS, RESPONDER, STDIN, STDOUT, record, stream
 from threadshift.frames.codec import FROM_FRONT_END, FROM_WORKER, INVOKE, LOAD, OK, FrameDecoder, encode
 from threadshift.node.front import Node
-from threadshift.node.placement import understand
+from threadshift.node.front_end_config import parse_config
 
 LANES = [dict(name="check", aim=280.0, giveUp=1000.0, effect="safe", worth=1.0, lateValue=0.3),
          dict(name="submit", aim=240.0, giveUp=940.0, effect="unsafe", worth=2.0, lateValue=0.3)]
@@ -52,27 +52,27 @@
 
     def __init__(self, script=serve):
         super().__init__()
-        self.script, self.heard, self.news = script, [], Event()
+        self.script, self.received, self.news = script, [], Event()
 
     def converse(self, sock):
         cut = FrameDecoder(1 << 20, FROM_FRONT_END)
         while data := sock.recv(65536):
             for it in cut.feed(data):
-                self.heard.append(it)
+                self.received.append(it)
                 self.script(self, sock, it)
 
-    def codes(self, code):
-        return [it for it in self.heard if it.code == code]
+    def frames_with(self, code):
+        return [it for it in self.received if it.code == code]
 
 
 class Coordinator(Server):
-    """Serves the stream: `events` on connecting, then what say() is given; one that is dumb says nothing more.
+    """Serves the stream: `events` on connecting, then what publish() is given; one that is dumb says nothing more.
 
     While `answering` is not set, requests are read and not answered."""
 
     def __init__(self, events=(), address=ANY):
         super().__init__(address)
-        self.events, self.asked, self.dumb = list(events), [], False
+        self.events, self.last_event_ids, self.is_silent = list(events), [], False
         self.answering = Event()
         self.answering.set()
 
@@ -85,13 +85,13 @@
             head += data
         last = next(int(line.split(b":")[1]) for line in head.split(b"\r\n")
                     if line.lower().startswith(b"last-event-id"))
-        self.asked.append(last)
+        self.last_event_ids.append(last)
         self.answering.wait()
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         for each in self.events:
             if each["index"] > last:
                 sock.sendall(self.frame(each))
-        while not self.dumb:
+        while not self.is_silent:
             sock.sendall(b": alive\n\n")
             gevent.sleep(0.2)
         gevent.sleep(60)
@@ -100,7 +100,7 @@
     def frame(it):
         return f"id: {it['index']}\ndata: {json.dumps(it)}\n\n".encode()
 
-    def say(self, it):
+    def publish(self, it):
         self.events.append(it)
         for sock in self.open:
             try:
@@ -205,23 +205,23 @@
             changes["known"] = {"index": 1, "updates": list(self.coordinator.events)}
         self.log = Silent()
         self.address = Address("127.0.0.1", free_port())
-        self.told = understand(configuration(listen=str(self.address), coordinator=str(self.coordinator.address),
+        self.config = parse_config(configuration(listen=str(self.address), coordinator=str(self.coordinator.address),
                                              **changes), {}, "test")
         self.environment = {}
-        self.node = Node(self.told, self.environment, self.log)
+        self.node = Node(self.config, self.environment, self.log)
         self.running, self.clients, self.extra = None, [], []
 
     def __enter__(self):
         self.running = gevent.spawn(self.node.run)
         until(lambda: self.node.links and all(link.up for link in self.node.links.values()) or (
-            not self.workers and self.node.listening))
+            not self.workers and self.node.listening_socket))
         until(lambda: not self.coordinator.answering.is_set() or not self.node.list_is_stale())
         return self
 
     def __exit__(self, *_):
         for client in self.clients:
             client.close()
-        self.node.leaving.since = 1     # long ago: nothing comes any more
+        self.node.shutdown.requested_at = 1     # long ago: nothing comes any more
         self.running.join(10)
         for server in [self.coordinator, *self.workers, *self.extra]:
             server.stop()
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.helpers import ready
+from tests.helpers import listing
 from tests.platform import SETTINGS, Platform, configuration
 from tests.test_desk import Fleet
 from threadshift.choice import Dispatcher
@@ -16,8 +16,8 @@
 from threadshift.interface import MS, SECOND, Copy, Effect, Outcome
 from threadshift.invoke.admission import Admission
 from threadshift.node.descriptors import Descriptors
-from threadshift.node.leaving import Leaving
-from threadshift.node.placement import understand
+from threadshift.node.shutdown import Shutdown
+from threadshift.node.front_end_config import parse_config
 
 EFFECTS = ("safe", "keyed", "unsafe")
 WORD = st.text("abcXYZ019._-", min_size=1, max_size=12)
@@ -62,22 +62,22 @@
         max_size=40))
     def test_valid_ones_start_answer_and_keep_their_promises(self, told, events):
         # Through the file's own form: what JSON makes of it is what is read.
-        it = understand(json.loads(json.dumps(told)), {}, "drawn")
-        types = it.deployment.types
+        config = parse_config(json.loads(json.dumps(told)), {}, "drawn")
+        types = config.deployment.types
         Admission(min(each.target_latency for each in types)).measured(SECOND, MS)
-        Descriptors(it.sockets).clients(40)
-        leaving = Leaving(max(each.action_timeout for each in types))
+        Descriptors(config.max_sockets).client_limit(40)
+        shutdown = Shutdown(max(each.action_timeout for each in types))
         fleet, now, calls = Fleet(), SECOND, []
-        desk = fleet.desk = Desk(Dispatcher(1, it.deployment, now), fleet, fleet, it.load_order)
-        desk.roster(now, [ready(f"w{n}", started_at=now if n == 3 else 0) for n in range(4)], full=True)
+        desk = fleet.desk = Desk(Dispatcher(1, config.deployment, now), fleet, fleet, config.load_timeout)
+        desk.roster(now, [listing(f"w{n}", started_at=now if n == 3 else 0) for n in range(4)], full=True)
         for what, pick, outcome in events:
             out = [(held, n) for held in calls for n, sent in enumerate(held.sends) if sent.outcome is None]
             if what == "take":
                 type_ = types[pick % len(types)]
                 calls.append(desk.take(now, f"c{len(calls)}", Call(
                     type_.name, f"f{pick % 4}", type_.action_timeout * (1 + pick % 3) // 3,
-                    tenant=it.deployment.tenants[pick % len(it.deployment.tenants)].name if it.deployment.tenants
-                    else "", work=pick * MS)))
+                    tenant=config.deployment.tenants[pick % len(config.deployment.tenants)].name
+                    if config.deployment.tenants else "", work=pick * MS)))
             elif what == "end" and out:
                 held, number = out[pick % len(out)]
                 held.returned(now, number, outcome, copy=Copy.FOUND)
@@ -85,20 +85,20 @@
                 calls[pick % len(calls)].left(now)
             else:
                 now = self.wait(desk, now, now + pick * 10 * MS)
-        leaving.begin(now)
-        desk.hasten(now, leaving.answered)
-        now = self.wait(desk, now, leaving.answered)
+        shutdown.begin(now)
+        desk.hasten(now, shutdown.answer_deadline)
+        now = self.wait(desk, now, shutdown.answer_deadline)
         self.assertEqual((desk.owed, desk.counts["overdue"]), (0, 0))
         for held in calls:
             answers = fleet.answers.get(held.ivk, [])
             self.assertEqual(len(answers), 0 if held.gone else 1)
-            self.assertLessEqual(held.answered_at, leaving.answered)
+            self.assertLessEqual(held.answered_at, shutdown.answer_deadline)
             ran = [sent for sent in held.sends if sent.outcome not in (
                 Outcome.FULL, Outcome.UNREACHABLE, Outcome.NEVER_SENT, Outcome.MISS)]
             if held.act.type_stats.effect is Effect.ONCE_ONLY:
                 self.assertLessEqual(len(ran), 1)
                 self.assertFalse(ran and answers and answers[0].final is Final.REJECTED)
-            self.assertLessEqual(len(held.sends), it.deployment.max_sends)
+            self.assertLessEqual(len(held.sends), config.deployment.max_sends)
 
     def wait(self, desk, now, until):
         while desk.due() <= until:
@@ -117,7 +117,7 @@
             (lane() | {"lanes": []}, "lanes"), (lane() | {"lanes": None}, "lanes"))
         for told, words in cases:
             with self.assertRaises(Malformed, msg=words) as caught:
-                understand(configuration(settings=json.loads(json.dumps(told))), {}, "/run/config.json")
+                parse_config(configuration(settings=json.loads(json.dumps(told))), {}, "/run/config.json")
             self.assertIn(words, str(caught.exception))
             self.assertIn("/run/config.json", str(caught.exception))
             self.assertNotIn("\n", str(caught.exception))
@@ -136,14 +136,14 @@
         with self.played() as it:
             self.assertEqual(it.call(HTTP_X_UNIQUE="f4031e2e", HTTP_X_TEAM="one")[0], 200)
             self.assertEqual(it.call(id_="00000000000000a2", type_="submit", HTTP_X_TEAM="one")[0], 200)
-            marked, plain = it.workers[0].codes(INVOKE)
+            marked, plain = it.workers[0].frames_with(INVOKE)
             self.assertEqual((marked.fields["once"], "once" in plain.fields), ("f4031e2e", False))
 
     def test_a_mark_that_would_break_a_frame_is_refused(self):
         with self.played() as it:
             for mark in ("a,b", "a=b\n", "x" * 200):
                 self.assertEqual(it.call(HTTP_X_UNIQUE=mark)[0], 400)
-            self.assertEqual(it.workers[0].codes(INVOKE), [])
+            self.assertEqual(it.workers[0].frames_with(INVOKE), [])
 
     def test_a_tenants_calls_are_its_own_and_not_nobodys(self):
         with self.played() as it:
--- a/threadshift/fastcgi/door.py
+++ b/threadshift/fastcgi/listener.py
@@ -1,6 +1,6 @@
 """The listener for FastCGI clients: accepts connections, takes or refuses their requests, ends what must make room.
 
-Who is kept and for how long is decided in room.py, who is let in in invoke/admission.py.
+Who is kept and for how long is decided in connection_eviction.py, who is let in in invoke/admission.py.
 """
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from gevent.pool import Group
 
 from threadshift.desk.desk import Desk, Held
-from threadshift.fastcgi import codec, requests, room
-from threadshift.fastcgi.codec import BEGIN, Records, NotFastCGI
+from threadshift.fastcgi import codec, connection_eviction, requests
+from threadshift.fastcgi.codec import BEGIN, ProtocolError, Records
 from threadshift.fastcgi.connection import MOST_OPEN, READ, WRITE, Connection, Request
 from threadshift.fastcgi.postponed import FrontEnd, PostponedRequests
-from threadshift.fastcgi.requests import Unfit
+from threadshift.fastcgi.requests import InvalidRequest
 from threadshift.interface import MS, SECOND, NamespaceType
 from threadshift.invoke.admission import Admission
 from threadshift.invoke.looks import STALL, Looks
@@ -42,12 +42,14 @@
             for sent in held.sends]
 
 
-class Door:
+class FastCgiListener:
     """The listener and all connections; the desk's port to clients."""
 
-    def __init__(self, most: Callable[[], int], activations: int, types: dict[str, NamespaceType], advice: int,
-                 admission: Admission, front_end: FrontEnd, note: Callable[..., None], chance: Callable[[], float]):
-        self.most, self.activations, self.types, self.advice = most, activations, types, advice
+    def __init__(self, max_connections: Callable[[], int], max_activations: int, types: dict[str, NamespaceType],
+                 max_retry_advice: int, admission: Admission, front_end: FrontEnd, note: Callable[..., None],
+                 chance: Callable[[], float]):
+        self.max_connections, self.max_activations, self.types, self.max_retry_advice = (
+            max_connections, max_activations, types, max_retry_advice)
         self.admission, self.front_end, self.note, self.chance = admission, front_end, note, chance
         self.looks, self.tally = Looks(), Tally()
         self.connections: set[Connection] = set()
@@ -60,7 +62,7 @@
     def accept(self, sock: socket.socket) -> None:
         for client in arriving(sock, self.note):
             self.wait_for_room()
-            if len(self.connections) >= self.most():
+            if len(self.connections) >= self.max_connections():
                 self.tally.note(time.monotonic_ns(), CROWDED)
                 self.turn_away(client)
                 continue
@@ -68,7 +70,7 @@
 
     def turn_away(self, client: socket.socket) -> None:
         """Closes a connection for which there is no room; requests that lie on it already are refused in words."""
-        with suppress(OSError, NotFastCGI):
+        with suppress(OSError, ProtocolError):
             client.settimeout(0)
             begun = [number for kind, number, _ in Records().feed(client.recv(READ)) if kind == BEGIN]
             client.send(b"".join(codec.response(number, self.busy(CROWDED)) for number in begun[:MOST_OPEN]))
@@ -81,13 +83,13 @@
         what it had sent on a new connection: it waits for the first that may go. In vain, none is waited for again
         for a while."""
         since = time.monotonic_ns()
-        while len(self.connections) >= self.most():
+        while len(self.connections) >= self.max_connections():
             if self.make_room():
                 continue
             now = time.monotonic_ns()
             if now - self.in_vain < VAIN:
                 return
-            if now - since > room.GRACE + ROOM_WAIT:
+            if now - since > connection_eviction.ACTIVITY_GRACE + ROOM_WAIT:
                 self.in_vain = now
                 return
             gevent.sleep(ROOM_WAIT / SECOND)
@@ -100,7 +102,8 @@
 
     def make_room(self) -> bool:
         """Ends some connections that nothing is owed on, and waits until they are closed; whether any was."""
-        going = [each for each in room.who_goes(self.connections, time.monotonic_ns()) if each.end()]
+        going = [each for each in connection_eviction.candidates(self.connections, time.monotonic_ns())
+                 if each.end()]
         for _ in range(ROOM_WAITS if going else 0):
             gevent.sleep(ROOM_WAIT / SECOND)
             if any(each not in self.connections for each in going):
@@ -121,7 +124,7 @@
             self.connections.discard(connection)
 
     def take(self, request: Request, unread: int) -> None:
-        """A whole request: answered, refused, or taken. Raises Unfit."""
+        """A whole request: answered, refused, or taken. Raises InvalidRequest."""
         told = request.told
         assert told is not None
         if told.get(b"SCRIPT_NAME") == requests.ALIVE:
@@ -138,7 +141,7 @@
         unread = max(unread, self.looks.unread(time.monotonic_ns()))
         if unread < STALL and not self.front_end.list_is_stale() and not self.front_end.update_unread():
             self.let_in(request, asked, unread)
-        elif len(self.postponed) + len(self.desk.held) >= self.activations:
+        elif len(self.postponed) + len(self.desk.held) >= self.max_activations:
             self.refuse(request, FULL, asked.ivk)
         else:
             self.postponed.add(request, asked, unread)
@@ -152,25 +155,25 @@
         """Whether something lies unread on the connection of a request that is open."""
         return self.still_open(request) and shows(request.connection.sock, select.POLLIN | select.POLLRDHUP)
 
-    def refuse_late(self, request: Request, asked: requests.Asked) -> None:
+    def refuse_late(self, request: Request, asked: requests.ParsedRequest) -> None:
         self.refuse(request, LATE, asked.ivk)
 
-    def take_postponed(self, request: Request, asked: requests.Asked, unread: int) -> None:
+    def take_postponed(self, request: Request, asked: requests.ParsedRequest, unread: int) -> None:
         """A request that has waited long enough: refused, or the desk's from here on."""
         try:
             self.let_in(request, asked, unread)
-        except Unfit as problem:
+        except InvalidRequest as problem:
             request.connection.unfit(request, problem)
         except Exception as fault:      # ours; it ends this request alone, and loudly
             self.note("fault", level="error", **fault_of(fault))
             self.refuse(request, FAULT)
 
-    def let_in(self, request: Request, asked: requests.Asked, unread: int) -> None:
-        """Refused, or the desk's from here on. Raises Unfit."""
+    def let_in(self, request: Request, asked: requests.ParsedRequest, unread: int) -> None:
+        """Refused, or the desk's from here on. Raises InvalidRequest."""
         if asked.ivk in self.desk.held:
-            raise Unfit(409, "a request with this id is open")
+            raise InvalidRequest(409, "a request with this id is open")
         call = asked.call._replace(left=asked.call.left - unread)
-        if self.closing or call.left <= 0 or len(self.desk.held) >= self.activations:
+        if self.closing or call.left <= 0 or len(self.desk.held) >= self.max_activations:
             self.refuse(request, CLOSING if self.closing else LATE if call.left <= 0 else FULL, asked.ivk)
             return
         request.held = self.desk.take(time.monotonic_ns(), asked.ivk, call, request)
@@ -185,7 +188,7 @@
         request.respond(self.busy(reason))
 
     def busy(self, reason: str) -> bytes:
-        return requests.busy(reason, int(self.advice * (1 - self.chance() / 2)))
+        return requests.busy(reason, int(self.max_retry_advice * (1 - self.chance() / 2)))
 
     # The desk's port.
 
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -1,4 +1,4 @@
-"""One front end on the platform: door, links to workers, the coordinator's stream and the one timer around a desk.
+"""One front end on the platform: listener, links to workers, the coordinator's stream and a timer around a desk.
 
 Nothing here decides. run() returns once it was told to end and has left in order.
 """
@@ -20,7 +20,7 @@
 from threadshift.coordinator.stream import CoordinatorStream
 from threadshift.desk import earlier
 from threadshift.desk.desk import Desk
-from threadshift.fastcgi.door import Door
+from threadshift.fastcgi.listener import FastCgiListener
 from threadshift.frames import pool
 from threadshift.frames.link import Link
 from threadshift.gateway.fleet import Fleet
@@ -28,50 +28,51 @@
 from threadshift.invoke.admission import Admission
 from threadshift.links.sockets import listener
 from threadshift.log import Log
-from threadshift.node import placement
+from threadshift.node import front_end_config
 from threadshift.node.descriptors import Descriptors
-from threadshift.node.leaving import Leaving, Stage
-from threadshift.node.placement import Placement
+from threadshift.node.shutdown import Shutdown, Stage
+from threadshift.node.front_end_config import FrontEndConfig
 from threadshift.roster.membership import Entry, Membership
 from threadshift.timer import ticks
 
 TICK = 5 * MS              # pace of the timer; what falls due between two ticks has one of its own
 SIGNALS_HEARD = MS         # for a signal that came while the list was taken in
 TELL = 10 * SECOND         # between two lines on how it goes
-LIST_WAIT = 4 * SECOND     # for a list with a worker in it: as long as a lost coordinator may take to be found again
+FIRST_LIST_TIMEOUT = 4 * SECOND  # for a list with a worker in it: finding a lost coordinator may take as long
 
 
 class Node(Fleet):
     """Carries steps to links and answers to the desk; owns every greenlet of the process."""
 
-    def __init__(self, told: Placement, environment: Mapping[str, str], log: Log):
-        super().__init__(Membership(told.deployment.drain_grace, same_start=0), log)   # starts are told by one clock
+    def __init__(self, config: FrontEndConfig, environment: Mapping[str, str], log: Log):
+        super().__init__(Membership(config.deployment.drain_grace, same_start=0), log)  # starts are told by one clock
         now = time.monotonic_ns()
-        self.known, self.told = told.known, told._replace(known=())
+        self.known_updates, self.config = config.known_updates, config._replace(known_updates=())
         self.environment = environment
-        self.bounds, self.bounded_for = told.links(0), 0
-        self.dialled = 0                         # connections to workers, those under way included ...
-        self.dialled_in_all = 0                  # ... and since the start
-        self.connected: dict[Link, int] = {}     # links that have some
-        chance = random.Random(told.seed)
+        self.bounds, self.bounded_for = config.link_limits(0), 0
+        self.worker_connections = 0                      # connections to workers, those under way included ...
+        self.total_dials = 0                             # ... and since the start
+        self.open_connections: dict[Link, int] = {}  # links that have some
+        chance = random.Random(config.seed)
         self.chance, self.bits = chance.random, chance.getrandbits
-        types = {each.name: each for each in told.deployment.types}
+        types = {each.name: each for each in config.deployment.types}
         self.admission = Admission(min(each.target_latency for each in types.values()))
-        self.descriptors = Descriptors(told.sockets)
-        self.door = Door(lambda: self.descriptors.clients(self.dialled), told.activations, types,
-                         told.deployment.max_retry_after, self.admission, self, self.note, self.chance)
-        self.looks = self.door.looks
-        dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
-        earlier.assume(dispatcher, told.deployment, now)
-        self.desk = self.door.desk = Desk(dispatcher, self, self.door, told.load_order)
-        self.coordinator = CoordinatorStream(told.coordinator, self.on_list_update, self.on_coordinator_lost,
+        self.descriptors = Descriptors(config.max_sockets)
+        self.listener = FastCgiListener(
+            lambda: self.descriptors.client_limit(self.worker_connections), config.max_activations, types,
+            config.deployment.max_retry_after, self.admission, self, self.note, self.chance)
+        self.looks = self.listener.looks
+        dispatcher = Dispatcher(chance.getrandbits(63), config.deployment, now)
+        earlier.assume(dispatcher, config.deployment, now)
+        self.desk = self.listener.desk = Desk(dispatcher, self, self.listener, config.load_timeout)
+        self.coordinator = CoordinatorStream(config.coordinator, self.on_list_update, self.on_coordinator_lost,
                                              self.note, self.chance)
-        self.leaving = Leaving(max(each.action_timeout for each in types.values()))
+        self.shutdown = Shutdown(max(each.action_timeout for each in types.values()))
         self.greenlets = Group()
-        self.listening: socket.socket | None = None
-        self.prepared_in = 0         # ns that the list of the configuration took
+        self.listening_socket: socket.socket | None = None
+        self.join_duration = 0       # ns that the list of the configuration took
         self.list_complete = False   # the first list has been received, or is no longer waited for
-        self.ready_by = 0            # from then on it serves without an answer of a coordinator, or without workers
+        self.ready_deadline = 0      # from then on it serves without an answer of a coordinator, or without workers
 
     # Workers.
 
@@ -86,7 +87,7 @@
         super().apply_listings(listings)
         if self.ready_workers != self.bounded_for:
             self.bounded_for = self.ready_workers
-            self.bounds = self.told.links(self.ready_workers)
+            self.bounds = self.config.link_limits(self.ready_workers)
 
     @property
     def listed_workers(self) -> int:
@@ -97,26 +98,26 @@
         return self.descriptors.dials_ahead(self.listed_workers)
 
     def connection_opened(self, link: Link) -> None:
-        self.dialled += 1
-        self.dialled_in_all += 1
-        self.connected[link] = self.connected.get(link, 0) + 1
+        self.worker_connections += 1
+        self.total_dials += 1
+        self.open_connections[link] = self.open_connections.get(link, 0) + 1
 
     def connection_closed(self, link: Link) -> None:
-        self.dialled -= 1
-        self.connected[link] -= 1
-        if not self.connected[link]:
-            del self.connected[link]
+        self.worker_connections -= 1
+        self.open_connections[link] -= 1
+        if not self.open_connections[link]:
+            del self.open_connections[link]
 
     def make_room_for_connection(self, wanted: bool) -> bool:
         """Makes room for a connection to a worker; the dial that asks is counted as one already."""
-        others = self.dialled - 1
-        if self.descriptors.fits(len(self.door.connections), others, self.listed_workers):
+        others = self.worker_connections - 1
+        if self.descriptors.has_room_for_worker(len(self.listener.connections), others, self.listed_workers):
             return True
         if not wanted:
             return False
-        if self.descriptors.yields(len(self.door.connections)) and self.door.make_room():
+        if self.descriptors.clients_must_yield(len(self.listener.connections)) and self.listener.make_room():
             return True
-        idle = {connection: link for link in self.connected for connection in link.connections}
+        idle = {connection: link for link in self.open_connections for connection in link.connections}
         if (goes := pool.choose_connection_to_close(idle)) is None:
             return False
         idle[goes].close_connection(goes)
@@ -140,7 +141,7 @@
         has answered; but not for ever, or no front end would serve while there is none."""
         if self.list_complete:
             return False
-        answered = self.coordinator.freshness.answered or time.monotonic_ns() >= self.ready_by
+        answered = self.coordinator.freshness.answered or time.monotonic_ns() >= self.ready_deadline
         self.list_complete = answered and not self.joining
         if self.list_complete:
             received = self.coordinator.freshness.answered
@@ -150,78 +151,78 @@
 
     def ready(self) -> bool:
         # A list that is late or empty is waited for, not for ever: refused for it, a whole fleet would never start.
-        return self.listening is not None and not self.leaving.since and not self.list_is_stale() and (
-            bool(self.desk.dispatcher.ready_workers) or time.monotonic_ns() >= self.ready_by)
+        return self.listening_socket is not None and not self.shutdown.requested_at and not self.list_is_stale() and (
+            bool(self.desk.dispatcher.ready_workers) or time.monotonic_ns() >= self.ready_deadline)
 
     # Signals.
 
     def end(self) -> None:
         """Told to end; from a signal."""
         now = time.monotonic_ns()
-        if not self.leaving.since:
-            self.leaving.begin(now)
-            self.desk.hasten(now, self.leaving.answered)
+        if not self.shutdown.requested_at:
+            self.shutdown.begin(now)
+            self.desk.hasten(now, self.shutdown.answer_deadline)
 
     def reload(self) -> None:
         """Told of another configuration; from a signal. What is bad leaves the old one in force."""
         try:
-            told = placement.read(self.environment)
+            config = front_end_config.read_config(self.environment)
         except Malformed as problem:
             self.note("reload-refused", level="error", problem=str(problem))
             return
-        self.told = self.told._replace(coordinator=told.coordinator)
-        self.coordinator.apply_known(told.known)
-        self.coordinator.move(told.coordinator)
-        self.note("reloaded", coordinator=str(told.coordinator))
+        self.config = self.config._replace(coordinator=config.coordinator)
+        self.coordinator.apply_known(config.known_updates)
+        self.coordinator.move(config.coordinator)
+        self.note("reloaded", coordinator=str(config.coordinator))
 
     # Running.
 
     def run(self) -> None:
         """Serves until told to end and what is held has its answers. Raises OSError where it cannot listen."""
         self.greenlets.spawn(self.coordinator.run)    # before the links dial: calls wait for the coordinator's answer
-        self.prepare()
+        self.join_known_workers()
         gevent.sleep(SIGNALS_HEARD / SECOND)
-        if self.leaving.since:          # told to end before anything could be taken
+        if self.shutdown.requested_at:          # told to end before anything could be taken
             self.stop_all()
             return
-        sock = listener(self.told.listen, shared=False)
-        self.door.looks.start()
-        self.listening, self.ready_by = sock, time.monotonic_ns() + LIST_WAIT
-        self.greenlets.spawn(self.door.accept, sock)
-        self.note("started", listen=str(self.told.listen), pid=os.getpid(), workers=len(self.links),
-                  last_event=self.coordinator.sequence.last, prepared_ms=self.prepared_in // MS)
-        self.keep_time(lambda: self.stage() not in (Stage.STAYING, Stage.SERVING))
-        self.door.closing = True        # the listener stays: who still comes is refused in words, not by a reset
-        self.note("draining", owed=self.desk.owed, connections=len(self.door.connections))
-        self.keep_time(lambda: self.stage() is Stage.DONE)
-        self.door.end(sock)
+        sock = listener(self.config.listen, shared=False)
+        self.listener.looks.start()
+        self.listening_socket, self.ready_deadline = sock, time.monotonic_ns() + FIRST_LIST_TIMEOUT
+        self.greenlets.spawn(self.listener.accept, sock)
+        self.note("started", listen=str(self.config.listen), pid=os.getpid(), workers=len(self.links),
+                  last_event=self.coordinator.sequence.last, prepared_ms=self.join_duration // MS)
+        self.run_timer(lambda: self.stage() not in (Stage.RUNNING, Stage.ACCEPTING))
+        self.listener.closing = True        # the listener stays: who still comes is refused in words, not by a reset
+        self.note("draining", owed=self.desk.owed, connections=len(self.listener.connections))
+        self.run_timer(lambda: self.stage() is Stage.DONE)
+        self.listener.end(sock)
         self.stop_all()
 
     def stop_all(self) -> None:
         for link in self.links.values():
             link.stop()
         self.greenlets.kill()
-        self.door.looks.stop()
+        self.listener.looks.stop()
         self.note("ended", **self.state())
 
-    def prepare(self) -> None:
+    def join_known_workers(self) -> None:
         """Takes in the list of the configuration. With thousands of workers this takes a while, and a request counts
         as taken once the operating system has accepted its connection: so it comes before the listener."""
         since = time.monotonic_ns()
-        self.coordinator.apply_known(self.known)
-        self.known = ()
+        self.coordinator.apply_known(self.known_updates)
+        self.known_updates = ()
         self.join_workers(len(self.joining))
-        self.prepared_in = time.monotonic_ns() - since
+        self.join_duration = time.monotonic_ns() - since
 
     def stage(self) -> Stage:
-        return self.leaving.stage(time.monotonic_ns(), self.desk.owed + self.door.under_way)
+        return self.shutdown.stage(time.monotonic_ns(), self.desk.owed + self.listener.under_way)
 
-    def keep_time(self, over: Callable[[], bool]) -> None:
+    def run_timer(self, over: Callable[[], bool]) -> None:
         """The one timer: every tick, what is due."""
         told = 0
         for now, late in ticks(TICK, over, self.desk.due):
             now = self.beat(now, late)
-            self.door.tick(now)
+            self.listener.tick(now)
             if now - told >= TELL:
                 told = now
                 self.note("state", **self.state())
@@ -230,12 +231,12 @@
         """How it goes, for one line of the log."""
         dispatcher, now = self.desk.dispatcher, time.monotonic_ns()
         workers = dispatcher.workers.values()
-        return {"owed": self.desk.owed, "held": len(self.desk.held), "connections": len(self.door.connections),
+        return {"owed": self.desk.owed, "held": len(self.desk.held), "connections": len(self.listener.connections),
                 "flying": len(dispatcher.in_flight), "links": len(self.links),
-                "up": sum(link.up for link in self.connected),
-                "worker_connections": self.dialled, "dialled_in_all": self.dialled_in_all,
+                "up": sum(link.up for link in self.open_connections),
+                "worker_connections": self.worker_connections, "dialled_in_all": self.total_dials,
                 "ready": len(dispatcher.ready_workers), "suspended": sum(it.suspended_until > now for it in workers),
                 "functions": len(dispatcher.functions), "roster_lost": self.roster_lost,
                 "lag_ms": round(self.admission.lag / MS, 1), "part": round(self.admission.part, 3),
                 "stalls": self.stalls, "longest_stall_ms": self.longest_stall // MS,
-                "turned_away": self.door.tally.totals(), "counts": dict(self.desk.counts)}
+                "turned_away": self.listener.tally.totals(), "counts": dict(self.desk.counts)}
