--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -181,7 +181,8 @@
             to = []
             live.front.send = lambda worker, held, number: to.append(worker) or sent(worker, held, number)
             # The word lies unread behind the call: it is heard by the next greenlet to run.
-            live.front.api.looks.unread = lambda now: gevent.spawn(live.front.listed, [drains], False) and 200 * MS
+            live.front.api.poll_monitor.unread_time = lambda now: (
+                gevent.spawn(live.front.listed, [drains], False) and 200 * MS)
             self.assertEqual(live.call("f").status, 200)
             self.assertNotIn(home, to)
 
@@ -198,7 +199,8 @@
             live.front.desk.ended = hear
             job = gevent.spawn(live.call, "f", work_hint="100")
             until(lambda: live.front.desk.owed)
-            live.front.api.looks.unread = lambda now: gevent.spawn(live.front.listed, [drains], False) and 200 * MS
+            live.front.api.poll_monitor.unread_time = lambda now: (
+                gevent.spawn(live.front.listed, [drains], False) and 200 * MS)
             job.join()
             self.assertEqual(states, [State.DRAINING])
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -18,7 +18,7 @@
 from threadshift.fastcgi.codec import ABORT, GET_VALUES, HEAD, STDIN, pair, record, stream
 from threadshift.frames.codec import ERROR, FROM_WORKER, FULL, GIVE_UP, HOLD, INVOKE, MISS, OK, OVER, encode
 from threadshift.interface import MS, SECOND
-from threadshift.invoke.looks import Looks
+from threadshift.invoke.poll_monitor import PollMonitor
 from threadshift.node import placement
 from threadshift.node.descriptors import Descriptors
 from threadshift.node.leaving import Leaving, Stage
@@ -479,13 +479,13 @@
 class Unread(unittest.TestCase):
     def test_only_what_may_have_lain_unread_counts_off(self):
         # A call of 70 ms lost 5 of them to a loop that had stood idle.
-        looks, now = Looks(), 100 * MS
+        monitor, now = PollMonitor(), 100 * MS
         for before, idle, last, wanted in (
                 (90, 91, 96, 4), (90, 99, 99, 10), (20, 91, 96, 4), (20, 21, 99, 80), (90, 98, 98, 10)):
-            looks.before, looks.idle, looks.last = before * MS, idle * MS, last * MS
-            self.assertEqual(looks.unread(now), wanted * MS)
-        looks.stop()
-        self.assertEqual(looks.unread(now), 0)
+            monitor.previous_poll, monitor.wait_started, monitor.last_poll = before * MS, idle * MS, last * MS
+            self.assertEqual(monitor.unread_time(now), wanted * MS)
+        monitor.stop()
+        self.assertEqual(monitor.unread_time(now), 0)
 
     def test_what_falls_due_between_two_ticks_has_one_of_its_own(self):
         due = [time.monotonic_ns() + 8 * MS]
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -16,7 +16,7 @@
 from threadshift.frames.codec import INVOKE
 from threadshift.frames.link import request_now
 from threadshift.interface import MS, SECOND, Outcome
-from threadshift.invoke import looks
+from threadshift.invoke import poll_monitor
 
 LEFT_MS, STOPPED_MS = 900, 400
 SLACK_MS = 150             # that the users' terms give to the time passed on
@@ -112,12 +112,12 @@
 
     def look_at(self, *times):
         """What is read at the last of these times may have waited so long; each is (wait began, wait ended) in ms."""
-        it = looks.Looks()
-        it.before = it.last = it.idle = it.idle_before = SECOND
+        it = poll_monitor.PollMonitor()
+        it.previous_poll = it.last_poll = it.wait_started = it.previous_wait_started = SECOND
         for began, ended in times:
-            it.idle = SECOND + int(began * MS)
-            it.note_look(SECOND + int(ended * MS))
-        return it.unread(it.last) / MS
+            it.wait_started = SECOND + int(began * MS)
+            it.record_poll(SECOND + int(ended * MS))
+        return it.unread_time(it.last_poll) / MS
 
     def test_a_wait_that_a_stop_interrupted_is_no_look(self):
         self.assertEqual(self.look_at((0, 1), (1, 401), (401, 401.1)), 400.1)
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -97,7 +97,7 @@
     def do(self, cost: int, act: Callable[..., None], words: tuple, came: int) -> None:
         self.busy_until = self.clock.now + cost
         self.used += cost
-        self.held_up = self.clock.now - came        # unread, while the client's time ran (invoke/looks.py)
+        self.held_up = self.clock.now - came    # unread, while the client's time ran (invoke/poll_monitor.py)
         act(*words)
         self.held_up = 0
 
@@ -148,8 +148,8 @@
             self.backlog = []
 
     def go_on(self) -> None:
-        """The roster's and workers' word that came meanwhile, then answers, the timer, and calls: what the SETTLE of
-        invoke/api.py gives time for."""
+        """The roster's and workers' word that came meanwhile, then answers, the timer, and calls: what the
+        CATCH_UP_TIME of invoke/api.py gives time for."""
         if self.backlog is None:
             return                  # another process by now
         backlog, self.backlog = self.backlog, None
--- a/threadshift/fastcgi/door.py
+++ b/threadshift/fastcgi/door.py
@@ -21,7 +21,7 @@
 from threadshift.fastcgi.requests import Unfit
 from threadshift.interface import MS, SECOND, NamespaceType
 from threadshift.invoke.admission import Admission
-from threadshift.invoke.looks import STALL, Looks
+from threadshift.invoke.poll_monitor import STALL_THRESHOLD, PollMonitor
 from threadshift.invoke.tally import Tally
 from threadshift.links.sockets import BACKLOG, arriving, shows
 from threadshift.log import fault_of
@@ -49,7 +49,7 @@
                  admission: Admission, front_end: FrontEnd, note: Callable[..., None], chance: Callable[[], float]):
         self.most, self.activations, self.types, self.advice = most, activations, types, advice
         self.admission, self.front_end, self.note, self.chance = admission, front_end, note, chance
-        self.looks, self.tally = Looks(), Tally()
+        self.poll_monitor, self.tally = PollMonitor(), Tally()
         self.connections: set[Connection] = set()
         self.greenlets = Group()
         self.postponed = PostponedRequests(self, self.greenlets.spawn)
@@ -94,7 +94,7 @@
 
     def welcome(self, client: socket.socket) -> None:
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        connection = Connection(client, self, self.looks.unread(time.monotonic_ns()))
+        connection = Connection(client, self, self.poll_monitor.unread_time(time.monotonic_ns()))
         self.connections.add(connection)
         self.greenlets.spawn(self.converse, connection)
 
@@ -135,8 +135,8 @@
         asked = requests.read(told, request.body, self.types)
         request.held, request.told, request.body = True, {}, b""
         # It may have lain unread since the event loop looked last: its client's time ran all the while.
-        unread = max(unread, self.looks.unread(time.monotonic_ns()))
-        if unread < STALL and not self.front_end.list_is_stale() and not self.front_end.update_unread():
+        unread = max(unread, self.poll_monitor.unread_time(time.monotonic_ns()))
+        if unread < STALL_THRESHOLD and not self.front_end.list_is_stale() and not self.front_end.update_unread():
             self.let_in(request, asked, unread)
         elif len(self.postponed) + len(self.desk.held) >= self.activations:
             self.refuse(request, FULL, asked.ivk)
--- a/threadshift/fastcgi/postponed.py
+++ b/threadshift/fastcgi/postponed.py
@@ -19,9 +19,9 @@
 
 from threadshift.fastcgi.requests import Asked
 from threadshift.interface import MS, SECOND
-from threadshift.invoke.looks import SETTLE
+from threadshift.invoke.poll_monitor import CATCH_UP_TIME
 
-LONGEST_READ = 5 * SETTLE  # for a connection to be read empty; one that is flooded never is
+LONGEST_READ = 5 * CATCH_UP_TIME  # for a connection to be read empty; one that is flooded never is
 ANSWER_MARGIN = 20 * MS    # before the end of a request's time, by which it is refused: two reviews
 
 
@@ -79,7 +79,7 @@
     def run(self) -> None:
         """Reviews the waiting requests until there is none."""
         while self.waiting:
-            gevent.sleep(SETTLE / SECOND)
+            gevent.sleep(CATCH_UP_TIME / SECOND)
             self.review(time.monotonic_ns())
 
     def review(self, now: int) -> None:
--- a/threadshift/gateway/fleet.py
+++ b/threadshift/gateway/fleet.py
@@ -15,7 +15,7 @@
 from threadshift.desk.desk import Asked, Desk, Held
 from threadshift.interface import MS, SECOND, Listing, Outcome, State
 from threadshift.invoke.admission import PERIOD, Admission
-from threadshift.invoke.looks import SETTLE, STALL, Looks
+from threadshift.invoke.poll_monitor import CATCH_UP_TIME, STALL_THRESHOLD, PollMonitor
 from threadshift.log import Log
 from threadshift.roster.membership import Entry, Membership, WorkerList
 
@@ -44,7 +44,7 @@
     """Carries the desk's steps to links, and word of workers to the desk."""
 
     desk: Desk
-    looks: Looks
+    poll_monitor: PollMonitor
     admission: Admission
 
     def __init__(self, membership: Membership, log: Log) -> None:
@@ -109,20 +109,20 @@
         what came now. (Found by a hunt: an answer read first brought a load order to a worker long told of as
         draining.) A loop at its limit looks like one that stalled, and loses a fifth of its time by this at most."""
         now = time.monotonic_ns()
-        if self.looks.unread(now) >= min(STALL, max(SETTLE, self.membership.grace // 2)):
+        if self.poll_monitor.unread_time(now) >= min(STALL_THRESHOLD, max(CATCH_UP_TIME, self.membership.grace // 2)):
             self.settled = now
-        if now - self.settled < SETTLE:
-            gevent.sleep(SETTLE / SECOND)
+        if now - self.settled < CATCH_UP_TIME:
+            gevent.sleep(CATCH_UP_TIME / SECOND)
         self.read_updates()
 
     def beat(self, now: int, late: int) -> int:
         """What one tick of the timer brings, whatever the protocols; the time after it, as it may wait a moment."""
-        if late >= STALL:
+        if late >= STALL_THRESHOLD:
             self.stalls += 1
             self.longest_stall = max(self.longest_stall, late)
             self.note("stalled", level="warning", late_ms=late // MS, owed=self.desk.owed)
             # Time alone may send again: not before the roster's word that came meanwhile is read.
-            gevent.sleep(SETTLE / SECOND)
+            gevent.sleep(CATCH_UP_TIME / SECOND)
             now = time.monotonic_ns()
         due = self.desk.due() <= now
         if due and self.update_unread():
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -72,7 +72,7 @@
         self.watch = Watch()
         self.api = Invoke(told, self.name, f"http://{self.own}" if self.own else "", self.deferrals,
                           self.admission, log, self.status, weight)
-        self.looks, self.api.read_updates = self.api.looks, self.read_updates
+        self.poll_monitor, self.api.read_updates = self.api.poll_monitor, self.read_updates
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
         earlier.assume(dispatcher, told.deployment, now)
         self.desk = self.api.desk = Desk(dispatcher, self, self.api, bounds.load_order)
@@ -169,7 +169,7 @@
     def run(self) -> None:
         """Serves until end() was called and what is held has its answers."""
         shared = self.told.front_ends > 1 or self.told.peering is not None
-        self.api.looks.start()
+        self.api.poll_monitor.start()
         for address in self.told.listen:
             sock = listener(address, shared)
             self.listeners.append(sock)
@@ -222,7 +222,8 @@
                 continue
             if not sock.family == socket.AF_UNIX:
                 client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.connections.spawn(self.converse, client, self.api, self.api.looks.unread(time.monotonic_ns()))
+            self.connections.spawn(self.converse, client, self.api,
+                                   self.api.poll_monitor.unread_time(time.monotonic_ns()))
 
     def accept_admin(self, sock: socket.socket, admin: Admin) -> None:
         """Operators' connections: with a bound of their own, so that a flood of clients does not lock them out."""
@@ -278,7 +279,7 @@
         self.connections.kill()
         self.operators.kill()
         self.greenlets.kill()
-        self.api.looks.stop()
+        self.api.poll_monitor.stop()
         self.api.tell_turned_away(time.monotonic_ns(), all_=True)
         self.note("ended", owed=self.desk.owed, turned_away=self.api.tally.totals(),
                   **{key.replace(" ", "_"): n for key, n in self.desk.counts.items()})
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -17,7 +17,7 @@
 from threadshift.invoke.admission import Admission
 from threadshift.invoke.deferred import Deferral, Deferrals
 from threadshift.invoke.http import Exchange, whole
-from threadshift.invoke.looks import SETTLE, STALL, Looks
+from threadshift.invoke.poll_monitor import CATCH_UP_TIME, STALL_THRESHOLD, PollMonitor
 from threadshift.invoke.requests import BATCH, BATCH_CANCEL, CALLS, CANCEL, DEFERRED, Problem, Response
 from threadshift.invoke.shares import Places
 from threadshift.invoke.tally import Tally
@@ -79,7 +79,7 @@
         self.tally = Tally()
         self.overloaded, self.pauses = cycle(OVERLOADED), cycle(PAUSE_OF)
         self.status_at, self.status_told = 0, b""
-        self.looks = Looks()
+        self.poll_monitor = PollMonitor()
         self.read_updates: Callable[[], None] = lambda: None    # lets news of the roster that has arrived be read
         self.desk: Desk
         self.batching: Batches | None = None
@@ -169,12 +169,12 @@
         call = requests.call_of(path, exchange.headers, exchange.body, self.functions)
         wish = requests.prefer(exchange.headers.get("prefer", ""))
         # It may have lain unread since the event loop looked last: its client's time ran all the while.
-        unread = max(exchange.unread, self.looks.unread(time.monotonic_ns()))
-        if unread >= STALL:
+        unread = max(exchange.unread, self.poll_monitor.unread_time(time.monotonic_ns()))
+        if unread >= STALL_THRESHOLD:
             # The roster's word, or a worker's, may lie unread too, and rule 3 counts from when it came. Found by a
             # hunt: calls read first after a standstill went to workers that had long been told of as draining.
-            gevent.sleep(SETTLE / SECOND)
-            unread += SETTLE
+            gevent.sleep(CATCH_UP_TIME / SECOND)
+            unread += CATCH_UP_TIME
         self.read_updates()
         call = call._replace(left=call.left - unread)
         if call.left <= 0:
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -60,7 +60,7 @@
         self.descriptors = Descriptors(told.sockets)
         self.door = Door(lambda: self.descriptors.clients(self.dialled), told.activations, types,
                          told.deployment.longest_advice, self.admission, self, self.note, self.chance)
-        self.looks = self.door.looks
+        self.poll_monitor = self.door.poll_monitor
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
         earlier.assume(dispatcher, told.deployment, now)
         self.desk = self.door.desk = Desk(dispatcher, self, self.door, told.load_order)
@@ -128,7 +128,8 @@
     def on_list_update(self, update: ListUpdate) -> None:
         """An event of the coordinator."""
         now = time.monotonic_ns()
-        self.apply_list(update.workers, self.coordinator.freshness.told_since(now, self.looks.unread(now)))
+        self.apply_list(update.workers,
+                        self.coordinator.freshness.told_since(now, self.poll_monitor.unread_time(now)))
 
     def on_coordinator_lost(self) -> None:
         self.roster_lost = True
@@ -185,7 +186,7 @@
             self.stop_all()
             return
         sock = listener(self.told.listen, shared=False)
-        self.door.looks.start()
+        self.door.poll_monitor.start()
         self.listening, self.ready_by = sock, time.monotonic_ns() + LIST_WAIT
         self.greenlets.spawn(self.door.accept, sock)
         self.note("started", listen=str(self.told.listen), pid=os.getpid(), workers=len(self.links),
@@ -201,7 +202,7 @@
         for link in self.links.values():
             link.stop()
         self.greenlets.kill()
-        self.door.looks.stop()
+        self.door.poll_monitor.stop()
         self.note("ended", **self.state())
 
     def prepare(self) -> None:
