--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -111,7 +111,7 @@
             begun = time.monotonic_ns()
             self.assertEqual(it.call(left="150")[0], 503)
             self.assertLess(time.monotonic_ns() - begun, 150 * MS)
-            self.assertEqual(it.node.door.tally.totals(), {"too-late": 1})
+            self.assertEqual(it.node.door.refusal_counters.totals(), {"too-late": 1})
             it.coordinator.answering.set()
             self.assertEqual(it.call(id_=LATER)[0], 200)
             self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [LATER])
@@ -149,7 +149,7 @@
             for number in (1, 2, 3):
                 client.ask(number, id_=f"{number:016x}", left="900")
             self.assertEqual(client.answer(3)[0], 503)
-            self.assertEqual(it.node.door.tally.totals(), {"too-many-activations": 1})
+            self.assertEqual(it.node.door.refusal_counters.totals(), {"too-many-activations": 1})
 
 
 class NewsThatLiesUnread(unittest.TestCase):
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -516,7 +516,7 @@
                 with suppress(BlockingIOError):
                     got += usual.recv(65536)
             self.assertEqual(got.count(b"Status: 200"), 2)
-            self.assertEqual(it.node.door.tally.totals().get("too-many-connections", 0), 0)
+            self.assertEqual(it.node.door.refusal_counters.totals().get("too-many-connections", 0), 0)
             for each in [usual, *silent]:
                 each.close()
 
@@ -525,7 +525,7 @@
             fill(it, left="900")
             late = native(it.address)
             late.sendall(request(1, A) + request(2, B))
-            until(lambda: it.node.door.tally.totals().get("too-many-connections"))
+            until(lambda: it.node.door.refusal_counters.totals().get("too-many-connections"))
             late.settimeout(1)
             got = b""
             while more := late.recv(65536):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -11,8 +11,8 @@
 from threadshift.interface import MS, SECOND, Tenant
 from threadshift.invoke.admission import MOST, PERIOD, Admission
 from threadshift.invoke.deferred import InMemory
+from threadshift.invoke.refusal_counters import REPORT_INTERVAL, RefusalCounters
 from threadshift.invoke.shares import LEAST, NOBODY, Places, parts, weights
-from threadshift.invoke.tally import EVERY, Tally
 from threadshift.log import Log
 from threadshift.ration import A_SECOND, KINDS, Ration
 
@@ -113,17 +113,17 @@
 
 class Told(unittest.TestCase):
     def test_refusals_are_told_when_they_begin_and_then_as_sums(self):
-        it, lines = Tally(), []
+        it, lines = RefusalCounters(), []
         for n in range(12_000):
-            it.note(n * MS, "overloaded", "b" if n % 3 else "a")
-            lines += it.tell(n * MS)
-        lines += it.tell(12 * SECOND, all_=True)
+            it.record(n * MS, "overloaded", "b" if n % 3 else "a")
+            lines += it.due_reports(n * MS)
+        lines += it.due_reports(12 * SECOND, flush=True)
         self.assertEqual([line["count"] for line in lines], [1, 5000, 5000, 1999])
         self.assertEqual(lines[1]["in_all"], 5001)
         self.assertEqual(list(lines[1]["tenants"]), ["b", "a"])
-        self.assertEqual(it.tell(99 * SECOND), [])
+        self.assertEqual(it.due_reports(99 * SECOND), [])
         self.assertEqual(it.totals(), {"overloaded": 12_000})
-        self.assertGreater(EVERY, SECOND)
+        self.assertGreater(REPORT_INTERVAL, SECOND)
 
     def test_kinds_are_rationed_apart_and_what_was_held_back_is_told(self):
         it = Ration(0)
--- a/threadshift/fastcgi/connection.py
+++ b/threadshift/fastcgi/connection.py
@@ -18,7 +18,7 @@
 from threadshift.fastcgi.codec import ABORT, BEGIN, GET_VALUES, PARAMS, STDIN, Records, NotFastCGI
 from threadshift.fastcgi.requests import LONGEST_BODY, LONGEST_PARAMS, Unfit
 from threadshift.interface import MS, SECOND
-from threadshift.invoke.tally import Tally
+from threadshift.invoke.refusal_counters import RefusalCounters
 from threadshift.links.sockets import Outgoing, shows
 
 READ = 16 << 10            # bytes a read: several usual requests, and little memory a connection
@@ -35,7 +35,7 @@
 class Listener(Protocol):
     """What a connection asks of the listener that accepted it."""
 
-    tally: Tally
+    refusal_counters: RefusalCounters
     most: Callable[[], int]              # connections that clients may hold now
     note: Callable[..., None]
 
@@ -90,7 +90,7 @@
                 if self.offences > offences:
                     gevent.sleep(room.pause(self.offences, bool(self.open)) / SECOND)
         except NotFastCGI as problem:
-            self.door.tally.note(time.monotonic_ns(), "unreadable")
+            self.door.refusal_counters.record(time.monotonic_ns(), "unreadable")
             self.door.note("unreadable", level="debug", problem=str(problem))
             self.offences += 1
             self.give_up_all()
@@ -154,7 +154,7 @@
         request = Request(self, number, keep, now)
         if len(self.open) >= MOST_OPEN:
             self.offences += 1
-            self.door.tally.note(now, "too-many-open")
+            self.door.refusal_counters.record(now, "too-many-open")
             self.put(codec.response(number, MANY))
             return
         self.open[number] = request
@@ -189,7 +189,7 @@
 
     def unfit(self, request: Request, problem: Unfit) -> None:
         self.offences += 1
-        self.door.tally.note(time.monotonic_ns(), "unfit")
+        self.door.refusal_counters.record(time.monotonic_ns(), "unfit")
         self.door.note("unfit", level="debug", problem=str(problem))
         request.respond(requests.unfit(problem))
 
--- a/threadshift/fastcgi/door.py
+++ b/threadshift/fastcgi/door.py
@@ -22,7 +22,7 @@
 from threadshift.interface import MS, SECOND, NamespaceType
 from threadshift.invoke.admission import Admission
 from threadshift.invoke.poll_monitor import STALL_THRESHOLD, PollMonitor
-from threadshift.invoke.tally import Tally
+from threadshift.invoke.refusal_counters import RefusalCounters
 from threadshift.links.sockets import BACKLOG, arriving, shows
 from threadshift.log import fault_of
 
@@ -49,7 +49,7 @@
                  admission: Admission, front_end: FrontEnd, note: Callable[..., None], chance: Callable[[], float]):
         self.most, self.activations, self.types, self.advice = most, activations, types, advice
         self.admission, self.front_end, self.note, self.chance = admission, front_end, note, chance
-        self.poll_monitor, self.tally = PollMonitor(), Tally()
+        self.poll_monitor, self.refusal_counters = PollMonitor(), RefusalCounters()
         self.connections: set[Connection] = set()
         self.greenlets = Group()
         self.postponed = PostponedRequests(self, self.greenlets.spawn)
@@ -61,7 +61,7 @@
         for client in arriving(sock, self.note):
             self.wait_for_room()
             if len(self.connections) >= self.most():
-                self.tally.note(time.monotonic_ns(), CROWDED)
+                self.refusal_counters.record(time.monotonic_ns(), CROWDED)
                 self.turn_away(client)
                 continue
             self.welcome(client)
@@ -178,7 +178,7 @@
     def refuse(self, request: Request, reason: str, id_: str = "") -> None:
         """Not taken: nothing ran, so trying again is harmless."""
         now = time.monotonic_ns()
-        self.tally.note(now, reason)
+        self.refusal_counters.record(now, reason)
         if id_:
             self.note("request-refused", reason=reason, id=id_, read_ms=(now - request.began) // MS)
         request.held = True
@@ -197,7 +197,7 @@
         answer = held.answer
         assert answer is not None
         if answer.reason != "completed":
-            self.tally.note(held.answered_at, f"{answer.final.value}-{answer.reason}")
+            self.refusal_counters.record(held.answered_at, f"{answer.final.value}-{answer.reason}")
         if answer.reason != "completed" or len(held.sends) > 1:
             self.note("request-ended", reason=answer.reason, id=held.ivk, type=held.call.type,
                       answer=answer.final.value, after_ms=(held.answered_at - held.taken) // MS,
@@ -237,5 +237,5 @@
         self.tell_turned_away(time.monotonic_ns(), all_=True)
 
     def tell_turned_away(self, now: int, all_: bool = False) -> None:
-        for line in self.tally.tell(now, all_):
+        for line in self.refusal_counters.due_reports(now, all_):
             self.note("turned-away", level="warning", **line)
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -214,7 +214,7 @@
                 self.watch.make_room(time.monotonic_ns())
                 gevent.sleep(ROOM_WAIT / SECOND)
             if len(self.connections) >= self.told.bounds.connections:
-                self.api.tally.note(time.monotonic_ns(), "too-many-connections")
+                self.api.refusal_counters.record(time.monotonic_ns(), "too-many-connections")
                 with suppress(OSError):
                     client.settimeout(0)
                     client.send(next(self.full))
@@ -280,8 +280,8 @@
         self.operators.kill()
         self.greenlets.kill()
         self.api.poll_monitor.stop()
-        self.api.tell_turned_away(time.monotonic_ns(), all_=True)
-        self.note("ended", owed=self.desk.owed, turned_away=self.api.tally.totals(),
+        self.api.log_refusals(time.monotonic_ns(), flush=True)
+        self.note("ended", owed=self.desk.owed, turned_away=self.api.refusal_counters.totals(),
                   **{key.replace(" ", "_"): n for key, n in self.desk.counts.items()})
 
     def reload(self) -> None:
@@ -308,7 +308,7 @@
             "closing": self.api.closing, "owed": self.desk.owed, "held": len(self.desk.held),
             "connections": len(self.connections), "counts": dict(sorted(self.desk.counts.items())),
             "refused-at-door": self.admission.refused, "refused-part": round(self.admission.part, 3),
-            "turned-away": self.api.tally.totals(),
+            "turned-away": self.api.refusal_counters.totals(),
             "lag-ms": round(self.admission.lag / MS, 3), "stalls": self.stalls,
             "longest-stall-ms": self.longest_stall // MS,
             "deferred": {"pending": self.deferrals.waiting.all, "bytes": self.deferrals.kept.all,
--- a/threadshift/gateway/rolling.py
+++ b/threadshift/gateway/rolling.py
@@ -37,7 +37,7 @@
 ENTER = 5 * SECOND
 CHECK = 20                 # s that the check of a change may take
 DOOR = "(door)"            # the stratum of what is turned away before it is taken: no namespace type is named so
-FINALS = ("rejected-", "aborted-")     # kinds of the tally that are final answers, counted by type
+FINALS = ("rejected-", "aborted-")     # kinds of the refusal counters that are final answers, counted by type
 BACK_PACE = SECOND         # between two front ends on the way back ...
 BACK_VOTER = 4 * SECOND    # ... and after a voter, so that the next one finds it back
 
@@ -94,7 +94,8 @@
         it = self.rollouts.under_way
         heard = self.carrier.member.age(now()) is not None
         sums = {type_: [*row[:5], list(row[5])] for type_, row in self.sums.items()}
-        turned = sum(count for kind, count in self.front.api.tally.totals().items() if not kind.startswith(FINALS))
+        turned = sum(count for kind, count in self.front.api.refusal_counters.totals().items()
+                     if not kind.startswith(FINALS))
         sums[DOOR] = [turned + self.front.desk.counts["taken"], turned, 0, 0, 0, [0] * BUCKETS]
         return {"version": self.version, "life": self.carrier.life, "failed": self.versions.failed(),
                 "up": time.monotonic_ns() - self.started if heard else 0,
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -20,7 +20,7 @@
 from threadshift.invoke.poll_monitor import CATCH_UP_TIME, STALL_THRESHOLD, PollMonitor
 from threadshift.invoke.requests import BATCH, BATCH_CANCEL, CALLS, CANCEL, DEFERRED, Problem, Response
 from threadshift.invoke.shares import Places
-from threadshift.invoke.tally import Tally
+from threadshift.invoke.refusal_counters import RefusalCounters
 from threadshift.log import Log
 
 BUSY_PAUSE = SECOND        # ns; when to come back after a refusal at the door, in the mean: it sheds a burst
@@ -76,7 +76,7 @@
         self.functions = requests.Functions(told)
         self.closing = False
         self.places = Places(told.bounds.activations, weight)       # of activations under way
-        self.tally = Tally()
+        self.refusal_counters = RefusalCounters()
         self.overloaded, self.pauses = cycle(OVERLOADED), cycle(PAUSE_OF)
         self.status_at, self.status_told = 0, b""
         self.poll_monitor = PollMonitor()
@@ -163,7 +163,7 @@
         tenant = exchange.headers.get("tenant", "")
         if not self.admission.admit(exchange.headers.get("repetition") == "?1", tenant):
             exchange.connection.pause = self.admission.pause(tenant)
-            self.tally.note(time.monotonic_ns(), "overloaded", self.places.who(tenant))
+            self.refusal_counters.record(time.monotonic_ns(), "overloaded", self.places.who(tenant))
             exchange.respond(next(self.overloaded))
             return
         call = requests.call_of(path, exchange.headers, exchange.body, self.functions)
@@ -198,7 +198,7 @@
         exchange.held = self.desk.take(time.monotonic_ns(), self.number(), call, exchange)
 
     def turned_away(self, status: int, kind: str, detail: str, tenant: str) -> Problem:
-        self.tally.note(time.monotonic_ns(), kind, self.places.who(tenant))
+        self.refusal_counters.record(time.monotonic_ns(), kind, self.places.who(tenant))
         return busy(status, kind, detail, next(self.pauses))
 
     def take_deferred(self, exchange: Exchange, call: Call) -> None:
@@ -235,10 +235,10 @@
     def tick(self, now: int) -> None:
         for exchange, it in self.deferrals.tick(now):
             exchange.respond(self.pending(it.ivk))
-        self.tell_turned_away(now)
+        self.log_refusals(now)
 
-    def tell_turned_away(self, now: int, all_: bool = False) -> None:
-        for line in self.tally.tell(now, all_):
+    def log_refusals(self, now: int, flush: bool = False) -> None:
+        for line in self.refusal_counters.due_reports(now, flush):
             self.log.note("turned-away", level="warning", **line)
 
     # The desk's port.
@@ -251,8 +251,8 @@
         assert answer is not None
         self.places.give(held.call.tenant)
         if answer.final is not Final.COMPLETED:
-            self.tally.note(held.answered_at, f"{answer.final.value}-{answer.reason}",
-                            self.places.who(held.call.tenant))
+            self.refusal_counters.record(held.answered_at, f"{answer.final.value}-{answer.reason}",
+                                         self.places.who(held.call.tenant))
         self.recent.note(held.answered_at, held)
         if isinstance(held.client, Deferral):
             for exchange in self.deferrals.finish(held.answered_at, held.client, answer):
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -239,4 +239,4 @@
                 "functions": len(dispatcher.functions), "roster_lost": self.roster_lost,
                 "lag_ms": round(self.admission.lag / MS, 1), "part": round(self.admission.part, 3),
                 "stalls": self.stalls, "longest_stall_ms": self.longest_stall // MS,
-                "turned_away": self.door.tally.totals(), "counts": dict(self.desk.counts)}
+                "turned_away": self.door.refusal_counters.totals(), "counts": dict(self.desk.counts)}
