--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -64,11 +64,11 @@
 
     @property
     def held(self):
-        return self.live.front.hall.announcer.held[NET]
+        return self.live.front.service_announcer.announcer.held[NET]
 
     @property
     def neighbour(self):
-        return self.live.front.hall.speaker.neighbours["hall"]
+        return self.live.front.service_announcer.speaker.neighbours["hall"]
 
     def route(self):
         """The route that the router holds, None where there is none."""
@@ -103,7 +103,7 @@
         with Hall() as hall:
             began = time.monotonic()
             hall.live.front.end()
-            until(lambda: hall.live.front.hall.drain.standing is Standing.LAST)
+            until(lambda: hall.live.front.service_announcer.drain.standing is Standing.LAST)
             hall.router.obey(["reset", "front-0"])
             hall.live.running.join(5)
             self.assertLess(time.monotonic() - began, 2)
@@ -119,7 +119,7 @@
             self.assertEqual(hall.call("submit-x").headers["final"], "rejected")
             for name, worker in hall.live.workers.items():
                 hall.live.list(name, worker.address)
-            until(lambda: hall.live.front.hall.signs(time.monotonic_ns()).fit == 2)
+            until(lambda: hall.live.front.service_announcer.signs(time.monotonic_ns()).fit == 2)
             self.assertEqual(hall.route().med, 900)                      # slow up
             until(lambda: hall.held.wish and hall.held.wish.reason == "cold")
 
@@ -148,7 +148,7 @@
         addresses = "".join(f"    address 10.9.{n // 250}.{n % 250}/32 {{\n    }}\n" for n in range(499)) + ONE
         with Hall(addresses) as hall:
             until(lambda: len(hall.router.speaker.heard.routes["front-0"]) == 500)
-            self.assertLess(hall.live.front.hall.speaker.sent, 12)
+            self.assertLess(hall.live.front.service_announcer.speaker.sent, 12)
             hall.order("withdraw")
             until(lambda: not hall.router.speaker.heard.routes["front-0"])
 
--- a/threadshift/emulator/router.py
+++ b/threadshift/emulator/router.py
@@ -18,8 +18,8 @@
 from threadshift.emulator.clock import Clock
 from threadshift.emulator.front import ModelFront
 from threadshift.gateway.fitness import fitness
-from threadshift.gateway.hall import EVERY
 from threadshift.gateway.recent import Arrivals, Recent
+from threadshift.gateway.service_announcer import CHECK_INTERVAL
 from threadshift.interface import SECOND
 from threadshift.standins.router import Router
 
@@ -51,7 +51,7 @@
             self.tell(self.announcer.wanted(False).get(PREFIX))
             if self.drain.stage is Stage.DONE:
                 front.close()
-        self.clock.after(EVERY, self.tick)
+        self.clock.after(CHECK_INTERVAL, self.tick)
 
     def tell(self, path: Path | None) -> None:
         if path != self.told:
@@ -59,7 +59,7 @@
             self.clock.after(self.router.delay(), self.router.heard, self, path)
 
     def signs(self, now: int) -> Signs:
-        """As gateway/hall.py gathers them; connections to workers stand unless a dial just failed."""
+        """As gateway/service_announcer.py gathers them; connections to workers stand unless a dial just failed."""
         front = self.front
         return Signs(
             listening=not front.closing, lag=int(front.admission.lag),
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -20,7 +20,7 @@
 from threadshift.emulator.router import ModelHall, ModelRouter
 from threadshift.emulator.store import MB, ModelStore
 from threadshift.emulator.worker import ModelWorker
-from threadshift.gateway.hall import WORDS
+from threadshift.gateway.service_announcer import OPERATOR_ORDERS
 from threadshift.interface import MS, SECOND, Effect, State
 from threadshift.roster.membership import Entry
 from threadshift.standins.worker import Machine
@@ -218,7 +218,7 @@
         """An operator's word on its announcements."""
         hall = self.fronts[who].hall
         if hall is not None:
-            hall.say(WORDS[word])
+            hall.say(OPERATOR_ORDERS[word])
 
     # Clients.
 
--- a/threadshift/gateway/admin.py
+++ b/threadshift/gateway/admin.py
@@ -5,7 +5,7 @@
 from typing import Any, Protocol
 
 from threadshift.errors import Cause
-from threadshift.gateway.hall import WORDS
+from threadshift.gateway.service_announcer import OPERATOR_ORDERS
 from threadshift.invoke import requests
 from threadshift.invoke.http import Exchange
 from threadshift.invoke.requests import Problem, Response
@@ -14,7 +14,7 @@
 class Ordered(Protocol):
     """The front end that takes the orders."""
 
-    hall: Any
+    service_announcer: Any
     together: Any
 
     def status(self) -> dict[str, Any]: ...
@@ -42,14 +42,15 @@
         if exchange.path.split("/")[2:3] and exchange.path.split("/")[2] in ("eviction", "rollouts"):
             return self.in_common(exchange)
         word = exchange.path.removeprefix("/v1/bgp/")
-        if word not in WORDS or exchange.method != "POST" or not exchange.path.startswith("/v1/bgp/"):
+        if word not in OPERATOR_ORDERS or exchange.method != "POST" or not exchange.path.startswith("/v1/bgp/"):
             raise Problem(404, "no-such-order", f"no {exchange.method} {exchange.path[:100]}; there are POST "
-                                                f"/v1/bgp/ with one of {', '.join(WORDS)}, and GET /v1/status")
-        if self.front.hall is None:
+                                                f"/v1/bgp/ with one of {', '.join(OPERATOR_ORDERS)}, "
+                                                "and GET /v1/status")
+        if self.front.service_announcer is None:
             raise Problem(409, "no-bgp", "this front end announces nothing: its configuration has no 'bgp' block")
         prefix = exchange.body.decode(errors="replace").strip()
         try:
-            held = self.front.hall.say(word, prefix or None)
+            held = self.front.service_announcer.say(word, prefix or None)
         except (ValueError, KeyError):
             raise Problem(400, "no-such-address", f"{prefix[:60]!r} is not announced here", "address") from None
         self.front.note("operator", order=f"bgp {word}", addresses=held)
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -27,8 +27,8 @@
 from threadshift.errors import Cause
 from threadshift.gateway.admin import Admin
 from threadshift.gateway.fleet import Fleet
-from threadshift.gateway.hall import Hall
 from threadshift.gateway.recent import Arrivals, Recent
+from threadshift.gateway.service_announcer import ServiceAnnouncer
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.admission import Admission
 from threadshift.invoke import requests
@@ -86,7 +86,7 @@
         self.recent = Recent({each.name: each.utility for each in told.deployment.types})
         self.api.recent = self.recent
         self.arrivals = Arrivals()
-        self.hall = Hall(self) if told.announcing else None
+        self.service_announcer = ServiceAnnouncer(self) if told.announcing else None
         self.together: Any = None        # what it holds in common with others, once that could be opened
         self.disk, self.version, self.ready = disk, version, ready
         self.started = now
@@ -193,8 +193,8 @@
                 self.greenlets.spawn(self.serve_at, at, lambda sock: self.accept_admin(sock, admin))
             else:
                 self.greenlets.spawn(self.accept_admin, listener(at, shared=False), admin)
-        if self.hall is not None:
-            self.hall.start()
+        if self.service_announcer is not None:
+            self.service_announcer.start()
         if self.told.peering is not None:
             self.greenlets.spawn(self.join_in)
         self.ready()
@@ -251,16 +251,16 @@
             self.api.tick(now)
             if self.together is not None:
                 self.together.tick(now)
-            if self.hall is not None:
-                self.hall.tick(now)
+            if self.service_announcer is not None:
+                self.service_announcer.tick(now)
 
     def drain(self) -> None:
         """No new calls; what is held gets its answers; then the end, within the stated time."""
         self.note("draining", owed=self.desk.owed, connections=len(self.connections))
-        if self.hall is not None:
+        if self.service_announcer is not None:
             # Routes first: what still arrives by them is answered until routers have converged.
-            self.hall.leave(time.monotonic_ns())
-            self.keep_time(self.hall.left)
+            self.service_announcer.leave(time.monotonic_ns())
+            self.keep_time(self.service_announcer.left)
         self.api.closing = True
         for sock in self.listeners:
             sock.close()
@@ -272,8 +272,8 @@
         if self.together is not None:
             gevent.sleep(self.together.leaving / SECOND)
             self.together.stop()
-        if self.hall is not None:
-            self.hall.speaker.stop("drained")
+        if self.service_announcer is not None:
+            self.service_announcer.speaker.stop("drained")
         for link in self.links.values():
             link.stop()
         self.connections.kill()
@@ -313,7 +313,7 @@
             "longest-stall-ms": self.longest_stall // MS,
             "deferred": {"pending": self.deferrals.waiting.all, "bytes": self.deferrals.kept.all,
                          "dropped": self.deferrals.dropped},
-            "announcements": self.hall.status(now) if self.hall is not None else None,
+            "announcements": self.service_announcer.status(now) if self.service_announcer is not None else None,
             "together": self.together.status() if self.together is not None else None,
             "roster": {"kind": self.told.roster_kind,
                        "age-s": round((now - self.roster_said) / SECOND, 3) if self.roster_said else None},
--- a/threadshift/gateway/hall.py
+++ b/threadshift/gateway/service_announcer.py
@@ -15,8 +15,9 @@
 from threadshift.gateway.fitness import fitness
 from threadshift.interface import MS
 
-EVERY = 50 * MS            # between two looks: a quarter of the shortest time that any sign must stand
-WORDS = {"announce": Standing.FULL, "last-resort": Standing.LAST, "withdraw": Standing.WITHDRAWN, "auto": None}
+CHECK_INTERVAL = 50 * MS   # a quarter of the shortest time for which any sign must persist
+OPERATOR_ORDERS = {
+    "announce": Standing.FULL, "last-resort": Standing.LAST, "withdraw": Standing.WITHDRAWN, "auto": None}
 
 
 class Announced(Protocol):
@@ -36,7 +37,7 @@
     def note(self, event: str, **fields: Any) -> None: ...
 
 
-class Hall:
+class ServiceAnnouncer:
     """The announcements of one front end."""
 
     def __init__(self, front: Announced):
@@ -66,7 +67,7 @@
     def tick(self, now: int) -> None:
         if now < self.next:
             return
-        self.next = now + EVERY
+        self.next = now + CHECK_INTERVAL
         self.drain.tick(now, self.front.arrivals.per_second(now), self.front.arrivals.last,
                         bool(self.speaker.established))
         heard = self.speaker.heard.of if self.told.reflects else None
@@ -107,7 +108,7 @@
                 raise KeyError(prefix)
             wanted = [one]
         for each in wanted:
-            self.announcer.say(each, WORDS[word])
+            self.announcer.say(each, OPERATOR_ORDERS[word])
         self.next = 0
         self.tick(time.monotonic_ns())
         return [str(each) for each in wanted]
