--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -167,7 +167,7 @@
     def test_is_read_before_what_an_answer_brings(self):
         with Platform() as it:
             self.drain_unread(it)
-            it.node.settle()
+            it.node.catch_up_after_stall()
             self.assert_not_sent(it)
 
     def test_is_read_before_a_request_is_taken(self):
@@ -187,18 +187,18 @@
             it.node.desk.due = lambda: 0
             it.node.desk.tick = lambda now: ready.append(it.node.desk.dispatcher.workers["s-0"].ready)
             self.drain_unread(it)
-            it.node.beat(time.monotonic_ns(), 0)
+            it.node.on_tick(time.monotonic_ns(), 0)
             self.assertFalse(any(ready[-1:]))
             del it.node.desk.due, it.node.desk.tick
 
     def settling(self, it):
         """How sends stood, each time that unread news was waited for: the list is filled as that happens."""
-        seen, settle = [], it.node.settle
+        seen, catch_up = [], it.node.catch_up_after_stall
 
         def noted():
             seen.extend(sent.outcome for held in it.node.desk.held.values() for sent in held.sends)
-            settle()
-        it.node.settle = noted
+            catch_up()
+        it.node.catch_up_after_stall = noted
         return seen
 
     def test_is_read_before_a_break_lets_calls_go_on(self):
@@ -232,7 +232,7 @@
 
     def test_news_of_the_feed_that_lies_unread_is_read_before_anything_is_sent(self):
         with Live(workers=1) as live:
-            for act in (live.front.settle, live.front.api.read_updates):
+            for act in (live.front.catch_up_after_stall, live.front.api.read_updates):
                 until(lambda: live.front.desk.dispatcher.workers["w0"].ready)
                 live.list("w0", live.workers["w0"].address)
                 changed = dict(live.feed.workers["w0"], state="draining")
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -228,7 +228,7 @@
                 until(lambda: only.queue)
                 client.close()
                 come.set()
-                it.node.settled = 0         # no standstill was seen within the last second
+                it.node.last_stall_at = 0       # no standstill was seen within the last second
                 stand_still()
                 until(lambda: it.node.desk.counts["left"])
             self.assertEqual(it.call(id_=B)[0], 200)
@@ -386,7 +386,8 @@
             client.ask(type_="submit")
             until(lambda: it.workers[0].codes(INVOKE))
             broken = next(each for each in only.connections if each.waiting)
-            it.node.settle = lambda: carried.append(pool.fit(only.connections, b"another!", 32) is broken)
+            it.node.catch_up_after_stall = lambda: carried.append(
+                pool.fit(only.connections, b"another!", 32) is broken)
             for sock in it.workers[0].open:
                 sock.shutdown(socket.SHUT_RDWR)
             self.assertEqual(client.answer()[0], 502)
@@ -476,20 +477,20 @@
         # A cancel that lay unread over it is over 0.1 s old when the next send falls due.
         with Platform() as it:
             for seconds, waited in ((0.02, False), (0.07, True), (0.15, True), (0.55, True)):
-                it.node.settled = before = time.monotonic_ns() - 300 * MS
+                it.node.last_stall_at = before = time.monotonic_ns() - 300 * MS
                 stand_still(seconds)
-                it.node.settle()
-                self.assertEqual(it.node.settled > before, waited, seconds)
+                it.node.catch_up_after_stall()
+                self.assertEqual(it.node.last_stall_at > before, waited, seconds)
                 gevent.sleep(0.02)              # the loop comes round
 
     def test_with_a_short_grace_so_is_a_shorter_one(self):
         told = settings()
         told["rules"]["drainGrace"] = 0.0
         with Platform(settings=told) as it:
-            it.node.settled = before = time.monotonic_ns() - 300 * MS
+            it.node.last_stall_at = before = time.monotonic_ns() - 300 * MS
             stand_still(0.015)
-            it.node.settle()
-            self.assertGreater(it.node.settled, before)
+            it.node.catch_up_after_stall()
+            self.assertGreater(it.node.last_stall_at, before)
 
     def test_a_list_that_stays_empty_does_not_keep_it_from_being_ready(self):
         with mock.patch("threadshift.node.front.LIST_WAIT", 100 * MS), Platform([]) as it:
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -22,7 +22,7 @@
 from threadshift.coordinator.stream import Response
 from threadshift.desk.desk import Asked
 from threadshift.frames.codec import ASK, FROM_WORKER, FULL, HOLD, INVOKE, encode
-from threadshift.gateway.fleet import JOIN_BATCH
+from threadshift.gateway.base_front_end import JOIN_BATCH
 from threadshift.interface import MS, SECOND, Deployment, Effect, Listing, NamespaceType, State
 from threadshift.node.descriptors import Descriptors
 from threadshift.ring import POINTS
--- a/threadshift/fastcgi/door.py
+++ b/threadshift/fastcgi/door.py
@@ -136,7 +136,7 @@
         request.held, request.told, request.body = True, {}, b""
         # It may have lain unread since the event loop looked last: its client's time ran all the while.
         unread = max(unread, self.poll_monitor.unread_time(time.monotonic_ns()))
-        if unread < STALL_THRESHOLD and not self.front_end.list_is_stale() and not self.front_end.update_unread():
+        if unread < STALL_THRESHOLD and not self.front_end.list_is_stale() and not self.front_end.has_unread_update():
             self.let_in(request, asked, unread)
         elif len(self.postponed) + len(self.desk.held) >= self.activations:
             self.refuse(request, FULL, asked.ivk)
--- a/threadshift/fastcgi/postponed.py
+++ b/threadshift/fastcgi/postponed.py
@@ -46,7 +46,7 @@
 
     def ready(self) -> bool: ...
     def list_is_stale(self) -> bool: ...        # no coordinator has answered since the start
-    def update_unread(self) -> bool: ...        # news of workers has arrived and is not read yet
+    def has_unread_update(self) -> bool: ...    # news of workers has arrived and is not read yet
 
 
 class Owner(Protocol):
@@ -97,4 +97,4 @@
 
     def unread_behind(self, each: Postponed, now: int) -> bool:
         return now - each.since < LONGEST_READ and (
-            self.owner.front_end.update_unread() or self.owner.unread_on(each.request))
+            self.owner.front_end.has_unread_update() or self.owner.unread_on(each.request))
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -45,13 +45,13 @@
 
 
 class Owner(Protocol):
-    """Whose link it is. settle() is called before what answers bring, or a dial that came up, is
+    """Whose link it is. catch_up_after_stall() is called before what answers bring, or a dial that came up, is
     acted upon: it may wait a moment. room() makes room for one
     more connection, by ending others only where it is wanted for something that waits; False where there is none.
     dials_ahead() tells whether connections are dialled before anything waits for them: not where workers are too many
     to have one each. Each dial is counted as a connection from its begin on."""
 
-    def settle(self) -> None: ...
+    def catch_up_after_stall(self) -> None: ...
     def room(self, wanted: bool) -> bool: ...
     def dials_ahead(self) -> bool: ...
     def connection_opened(self, link: Link) -> None: ...
@@ -273,7 +273,7 @@
                 break
             except OSError as failed:
                 if self.queue:
-                    self.owner.settle()
+                    self.owner.catch_up_after_stall()
                 now = time.monotonic_ns()
                 self.not_before = self.redial.broke(now)
                 if not problem:
@@ -288,7 +288,8 @@
         else:
             return
         if self.queue:
-            self.owner.settle()             # word that a client is gone, or that the worker drains, may lie unread
+            # word that a client is gone, or that the worker drains, may lie unread
+            self.owner.catch_up_after_stall()
         if self.stopped:
             sock.close()                    # while it came up; it is counted no more
             return
@@ -321,7 +322,7 @@
                 except NotFrames as refused:
                     problem, answers = str(refused), getattr(refused, "before", [])
                 if answers:
-                    self.owner.settle()
+                    self.owner.catch_up_after_stall()
                 for answer in answers:
                     self.hear(connection, answer)
         except (OSError, NotFrames) as failed:
@@ -329,9 +330,9 @@
         except Exception as fault:          # ours; loud, and what waits here is not left waiting
             self.note("fault", level="error", **fault_of(fault))
             problem = "a fault of ours"
-        connection.doubted = True           # carries nothing new while settle() waits
+        connection.doubted = True           # carries nothing new while catch_up_after_stall() waits
         if connection.waiting:
-            self.owner.settle()
+            self.owner.catch_up_after_stall()
         self.broke(connection, problem or ("closed inside a frame" if frames.torn else ""))
 
     def hear(self, connection: Connection, it: Answer) -> None:
--- a/threadshift/gateway/fleet.py
+++ b/threadshift/gateway/base_front_end.py
@@ -40,7 +40,7 @@
     def stop(self) -> None: ...
 
 
-class Fleet:
+class BaseFrontEnd:
     """Carries the desk's steps to links, and word of workers to the desk."""
 
     desk: Desk
@@ -51,10 +51,10 @@
         self.log, self.membership = log, membership
         self.links: dict[str, Any] = {}
         self.joining: dict[str, None] = {}      # workers listed as ready that are still to be taken in
-        self.settled = 0                 # when it was last seen that the process had stood still
+        self.last_stall_at = 0           # when it was last seen that the process had stood still
         self.stalls = self.longest_stall = 0
-        self.measured = self.looked = 0  # when the lag was read, and workers gone were looked for
-        self.roster_said = 0
+        self.lag_read_at = self.gone_workers_checked_at = 0
+        self.list_applied_at = 0
         self.roster_lost = False         # the feed is lost or the file unreadable: the last list stands
 
     def link(self, it: Entry) -> AnyLink:
@@ -89,7 +89,7 @@
         link = self.links.get(worker)
         return Outcome.UNREACHABLE if link is None else link.ask(question)
 
-    def update_unread(self) -> bool:
+    def has_unread_update(self) -> bool:
         """Whether news of the roster has arrived and is not read yet."""
         return False
 
@@ -98,11 +98,11 @@
 
         The socket itself is asked, however short the stall: no time of ours tells what lies there."""
         for _ in range(READ_ROUNDS):
-            if not self.update_unread():
+            if not self.has_unread_update():
                 return
             gevent.sleep(READ_ROUND / SECOND)
 
-    def settle(self) -> None:
+    def catch_up_after_stall(self) -> None:
         """Called before anything that may lead to a send: an answer, a break, a connection that came up.
 
         After a stall, what workers said themselves and that clients are gone is read first, too: it may lie beside
@@ -110,12 +110,12 @@
         draining.) A loop at its limit looks like one that stalled, and loses a fifth of its time by this at most."""
         now = time.monotonic_ns()
         if self.poll_monitor.unread_time(now) >= min(STALL_THRESHOLD, max(CATCH_UP_TIME, self.membership.grace // 2)):
-            self.settled = now
-        if now - self.settled < CATCH_UP_TIME:
+            self.last_stall_at = now
+        if now - self.last_stall_at < CATCH_UP_TIME:
             gevent.sleep(CATCH_UP_TIME / SECOND)
         self.read_updates()
 
-    def beat(self, now: int, late: int) -> int:
+    def on_tick(self, now: int, late: int) -> int:
         """What one tick of the timer brings, whatever the protocols; the time after it, as it may wait a moment."""
         if late >= STALL_THRESHOLD:
             self.stalls += 1
@@ -125,20 +125,20 @@
             gevent.sleep(CATCH_UP_TIME / SECOND)
             now = time.monotonic_ns()
         due = self.desk.due() <= now
-        if due and self.update_unread():
+        if due and self.has_unread_update():
             self.read_updates()
             now = time.monotonic_ns()
-        if now - self.measured >= PERIOD:
-            self.measured = now
+        if now - self.lag_read_at >= PERIOD:
+            self.lag_read_at = now
             self.admission.measured(now, late)
         if due:
             self.desk.tick(now)
         self.change(self.membership.tick(now))
         if self.joining:
             self.join_workers()
-        if now - self.looked >= SECOND:
-            self.looked = now
-            self.let_go_of_workers()
+        if now - self.gone_workers_checked_at >= SECOND:
+            self.gone_workers_checked_at = now
+            self.remove_gone_workers()
             self.log.tick(now)
         return now
 
@@ -154,7 +154,7 @@
 
         New workers beyond a few are taken in by the timer, a batch at a time: each costs its points on the ring, and
         with thousands of them at once requests would wait unread for seconds."""
-        now = self.roster_said = time.monotonic_ns()
+        now = self.list_applied_at = time.monotonic_ns()
         self.roster_lost = False
         before = self.membership.empty_since
         listings = self.membership.apply(now, time.time_ns(), workers, told_since)
@@ -218,7 +218,7 @@
             if each.state is not State.READY and each.worker in self.links:
                 self.links[each.worker].take_back()
 
-    def let_go_of_workers(self) -> None:
+    def remove_gone_workers(self) -> None:
         """Ends links to workers that are gone, once nothing waits for them."""
         for name in self.membership.gone:
             link = self.links.get(name)
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -26,7 +26,7 @@
 from threadshift.desk.desk import Desk
 from threadshift.errors import Cause
 from threadshift.gateway.admin import Admin
-from threadshift.gateway.fleet import Fleet
+from threadshift.gateway.base_front_end import BaseFrontEnd
 from threadshift.gateway.recent import Arrivals, Recent
 from threadshift.gateway.service_announcer import ServiceAnnouncer
 from threadshift.interface import MS, SECOND
@@ -52,7 +52,7 @@
               keep=False) for pause in PAUSE_OF]
 
 
-class FrontEnd(Fleet):
+class FrontEnd(BaseFrontEnd):
     """Carries steps to links and answers to the desk; owns every greenlet of the process."""
 
     def __init__(self, told: Installation, index: int, log: Log, seed: int | None = None, disk: Any = None,
@@ -146,7 +146,7 @@
             self.draining(worker)
         return ""
 
-    def update_unread(self) -> bool:
+    def has_unread_update(self) -> bool:
         return self.feed is not None and self.feed.unread()
 
     def draining(self, worker: str) -> None:
@@ -246,7 +246,7 @@
 
         A fault in what it calls is ours, and ends the process loudly: half a front end is worse than none."""
         for now, late in ticks(self.told.deployment.tick, over):
-            now = self.beat(now, late)
+            now = self.on_tick(now, late)
             self.watch.tick(now)
             self.api.tick(now)
             if self.together is not None:
@@ -316,7 +316,8 @@
             "announcements": self.service_announcer.status(now) if self.service_announcer is not None else None,
             "together": self.together.status() if self.together is not None else None,
             "roster": {"kind": self.told.roster_kind,
-                       "age-s": round((now - self.roster_said) / SECOND, 3) if self.roster_said else None},
+                       "age-s": (round((now - self.list_applied_at) / SECOND, 3) if self.list_applied_at
+                                 else None)},
             "workers": {name: {
                 "state": self.membership.state(one).value, "zone": one.entry.zone,
                 "link": bool(name in self.links and self.links[name].up),
--- a/threadshift/gateway/service_announcer.py
+++ b/threadshift/gateway/service_announcer.py
@@ -30,7 +30,7 @@
     admission: Any
     arrivals: Any
     recent: Any
-    roster_said: int
+    list_applied_at: int
     roster_lost: bool
     chance: Callable[[], float]
 
@@ -86,7 +86,7 @@
         fleet = fitness(front.desk.dispatcher, lambda name: name in front.links and front.links[name].up, now)
         return Signs(
             listening=all(sock.fileno() >= 0 for sock in front.listeners), lag=int(front.admission.lag),
-            roster_age=now - front.roster_said if front.roster_lost else 0, **fleet._asdict(),
+            roster_age=now - front.list_applied_at if front.roster_lost else 0, **fleet._asdict(),
             asked_per_s=front.recent.per_second(now), refused=front.admission.part,
             service=front.recent.service(now), drain=self.drain.standing)
 
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -30,10 +30,10 @@
 
 
 class Answered(Protocol):
-    """What a link tells of a worker, beside answers: it is up with this hello, it said that it drains. settle() is
-    called before answers are heard: it may wait a moment."""
+    """What a link tells of a worker, beside answers: it is up with this hello, it said that it drains.
+    catch_up_after_stall() is called before answers are heard: it may wait a moment."""
 
-    def settle(self) -> None: ...
+    def catch_up_after_stall(self) -> None: ...
     def hello(self, worker: str, hello: Frame) -> str: ...
     def draining(self, worker: str) -> None: ...
     def note(self, event: str, **fields: Any) -> None: ...
@@ -196,7 +196,7 @@
                     self.sock.close()
                     self.sock = None
             if self.waiting:
-                self.owner.settle()
+                self.owner.catch_up_after_stall()
             if not self.stopped:
                 self.broke(problem)
 
@@ -255,7 +255,7 @@
             for frame in came:
                 if frame["kind"] == "draining":
                     self.hear(frame)        # before what answers bring, also where it was said after them
-            self.owner.settle()
+            self.owner.catch_up_after_stall()
             for frame in came:
                 if frame["kind"] != "draining":
                     self.hear(frame)
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -23,7 +23,7 @@
 from threadshift.fastcgi.door import Door
 from threadshift.frames import pool
 from threadshift.frames.link import Link
-from threadshift.gateway.fleet import Fleet
+from threadshift.gateway.base_front_end import BaseFrontEnd
 from threadshift.interface import MS, SECOND, Listing
 from threadshift.invoke.admission import Admission
 from threadshift.links.sockets import listener
@@ -41,7 +41,7 @@
 LIST_WAIT = 4 * SECOND     # for a list with a worker in it: as long as a lost coordinator may take to be found again
 
 
-class Node(Fleet):
+class Node(BaseFrontEnd):
     """Carries steps to links and answers to the desk; owns every greenlet of the process."""
 
     def __init__(self, told: Placement, environment: Mapping[str, str], log: Log):
@@ -122,7 +122,7 @@
         idle[goes].end(goes)
         return True
 
-    def update_unread(self) -> bool:
+    def has_unread_update(self) -> bool:
         return self.coordinator.unread()
 
     def on_list_update(self, update: ListUpdate) -> None:
@@ -221,7 +221,7 @@
         """The one timer: every tick, what is due."""
         told = 0
         for now, late in ticks(TICK, over, self.desk.due):
-            now = self.beat(now, late)
+            now = self.on_tick(now, late)
             self.door.tick(now)
             if now - told >= TELL:
                 told = now
