--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -209,7 +209,8 @@
             extra = "peers {\n" + "\n".join(lines) + "\n}" if kind == "on" else ""
             with Live(4, work_ms=1, extra=extra) as live:
                 if kind == "on":
-                    until(lambda it=live.front: it.together and it.together.carrier.status()["holds"], 10)
+                    until(lambda it=live.front: it.replicated_services
+                          and it.replicated_services.carrier.status()["holds"], 10)
                 done = [0]
 
                 def loop(it=live, done=done) -> None:
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -297,8 +297,9 @@
             it = Live(1, extra=f"peers {{\n folder {folder}\n voter front-0 127.0.0.1:{free_port()}\n}}")
             disk = it.front.disk = Faulty()
             with it, closing(it.client()) as client:
-                until(lambda: it.front.together and it.front.together.carrier.status()["holds"], 10)
-                batching = it.front.together.batching
+                until(lambda: it.front.replicated_services
+                      and it.front.replicated_services.carrier.status()["holds"], 10)
+                batching = it.front.replicated_services.batch_service
                 answer = client.ask("POST", "/v1/functions/check-a/calls", {
                     "Prefer": "respond-async", "Batch": "eve"}, b'{"mark":"m","work_ms":300}')
                 ivk = answer.headers["activation"]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,7 +18,7 @@
 from tests.live import Live, until
 from threadshift.conf.values import Address
 from threadshift.gateway.demo import Demo
-from threadshift.gateway.restarts import FIRST, MOST, STEADY, Restarts
+from threadshift.gateway.restart_backoff import FIRST, MOST, STEADY, RestartBackoff
 from threadshift.interface import MS, SECOND, State
 from threadshift.invoke.client import Client, NoAnswer
 from threadshift.standins.common import Record
@@ -205,7 +205,7 @@
             self.assertEqual(states, [State.DRAINING])
 
     def test_pauses_of_restarts(self):
-        it, now = Restarts(), 100 * SECOND
+        it, now = RestartBackoff(), 100 * SECOND
         pauses = []
         for _ in range(12):
             it.start(now)
--- a/threadshift/emulator/batches.py
+++ b/threadshift/emulator/batches.py
@@ -29,7 +29,7 @@
 
 
 class Front:
-    """What gateway/batching.py does, without its sockets; the order of what is kept and done is the same."""
+    """What gateway/batch_service.py does, without its sockets; the order of what is kept and done is the same."""
 
     def __init__(self, world: Batches, node: Node):
         self.world, self.node, self.began = world, node, node.clock(world.now)
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -219,7 +219,7 @@
 
     def answered(self, held: Held) -> None:
         if self.hall is not None:
-            self.hall.recent.note(self.clock.now, held)
+            self.hall.recent.record(self.clock.now, held)
         self.tell(held)
         if self.closing:
             self.clock.after(0, self.end_if_done)
--- a/threadshift/emulator/router.py
+++ b/threadshift/emulator/router.py
@@ -18,7 +18,7 @@
 from threadshift.emulator.clock import Clock
 from threadshift.emulator.front import ModelFront
 from threadshift.gateway.fitness import fitness
-from threadshift.gateway.recent import Arrivals, Recent
+from threadshift.gateway.recent_calls import ConnectionRate, RecentCalls
 from threadshift.gateway.service_announcer import CHECK_INTERVAL
 from threadshift.interface import SECOND
 from threadshift.standins.router import Router
@@ -36,8 +36,8 @@
         self.hop = ipaddress.ip_address(f"127.{1 + n // 65025}.{n // 255 % 255}.{n % 255 + 1}")
         self.announcer = Announcer(FIRST_AS + n, [self.hop], [ServiceAddress(PREFIX)], self.drain, front.chance,
                                    clock.now)
-        self.recent = Recent({each.name: each.utility for each in front.day.told.deployment.types})
-        self.arrivals = Arrivals()
+        self.recent = RecentCalls({each.name: each.utility for each in front.day.told.deployment.types})
+        self.arrivals = ConnectionRate()
         self.told: Path | None = None
         self.tick()
 
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -234,7 +234,7 @@
             self.again(it, number, note, True)
             return
         if front.hall is not None:
-            front.hall.arrivals.note(self.clock.now)
+            front.hall.arrivals.record(self.clock.now)
         # The mark and the true work travel as the call's own mark: the models read them, the decisions do not.
         known = self.day.told.function(it.function)
         call = Call(it.type.name, it.function, it.left, b"", it.tenant, f"{mark} {it.work}", it.hint,
--- a/threadshift/gateway/admin.py
+++ b/threadshift/gateway/admin.py
@@ -15,7 +15,7 @@
     """The front end that takes the orders."""
 
     service_announcer: Any
-    together: Any
+    replicated_services: Any
 
     def status(self) -> dict[str, Any]: ...
     def note(self, event: str, **fields: Any) -> None: ...
@@ -58,13 +58,13 @@
 
     def in_common(self, exchange: Exchange) -> object:
         """Orders that go to the record: GET to look, POST with JSON to change."""
-        if self.front.together is None:
+        if self.front.replicated_services is None:
             raise Problem(409, "no-peers", "this front end holds nothing in common: no 'peers' block")
         try:
             told = json.loads(exchange.body) if exchange.body else {}
             if not isinstance(told, dict):
                 raise ValueError("a JSON object is wanted")
-            return self.front.together.order(exchange.method, exchange.path, told)
+            return self.front.replicated_services.order(exchange.method, exchange.path, told)
         except Cause as it:
             raise Problem(409, type(it).__name__, f"{it}; {it.help}") from None
         except (ValueError, KeyError, TypeError) as it:
--- a/threadshift/gateway/batching.py
+++ b/threadshift/gateway/batch_service.py
@@ -49,7 +49,7 @@
 
 
 class Front(Protocol):
-    """What of a front end is used here and in together.py."""
+    """What of a front end is used here and in replicated_services.py."""
 
     name: str
     told: Installation
@@ -63,7 +63,7 @@
     def note(self, event: str, **fields: Any) -> None: ...
 
 
-class Batching:
+class BatchService:
     def __init__(self, front: Front, carrier: Carrier, cancels: Cancels, folder: Path, undo: int,
                  disk: Any = None):
         """Raises what opening the shelf raises."""
--- a/threadshift/gateway/evicting.py
+++ b/threadshift/gateway/eviction_service.py
@@ -30,7 +30,7 @@
     def note(self, event: str, **fields: Any) -> None: ...
 
 
-class Evicting:
+class EvictionService:
     def __init__(self, front: Links, carrier: Carrier, forces: Forces):
         self.front, self.carrier, self.forces = front, carrier, forces
         self.evictor = Evictor(front.name)
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -27,7 +27,7 @@
 from threadshift.errors import Cause
 from threadshift.gateway.admin import Admin
 from threadshift.gateway.base_front_end import BaseFrontEnd
-from threadshift.gateway.recent import Arrivals, Recent
+from threadshift.gateway.recent_calls import ConnectionRate, RecentCalls
 from threadshift.gateway.service_announcer import ServiceAnnouncer
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.admission import Admission
@@ -83,26 +83,26 @@
         self.greenlets = Group()
         self.feed: Feed | None = None       # where the list of workers comes over the network
         self.ending = False
-        self.recent = Recent({each.name: each.utility for each in told.deployment.types})
+        self.recent = RecentCalls({each.name: each.utility for each in told.deployment.types})
         self.api.recent = self.recent
-        self.arrivals = Arrivals()
+        self.arrivals = ConnectionRate()
         self.service_announcer = ServiceAnnouncer(self) if told.announcing else None
-        self.together: Any = None        # what it holds in common with others, once that could be opened
+        self.replicated_services: Any = None        # what it holds in common with others, once that could be opened
         self.disk, self.version, self.ready = disk, version, ready
         self.started = now
 
     def join_in(self) -> None:
         """Opens what is held in common with others. Until that is possible this front end serves without: the one
         that it replaces may still hold the files, or they are not to be read."""
-        from threadshift.gateway.together import Together     # only where peers are configured
+        from threadshift.gateway.replicated_services import ReplicatedServices     # only where peers are configured
         said, peering = "", self.told.peering
-        while self.together is None and peering is not None and not self.ending:
+        while self.replicated_services is None and peering is not None and not self.ending:
             try:
-                it = Together(self, peering, self.version, self.disk)
+                it = ReplicatedServices(self, peering, self.version, self.disk)
                 it.start()
-                self.together = it
+                self.replicated_services = it
                 for link in self.links.values():
-                    link.speaks = it.evicting
+                    link.speaks = it.eviction_service
                 self.note("joined-in", version=self.version)
                 return
             except Cause as problem:
@@ -157,7 +157,7 @@
 
     def link(self, it: Entry) -> Link:
         return Link(it.worker, it.address, self.told.bounds, self.name, self.told.deployment.zone, self, self.chance,
-                    self.together.evicting if self.together is not None else None)
+                    self.replicated_services.eviction_service if self.replicated_services is not None else None)
 
     def note(self, event: str, **fields: Any) -> None:
         if event in ("roster-lost", "roster-unreadable"):
@@ -208,7 +208,7 @@
 
     def accept(self, sock: socket.socket) -> None:
         for client in arriving(sock, self.note):
-            self.arrivals.note(time.monotonic_ns())
+            self.arrivals.record(time.monotonic_ns())
             if len(self.connections) >= self.told.bounds.connections:
                 # Who holds connections and asks nothing makes room for who asks.
                 self.watch.make_room(time.monotonic_ns())
@@ -249,8 +249,8 @@
             now = self.on_tick(now, late)
             self.watch.tick(now)
             self.api.tick(now)
-            if self.together is not None:
-                self.together.tick(now)
+            if self.replicated_services is not None:
+                self.replicated_services.tick(now)
             if self.service_announcer is not None:
                 self.service_announcer.tick(now)
 
@@ -264,14 +264,14 @@
         self.api.closing = True
         for sock in self.listeners:
             sock.close()
-        if self.together is not None:
-            self.together.leave()
+        if self.replicated_services is not None:
+            self.replicated_services.leave()
         until = time.monotonic_ns() + self.told.bounds.drain
         self.keep_time(lambda: not self.desk.owed or time.monotonic_ns() >= until)
         gevent.sleep(2 * self.told.deployment.tick / SECOND)     # the last answers leave their connections
-        if self.together is not None:
-            gevent.sleep(self.together.leaving / SECOND)
-            self.together.stop()
+        if self.replicated_services is not None:
+            gevent.sleep(self.replicated_services.leaving / SECOND)
+            self.replicated_services.stop()
         if self.service_announcer is not None:
             self.service_announcer.speaker.stop("drained")
         for link in self.links.values():
@@ -314,7 +314,7 @@
             "deferred": {"pending": self.deferrals.waiting.all, "bytes": self.deferrals.kept.all,
                          "dropped": self.deferrals.dropped},
             "announcements": self.service_announcer.status(now) if self.service_announcer is not None else None,
-            "together": self.together.status() if self.together is not None else None,
+            "together": self.replicated_services.status() if self.replicated_services is not None else None,
             "roster": {"kind": self.told.roster_kind,
                        "age-s": (round((now - self.list_applied_at) / SECOND, 3) if self.list_applied_at
                                  else None)},
--- a/threadshift/gateway/recent.py
+++ b/threadshift/gateway/recent_calls.py
@@ -12,14 +12,14 @@
 NEVER_CAME = (Outcome.UNREACHABLE, Outcome.MOOT)
 
 
-class Arrivals:
+class ConnectionRate:
     """New connections at the listeners."""
 
     def __init__(self) -> None:
         self.times: deque[int] = deque(maxlen=MOST_ARRIVALS)
         self.last = 0
 
-    def note(self, now: int) -> None:
+    def record(self, now: int) -> None:
         self.times.append(now)
         self.last = now
 
@@ -28,14 +28,14 @@
         return float(sum(at > now - SECOND for at in self.times))
 
 
-class Recent:
+class RecentCalls:
     """Counts final answers as they are given."""
 
     def __init__(self, utilities: dict[str, float]):
         self.utilities = utilities
         self.buckets: deque[tuple[int, dict[str, list[float]]]] = deque()
 
-    def note(self, now: int, held: Held) -> None:
+    def record(self, now: int, held: Held) -> None:
         """One activation that ended: answered, or left by its client before its target latency was up."""
         late = now - held.taken > held.act.kind.target
         if held.gone and not late:
--- a/threadshift/gateway/together.py
+++ b/threadshift/gateway/replicated_services.py
@@ -12,9 +12,9 @@
 from threadshift.consensus.book import Machine
 from threadshift.consensus.member import Told
 from threadshift.eviction.force import Forces
-from threadshift.gateway.batching import Batching, Front
-from threadshift.gateway.evicting import Evicting
-from threadshift.gateway.rolling import Rolling
+from threadshift.gateway.batch_service import BatchService, Front
+from threadshift.gateway.eviction_service import EvictionService
+from threadshift.gateway.rollout_service import RolloutService
 from threadshift.interface import SECOND
 from threadshift.peers.carrier import Carrier, NotHeard, now
 from threadshift.rollout.plan import Rollouts
@@ -24,7 +24,7 @@
 LEAVE = 2                  # beats that a handing over of the right is given
 
 
-class Together:
+class ReplicatedServices:
     """Made with the front end, started with its listeners, ended last."""
 
     def __init__(self, front: Front, told: Peering, version: str = "", disk: Any = None):
@@ -34,19 +34,20 @@
         self.cancels, self.forces, self.rollouts = Cancels(), Forces(), Rollouts()
         machines: dict[str, Machine] = {"batches": self.cancels, "eviction": self.forces, "rollouts": self.rollouts}
         self.carrier = Carrier(told, front.name, machines, self, front.chance, disk)
-        self.evicting = Evicting(front, self.carrier, self.forces)
-        self.carrier.answers["policies"] = self.evicting.policies
-        front.deferrals.order = self.evicting.evictor.order
-        self.rolling = Rolling(front, told, self.carrier, self.rollouts, self.evicting, version, front.api.recent)
-        self.carrier.answers["report"] = self.rolling.report
-        self.carrier.duties.append(self.rolling.duties)
-        self.carrier.began.append(self.rolling.conductor.new_holder)
+        self.eviction_service = EvictionService(front, self.carrier, self.forces)
+        self.carrier.answers["policies"] = self.eviction_service.policies
+        front.deferrals.order = self.eviction_service.evictor.order
+        self.rollout_service = RolloutService(front, told, self.carrier, self.rollouts, self.eviction_service,
+                                             version, front.api.recent)
+        self.carrier.answers["report"] = self.rollout_service.report
+        self.carrier.duties.append(self.rollout_service.duties)
+        self.carrier.began.append(self.rollout_service.conductor.new_holder)
         try:
-            self.batching = Batching(front, self.carrier, self.cancels, told.folder, told.undo, disk)
+            self.batch_service = BatchService(front, self.carrier, self.cancels, told.folder, told.undo, disk)
         except BaseException:
             self.carrier.stop()
             raise
-        self.carrier.answers["batch"] = self.batching.counts
+        self.carrier.answers["batch"] = self.batch_service.counts
         self.carrier.duties.append(self.cancels.due)
         self.carrier.began.append(self.cancels.new_holder)
 
@@ -57,12 +58,12 @@
         except OSError:
             self.stop()
             raise
-        self.batching.start()
-        self.front.api.batching, self.front.api.recent = self.batching, self.rolling
+        self.batch_service.start()
+        self.front.api.batch_service, self.front.api.recent = self.batch_service, self.rollout_service
 
     def tick(self, at: int) -> None:
-        self.batching.tick(at)
-        self.evicting.tick(at)
+        self.batch_service.tick(at)
+        self.eviction_service.tick(at)
         if at - self.told_forms >= FORMS and self.carrier.member.age(now()) is not None:
             self.told_forms = at
             if self.carrier.book.reads.get(self.front.name) != self.carrier.book.forms:
@@ -76,36 +77,36 @@
     def told(self, told: Told, changed: bool) -> None:
         """An entry was applied, or all of them at once."""
         if told.state is not None:
-            self.batching.told(list(self.cancels.all.values()))
-            self.evicting.told(self.forces.now)
-            self.rolling.told()
+            self.batch_service.told(list(self.cancels.all.values()))
+            self.eviction_service.told(self.forces.now)
+            self.rollout_service.told()
         elif changed and str(told.entry.body.get("do")).startswith("rollout."):
-            self.rolling.told()
+            self.rollout_service.told()
         elif changed and str(told.entry.body.get("do")).startswith("evict."):
-            self.evicting.told(self.forces.now)
-            self.rolling.told()
+            self.eviction_service.told(self.forces.now)
+            self.rollout_service.told()
         elif changed and str(told.entry.body.get("do")).startswith("rollout."):
-            self.rolling.told()
+            self.rollout_service.told()
         elif changed and str(told.entry.body.get("do")).startswith("batch."):
             body = told.entry.body
             id_ = body.get("cancel") or body["id"]
-            self.batching.told([self.cancels.all[id_]] if id_ in self.cancels.all else [])
+            self.batch_service.told([self.cancels.all[id_]] if id_ in self.cancels.all else [])
 
     def order(self, method: str, path: str, told: dict[str, Any]) -> dict[str, Any]:
         """An operator's order. May take some seconds; raises errors.Problem, ValueError, KeyError."""
         words = path.strip("/").split("/")[1:]
         if words == ["eviction"] and method == "GET":
-            return self.evicting.show()
+            return self.eviction_service.show()
         if words == ["eviction"] and method == "POST":
-            return self.evicting.set(str(told["policy"]), {str(name): int(value) for name, value in
+            return self.eviction_service.set(str(told["policy"]), {str(name): int(value) for name, value in
                                                            told.get("parameters", {}).items()},
                                      str(told.get("why", ""))[:1000], bool(told.get("silent-too")))
         if words[:1] == ["rollouts"] and method == "GET":
-            return self.rolling.show("".join(words[1:2]))
+            return self.rollout_service.show("".join(words[1:2]))
         if words == ["rollouts"] and method == "POST":
-            return self.rolling.start(told, str(told.get("who", "an operator"))[:200])
+            return self.rollout_service.start(told, str(told.get("who", "an operator"))[:200])
         if words[:1] == ["rollouts"] and method == "POST" and words[-1] in ("pause", "resume", "abort"):
-            return self.rolling.move(words[-1], "".join(words[1:-1]), str(told.get("why", ""))[:1000])
+            return self.rollout_service.move(words[-1], "".join(words[1:-1]), str(told.get("why", ""))[:1000])
         raise ValueError(f"no {method} {path[:100]}")
 
     def note(self, event: str, **fields: Any) -> None:
@@ -120,12 +121,13 @@
         self.carrier.leave()
 
     def stop(self) -> None:
-        self.batching.stop()
+        self.batch_service.stop()
         self.carrier.stop()
 
     def status(self) -> dict[str, Any]:
         force = self.forces.now
-        return {"record": self.carrier.status(), "batches": self.batching.status(), "at": now(),
-                "eviction": {"epoch": force.epoch, "policy": force.policy, "own": self.evicting.evictor.force.epoch,
-                             "lacks": self.evicting.evictor.lacks, "workers": self.evicting.epochs},
-                "version": self.rolling.version}
+        return {"record": self.carrier.status(), "batches": self.batch_service.status(), "at": now(),
+                "eviction": {"epoch": force.epoch, "policy": force.policy,
+                             "own": self.eviction_service.evictor.force.epoch,
+                             "lacks": self.eviction_service.evictor.lacks, "workers": self.eviction_service.epochs},
+                "version": self.rollout_service.version}
--- a/threadshift/gateway/restarts.py
+++ b/threadshift/gateway/restart_backoff.py
@@ -12,7 +12,7 @@
 STEADY = 20 * SECOND       # ns; longer than any start, and than a call that kills its front end may be retried
 
 
-class Restarts:
+class RestartBackoff:
     """The pauses of one front end."""
 
     def __init__(self) -> None:
--- a/threadshift/gateway/rolling.py
+++ b/threadshift/gateway/rollout_service.py
@@ -21,9 +21,9 @@
 from threadshift.conf.reading import Mistake, load
 from threadshift.desk.desk import Final, Held
 from threadshift.errors import Cause
-from threadshift.gateway.batching import Front
-from threadshift.gateway.evicting import Evicting
-from threadshift.gateway.versions import Versions
+from threadshift.gateway.batch_service import Front
+from threadshift.gateway.eviction_service import EvictionService
+from threadshift.gateway.version_files import VersionFiles
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.api import Counts
 from threadshift.peers.carrier import Carrier, now
@@ -48,12 +48,12 @@
     help = "see docs/operate/rollout.md for what a change may hold"
 
 
-class Rolling:
-    def __init__(self, front: Front, told: Peering, carrier: Carrier, rollouts: Rollouts, evicting: Evicting,
-                 version: str, counts: Counts):
+class RolloutService:
+    def __init__(self, front: Front, told: Peering, carrier: Carrier, rollouts: Rollouts,
+                 eviction_service: EvictionService, version: str, counts: Counts):
         self.front, self.told_peers, self.carrier, self.rollouts = front, told, carrier, rollouts
-        self.evicting, self.version, self.counts = evicting, version, counts
-        self.versions = Versions(told.folder, front.name)
+        self.eviction_service, self.version, self.counts = eviction_service, version, counts
+        self.versions = VersionFiles(told.folder, front.name)
         self.conductor = Conductor(rollouts, told.peers)
         self.due: list[dict[str, Any]] = []
         self.sums: dict[str, list[Any]] = {}
@@ -74,8 +74,8 @@
 
     # Calls, as they end: passed on to who counted them before.
 
-    def note(self, now: int, held: Held) -> None:
-        self.counts.note(now, held)
+    def record(self, now: int, held: Held) -> None:
+        self.counts.record(now, held)
         if held.answer is None:
             return
         sums = self.sums.setdefault(held.call.type, [0, 0, 0, 0, 0, [0] * BUCKETS])
@@ -218,7 +218,7 @@
             what["tree"] = os.path.abspath(str(told["tree"]))
             what["digest"] = digest_of(Path(what["tree"]))
         if told.get("eviction"):
-            what["eviction"] = self.evicting.checked(str(told["eviction"]["policy"]), {
+            what["eviction"] = self.eviction_service.checked(str(told["eviction"]["policy"]), {
                 str(name): int(value) for name, value in told["eviction"].get("parameters", {}).items()})
         if not what:
             raise BadChange("it changes nothing: settings, tree or eviction are wanted")
--- a/threadshift/gateway/supervisor.py
+++ b/threadshift/gateway/supervisor.py
@@ -13,7 +13,7 @@
 from contextlib import suppress
 
 from threadshift.conf.installation import Installation
-from threadshift.gateway.restarts import Restarts
+from threadshift.gateway.restart_backoff import RestartBackoff
 from threadshift.interface import MS, SECOND
 from threadshift.log import Log
 
@@ -27,7 +27,7 @@
     """One front end: the process that serves, one that drains, and one that is to take over."""
 
     def __init__(self, told: Installation, index: int, log: Log):
-        self.told, self.index, self.log, self.restarts = told, index, log, Restarts()
+        self.told, self.index, self.log, self.restarts = told, index, log, RestartBackoff()
         self.name = told.front_end(index)
         self.process: subprocess.Popen | None = None
         self.coming: subprocess.Popen | None = None
@@ -36,9 +36,10 @@
         self.due = 0
         self.swap = None
         if told.peering is not None:
-            from threadshift.gateway.versions import Versions     # only where front ends hold anything in common
+            # Imported only where front ends hold anything in common.
+            from threadshift.gateway.version_files import VersionFiles
             from threadshift.rollout.swap import Swap, Wanted
-            self.versions = Versions(told.peering.folder, self.name)
+            self.versions = VersionFiles(told.peering.folder, self.name)
             self.installed = Wanted(conf=told.file)
             it = self.versions.wanted()
             good = it is not None and it.version != self.versions.failed() and os.path.exists(it.conf)
@@ -48,7 +49,7 @@
         command = ["front-end", conf or self.told.file, "--index", str(self.index)]
         if self.swap is None:
             return subprocess.Popen([sys.executable, "-m", "threadshift", *command], stdin=subprocess.PIPE)
-        from threadshift.gateway.rolling import environment, program
+        from threadshift.gateway.rollout_service import environment, program
         more = ["--version", version, *(["--ready-fd", str(ready)] if ready >= 0 else [])]
         return subprocess.Popen([*program(tree), *command, *more], stdin=subprocess.PIPE, env=environment(tree),
                                 pass_fds=[ready] if ready >= 0 else [])
--- a/threadshift/gateway/versions.py
+++ b/threadshift/gateway/version_files.py
@@ -10,7 +10,7 @@
 FORM = 1
 
 
-class Versions:
+class VersionFiles:
     """Of one front end."""
 
     def __init__(self, folder: Path, name: str):
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -49,7 +49,7 @@
 class Counts(Protocol):
     """Who counts activations as they end."""
 
-    def note(self, now: int, held: Held) -> None: ...
+    def record(self, now: int, held: Held) -> None: ...
 
 
 class Batches(Protocol):
@@ -82,7 +82,7 @@
         self.poll_monitor = PollMonitor()
         self.read_updates: Callable[[], None] = lambda: None    # lets news of the roster that has arrived be read
         self.desk: Desk
-        self.batching: Batches | None = None
+        self.batch_service: Batches | None = None
         self.recent: Counts
         boot = f"{time.time_ns() // MS:x}"
         serial = count(1).__next__
@@ -135,11 +135,11 @@
 
     def batches(self) -> Batches:
         """Raises Problem."""
-        if self.batching is None and self.told.peering is not None:
+        if self.batch_service is None and self.told.peering is not None:
             raise busy(503, "not-joined-in", "what is held in common cannot be opened yet")
-        if self.batching is None:
+        if self.batch_service is None:
             raise Problem(404, "no-batches", "no batches are kept here: the configuration has no 'peers' block")
-        return self.batching
+        return self.batch_service
 
     def of_batches(self, exchange: Exchange, match: re.Match[str]) -> None:
         """An order on a batch, or a question about one. Its tenant is that of the header."""
@@ -222,7 +222,7 @@
             exchange.respond(self.pending(ivk))
 
     def pending(self, ivk: str) -> Response:
-        return requests.pending(ivk, self.batching.state_of(ivk) if self.batching is not None else None)
+        return requests.pending(ivk, self.batch_service.state_of(ivk) if self.batch_service is not None else None)
 
     def gone(self, exchange: Exchange) -> None:
         """The client of an unanswered exchange is gone."""
@@ -253,19 +253,19 @@
         if answer.final is not Final.COMPLETED:
             self.refusal_counters.record(held.answered_at, f"{answer.final.value}-{answer.reason}",
                                          self.places.who(held.call.tenant))
-        self.recent.note(held.answered_at, held)
+        self.recent.record(held.answered_at, held)
         if isinstance(held.client, Deferral):
             for exchange in self.deferrals.finish(held.answered_at, held.client, answer):
                 exchange.respond(requests.final(answer, held.ivk))
-        elif self.batching is not None and self.batching.owns(held):
-            self.batching.answered(held)
+        elif self.batch_service is not None and self.batch_service.owns(held):
+            self.batch_service.answered(held)
         else:
             held.client.respond(requests.final(answer, held.ivk))
         self.tell(held, answer)
 
     def over(self, held: Held) -> None:
-        if held.gone and not (self.batching is not None and self.batching.owns(held)):
-            self.recent.note(self.desk.now, held)
+        if held.gone and not (self.batch_service is not None and self.batch_service.owns(held)):
+            self.recent.record(self.desk.now, held)
             self.tell(held, Answer(Final.ABORTED, "client-left"))
 
     def tell(self, held: Held, answer: Answer) -> None:
