--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -215,7 +215,7 @@
         it = Emulation(read_text(text, seed=1), 1)
         it.run()
         front = it.fronts["front-0"]
-        self.assertGreater(front.admission.refused, 1000)
+        self.assertGreater(front.admission.refused_count, 1000)
         calls = [line for line in it.records["clients"] if line["e"] in ("try", "answer")]
         self.assertLess(front.used, calls[-1]["t"] - calls[0]["t"])         # it was one processor
         self.assertGreater(front.used, 2.5 * SECOND)
--- a/tests/test_invoke.py
+++ b/tests/test_invoke.py
@@ -9,7 +9,7 @@
 from tests.live import Live, until
 from threadshift.desk.desk import Answer, Final
 from threadshift.interface import MS, SECOND
-from threadshift.invoke.admission import PERIOD, Admission
+from threadshift.invoke.admission import READING_INTERVAL, Admission
 from threadshift.invoke.deferred import RECORD, InMemory
 
 POST = "POST /v1/functions/f/calls HTTP/1.1\r\nHost: x\r\n"
@@ -180,17 +180,17 @@
     def setUp(self):
         self.now = 0
 
-    def run_it(self, it, lag, seconds, every=PERIOD):
+    def run_it(self, it, lag, seconds, every=READING_INTERVAL):
         """Readings of one lag for so long; a loop that lags reads as seldom as it comes round."""
         until = self.now + int(seconds * SECOND)
         while self.now < until:
             self.now += max(every, lag)
-            it.measured(self.now, lag)
+            it.record_lag(self.now, lag)
         return it
 
     def test_one_stall_refuses_nobody_and_lasting_lag_refuses_most(self):
         it = self.run_it(Admission(600 * MS), 0, 0.1)
-        it.measured(self.now + SECOND, SECOND)
+        it.record_lag(self.now + SECOND, SECOND)
         self.assertLess(sum(not it.admit(False) for _ in range(100)), 50)
         it = self.run_it(Admission(600 * MS), 300 * MS, 3)
         admitted = sum(it.admit(False) for _ in range(1000))
@@ -214,7 +214,7 @@
             taken = sum(it.admit(False) for _ in range(900))
             lag = (taken * 300 + (900 - taken) * 80) * 1000
             self.now += lag
-            it.measured(self.now, lag)
+            it.record_lag(self.now, lag)
             parts.append(taken / 900)
         self.assertTrue(0.1 < min(parts[300:]) and max(parts[300:]) < 0.5, (min(parts[300:]), max(parts[300:])))
 
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -63,7 +63,7 @@
         # Through the file's own form: what JSON makes of it is what is read.
         it = understand(json.loads(json.dumps(told)), {}, "drawn")
         types = it.deployment.types
-        Admission(min(each.target_latency for each in types)).measured(SECOND, MS)
+        Admission(min(each.target_latency for each in types)).record_lag(SECOND, MS)
         Descriptors(it.sockets).clients(40)
         leaving = Leaving(max(each.action_timeout for each in types))
         fleet, now, calls = Fleet(), SECOND, []
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -9,7 +9,7 @@
 
 from threadshift.desk.desk import Answer, Final
 from threadshift.interface import MS, SECOND, Tenant
-from threadshift.invoke.admission import MOST, PERIOD, Admission
+from threadshift.invoke.admission import MAX_REFUSED_SHARE, READING_INTERVAL, Admission
 from threadshift.invoke.deferred import InMemory
 from threadshift.invoke.refusal_counters import REPORT_INTERVAL, RefusalCounters
 from threadshift.invoke.shares import LEAST, NOBODY, Places, parts, weights
@@ -25,8 +25,8 @@
         """The part refused of each tenant's calls, asked a second, by a front end that serves 1000 a second."""
         it, now, counts = Admission(600 * MS, WEIGHT), 0, {name: [0, 0] for name in asked}
         waiting = 0.0
-        for step in range(int(seconds * SECOND / PERIOD)):
-            now += PERIOD
+        for step in range(int(seconds * SECOND / READING_INTERVAL)):
+            now += READING_INTERVAL
             for name, rate in asked.items():
                 for _ in range(int((step + 1) * rate / 100) - int(step * rate / 100)):
                     let_in = it.admit(False, name)
@@ -34,8 +34,8 @@
                     if step >= 300:
                         counts[name][let_in] += 1
             waiting = max(0.0, waiting - 10)
-            it.measured(now, int(waiting * MS))
-        return {name: no / (no + yes) for name, (no, yes) in counts.items()}, it.part
+            it.record_lag(now, int(waiting * MS))
+        return {name: no / (no + yes) for name, (no, yes) in counts.items()}, it.refused_share
 
     def test_one_that_floods_is_refused_and_the_others_are_not(self):
         """Before: every call alike, so that who asked for its due lost as large a part as the flooder."""
@@ -66,7 +66,7 @@
         self.assertAlmostEqual(sum(WEIGHT.values()) / 4, 1)
         self.assertAlmostEqual(WEIGHT["a"] / WEIGHT[NOBODY], 5)
         self.assertGreaterEqual(weights([Tenant("a", 1.0, 9.0)])[NOBODY], LEAST)
-        self.assertLess(MOST, 1)
+        self.assertLess(MAX_REFUSED_SHARE, 1)
 
 
 class Held(unittest.TestCase):
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -21,7 +21,7 @@
 from threadshift.emulator.network import Network
 from threadshift.emulator.worker import Job, ModelWorker
 from threadshift.interface import Copy, Deployment, Outcome, Report, State
-from threadshift.invoke.admission import PERIOD, Admission
+from threadshift.invoke.admission import READING_INTERVAL, Admission
 from threadshift.invoke.shares import weights
 from threadshift.links.redial import Redial
 from threadshift.roster.membership import Entry, Membership
@@ -119,8 +119,8 @@
     # Clients and roster.
 
     def take(self, call: Call, client: Any) -> None:
-        if self.clock.now - self.admission.read >= PERIOD:
-            self.admission.measured(self.clock.now, self.lag)
+        if self.clock.now - self.admission.last_reading_at >= READING_INTERVAL:
+            self.admission.record_lag(self.clock.now, self.lag)
         if call.left <= self.held_up or self.closing or not self.admission.admit(call.again, call.tenant):
             self.busy_until -= CALL - REFUSED
             self.used -= CALL - REFUSED
--- a/threadshift/emulator/router.py
+++ b/threadshift/emulator/router.py
@@ -62,10 +62,10 @@
         """As gateway/service_announcer.py gathers them; connections to workers stand unless a dial just failed."""
         front = self.front
         return Signs(
-            listening=not front.closing, lag=int(front.admission.lag),
+            listening=not front.closing, lag=int(front.admission.smoothed_lag),
             **fitness(front.desk.dispatcher, front.linked, now)._asdict(),
-            asked_per_s=self.recent.per_second(now), refused=front.admission.part, service=self.recent.service(now),
-            drain=self.drain.standing)
+            asked_per_s=self.recent.per_second(now), refused=front.admission.refused_share,
+            service=self.recent.service(now), drain=self.drain.standing)
 
     def say(self, standing: Standing | None) -> None:
         """The operator's word."""
--- a/threadshift/gateway/base_front_end.py
+++ b/threadshift/gateway/base_front_end.py
@@ -14,7 +14,7 @@
 from threadshift.conf.values import Address
 from threadshift.desk.desk import Asked, Desk, Held
 from threadshift.interface import MS, SECOND, Listing, Outcome, State
-from threadshift.invoke.admission import PERIOD, Admission
+from threadshift.invoke.admission import READING_INTERVAL, Admission
 from threadshift.invoke.poll_monitor import CATCH_UP_TIME, STALL_THRESHOLD, PollMonitor
 from threadshift.log import Log
 from threadshift.roster.membership import Entry, Membership, WorkerList
@@ -128,9 +128,9 @@
         if due and self.has_unread_update():
             self.read_updates()
             now = time.monotonic_ns()
-        if now - self.lag_read_at >= PERIOD:
+        if now - self.lag_read_at >= READING_INTERVAL:
             self.lag_read_at = now
-            self.admission.measured(now, late)
+            self.admission.record_lag(now, late)
         if due:
             self.desk.tick(now)
         self.change(self.membership.tick(now))
--- a/threadshift/gateway/service_announcer.py
+++ b/threadshift/gateway/service_announcer.py
@@ -85,9 +85,9 @@
         front = self.front
         fleet = fitness(front.desk.dispatcher, lambda name: name in front.links and front.links[name].up, now)
         return Signs(
-            listening=all(sock.fileno() >= 0 for sock in front.listeners), lag=int(front.admission.lag),
+            listening=all(sock.fileno() >= 0 for sock in front.listeners), lag=int(front.admission.smoothed_lag),
             roster_age=now - front.list_applied_at if front.roster_lost else 0, **fleet._asdict(),
-            asked_per_s=front.recent.per_second(now), refused=front.admission.part,
+            asked_per_s=front.recent.per_second(now), refused=front.admission.refused_share,
             service=front.recent.service(now), drain=self.drain.standing)
 
     def wanted(self, them: Them) -> dict[Prefix, Path]:
--- a/threadshift/invoke/admission.py
+++ b/threadshift/invoke/admission.py
@@ -1,17 +1,19 @@
-"""Who is let in when the front end's own processor is at its limit. Free of I/O.
+"""Admission control for a front end whose own processor is at its limit. Free of I/O.
 
-The sign is the lag of the event loop: how late a timer fires. A call that was let in waits about that long before it
-is looked at, and again for its answer, so a lag of a fifth of the shortest target latency is the most that may last.
-While it is more, a growing part of new calls is refused at the door; while it is less, the part shrinks, more slowly.
-The lag must not be asked to be shorter than one round over all connections takes when each is only refused, or all
-would be: with 900 of them that is 70 ms, and a target of 25 ms let one call in twenty through.
+The signal is the lag of the event loop: how late a timer fires. A call that was admitted waits for about the lag
+before it is handled, and again for its answer, so a lag of a fifth of the shortest target latency is the most that
+may last. While the lag is longer, a growing share of new calls is refused; while it is shorter, the share shrinks,
+more slowly. The target for the lag must not be shorter than one iteration over all connections takes when every
+call is refused, or every call would be: with 900 connections that is 70 ms, and a target of 25 ms admitted one call
+in twenty.
 
 A refusal costs a third to a half of a served call, nearly all of it for reading and parsing. So a connection that was
 refused is not read for a while: otherwise twice the load that can be served would be spent on refusals alone.
 
-Clients' repetitions are refused first: their first try has had its turn. Refusals are spread evenly by carrying the
-fraction over from call to call, so no chance is needed. Where tenants are configured, who asks for more than its due
-is refused first (shares.py): one that floods the door would otherwise have everybody refused alike.
+Retries by clients are refused first, as their first attempt has had its turn. Refusals are spread evenly by carrying
+the fraction over from call to call, so that no randomness is needed. Where tenants are configured, a tenant that asks
+for more than its share is refused first (shares.py): otherwise one that floods the front end would cause refusals for
+all tenants alike.
 """
 from __future__ import annotations
 
@@ -20,51 +22,61 @@
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.shares import NOBODY, known, parts
 
-PERIOD = 10 * MS           # ns between two readings of the lag, where it is short
-PART = 0.2                 # of the shortest target latency, that the lag may take
-GROW, SHRINK = 1.0, 0.25   # of all calls, a second, at twice the lag wanted and at none; slow back, or it swings
-LONGEST = 250 * MS         # of the time between two readings that counts: a lone standstill is one sign, not many
-WORST = 2.0                # times over the lag wanted that count; a stall is one reading, however long it was
-MOST = 0.95                # some calls are always let in, or nothing would show that the load has gone
-PAUSE = 500 * MS           # half of the time to come back that a refusal names; who heeds it does not notice
-SMOOTH = 0.3               # weight of the newest reading: one stall alone should refuse nobody
-REMEMBERED = SECOND        # ns over which what each tenant asked for fades: a flood is known in a part of that
+READING_INTERVAL = 10 * MS           # between two readings of the lag while it is short
+TARGET_LAG_SHARE = 0.2               # of the shortest target latency
+# Change of the refused share, of all calls, per second: at twice the target lag and at no lag. Recovery is slower, as
+# the share would oscillate otherwise.
+GROWTH_PER_SECOND = 1.0
+RECOVERY_PER_SECOND = 0.25
+MAX_READING_GAP = 250 * MS           # longest time between readings that counts: a single stall is only one signal
+MAX_LAG_EXCESS = 2.0                 # in target lags; a stall is one reading, however long it was
+MAX_REFUSED_SHARE = 0.95             # some calls are always admitted, or the end of the overload would go unnoticed
+READ_PAUSE = 500 * MS                # half of the retry time that a refusal names: clients that obey it don't notice
+SMOOTHING = 0.3                      # weight of the newest reading; one stall alone should not cause refusals
+DEMAND_WINDOW = SECOND               # time constant of each tenant's demand; a flood shows in a fraction of it
 
 
 class Admission:
-    """The part of calls refused now, and which."""
+    """Decides which calls are refused, and how large a share."""
 
-    def __init__(self, target: int, weight: Mapping[str, float] | None = None) -> None:
-        self.wanted = PART * target      # ns
-        self.weight = weight or {NOBODY: 1.0}
-        self.lag, self.part, self.refused, self.read = 0.0, 0.0, 0, 0
-        self.came, self.parts, self.carried = (dict.fromkeys(self.weight, 0.0) for _ in range(3))    # by tenant
+    def __init__(self, target_latency: int, tenant_weights: Mapping[str, float] | None = None) -> None:
+        self.target_lag = TARGET_LAG_SHARE * target_latency      # ns
+        self.tenant_weights = tenant_weights or {NOBODY: 1.0}
+        self.smoothed_lag, self.refused_share, self.refused_count, self.last_reading_at = 0.0, 0.0, 0, 0
+        # By tenant: calls lately, the share to refuse, and the fraction of a refusal carried over.
+        self.demand, self.refused_shares, self.carried = (
+            dict.fromkeys(self.tenant_weights, 0.0) for _ in range(3))
 
-    def measured(self, now: int, lag: int) -> None:
-        """One reading: how late the timer came, ns."""
-        passed, self.read = min(now - self.read if self.read else PERIOD, LONGEST) / SECOND, now
-        self.lag += SMOOTH * (max(0, lag) - self.lag)
-        over = min(WORST, self.lag / self.wanted - 1)
-        self.part = min(MOST, max(0.0, self.part + (GROW if over > 0 else SHRINK) * over * passed))
-        if self.part:
-            # Who has asked nothing lately is not refused, but for the one that stands for all.
-            self.parts = dict.fromkeys(self.weight, self.part if len(self.weight) == 1 else 0.0)
-            self.parts |= parts({name: count for name, count in self.came.items() if count}, self.weight, self.part)
-        for name in self.came:
-            self.came[name] *= 1 - passed * SECOND / REMEMBERED
+    def record_lag(self, now: int, lag: int) -> None:
+        """Records one reading of the lag, in ns, and adjusts the share of refusals."""
+        passed, self.last_reading_at = min(
+            now - self.last_reading_at if self.last_reading_at else READING_INTERVAL, MAX_READING_GAP) / SECOND, now
+        self.smoothed_lag += SMOOTHING * (max(0, lag) - self.smoothed_lag)
+        excess = min(MAX_LAG_EXCESS, self.smoothed_lag / self.target_lag - 1)
+        self.refused_share = min(MAX_REFUSED_SHARE, max(
+            0.0, self.refused_share + (GROWTH_PER_SECOND if excess > 0 else RECOVERY_PER_SECOND) * excess * passed))
+        if self.refused_share:
+            # Tenants without recent calls are not refused, unless there is only the one that counts all calls.
+            self.refused_shares = dict.fromkeys(
+                self.tenant_weights, self.refused_share if len(self.tenant_weights) == 1 else 0.0)
+            self.refused_shares |= parts({name: count for name, count in self.demand.items() if count},
+                                         self.tenant_weights, self.refused_share)
+        for name in self.demand:
+            self.demand[name] *= 1 - passed * SECOND / DEMAND_WINDOW
 
-    def pause(self, tenant: str) -> int:
-        """ns for which a connection is not read after a refusal: longer the more is refused."""
-        return int(PAUSE * min(MOST, self.parts[known(tenant, self.weight)]))
+    def read_pause(self, tenant: str) -> int:
+        """The time, in ns, for which a connection is not read after a refusal; it grows with the refused share."""
+        return int(READ_PAUSE * min(MAX_REFUSED_SHARE, self.refused_shares[known(tenant, self.tenant_weights)]))
 
-    def admit(self, again: bool, tenant: str = NOBODY) -> bool:
-        who = known(tenant, self.weight)
-        self.came[who] += 1
-        if not self.part:
+    def admit(self, is_client_retry: bool, tenant: str = NOBODY) -> bool:
+        """Whether this call is admitted; counts it."""
+        tenant = known(tenant, self.tenant_weights)
+        self.demand[tenant] += 1
+        if not self.refused_share:
             return True
-        self.carried[who] += min(MOST, (2 if again else 1) * self.parts[who])
-        if self.carried[who] < 1:
+        self.carried[tenant] += min(MAX_REFUSED_SHARE, (2 if is_client_retry else 1) * self.refused_shares[tenant])
+        if self.carried[tenant] < 1:
             return True
-        self.carried[who] -= 1
-        self.refused += 1
+        self.carried[tenant] -= 1
+        self.refused_count += 1
         return False
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -162,7 +162,7 @@
         # First, as what is refused must cost as little as can be: at the limit all else is work for nothing.
         tenant = exchange.headers.get("tenant", "")
         if not self.admission.admit(exchange.headers.get("repetition") == "?1", tenant):
-            exchange.connection.pause = self.admission.pause(tenant)
+            exchange.connection.pause = self.admission.read_pause(tenant)
             self.refusal_counters.record(time.monotonic_ns(), "overloaded", self.places.who(tenant))
             exchange.respond(next(self.overloaded))
             return
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -237,6 +237,6 @@
                 "worker_connections": self.dialled, "dialled_in_all": self.dialled_in_all,
                 "ready": len(dispatcher.fleet), "suspended": sum(it.until > now for it in workers),
                 "functions": len(dispatcher.functions), "roster_lost": self.roster_lost,
-                "lag_ms": round(self.admission.lag / MS, 1), "part": round(self.admission.part, 3),
+                "lag_ms": round(self.admission.smoothed_lag / MS, 1), "part": round(self.admission.refused_share, 3),
                 "stalls": self.stalls, "longest_stall_ms": self.longest_stall // MS,
                 "turned_away": self.door.refusal_counters.totals(), "counts": dict(self.desk.counts)}
