--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -157,7 +157,7 @@
         elif cause == "stands still":
             process.signal(signal.SIGSTOP)
         else:
-            Client(Address(victim, self.admin)).ask("POST", "/v1/bgp/withdraw", {}, b"")
+            Client(Address(victim, self.admin)).request("POST", "/v1/bgp/withdraw", {}, b"")
         self.wait(lambda: victim not in self.hops(), 15)
         changed = time.monotonic()
         gevent.sleep(CONVERGE / 1000 + 0.3)
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -98,10 +98,10 @@
                 began = time.monotonic()
                 try:
                     if kind == "status":
-                        reply = client.ask("GET", "/v1/status")
+                        reply = client.request("GET", "/v1/status")
                     else:
                         name, headers = words(kind, next(number))
-                        reply = client.ask("POST", f"/v1/functions/{name}/calls", headers, b"x" * 50)
+                        reply = client.request("POST", f"/v1/functions/{name}/calls", headers, b"x" * 50)
                     seen[reply.status] += 1
                 except NoAnswer:
                     seen["broke"] += 1
@@ -142,7 +142,7 @@
         began = time.monotonic()
         with closing(Client(self.at)) as client:
             try:
-                reply = client.ask("POST", f"/v1/functions/{name}/calls", {
+                reply = client.request("POST", f"/v1/functions/{name}/calls", {
                     "Tenant": tenant, "Time-Left": "1000", "Work-Hint": str(WORK_MS)}, b"x" * 50)
             except NoAnswer:
                 self.finals["broke"] += 1
@@ -182,7 +182,7 @@
     client, until = Client(at), time.monotonic() + 20
     while time.monotonic() < until:
         try:
-            if client.ask("GET", "/v1/status").body.count(b'"link": true') == WORKERS:
+            if client.request("GET", "/v1/status").body.count(b'"link": true') == WORKERS:
                 break
         except NoAnswer:
             gevent.sleep(0.05)
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -216,7 +216,7 @@
                 def loop(it=live, done=done) -> None:
                     client = it.client()
                     while True:
-                        done[0] += client.ask("POST", "/v1/functions/check-a/calls", {}, b"x").status == 200
+                        done[0] += client.request("POST", "/v1/functions/check-a/calls", {}, b"x").status == 200
 
                 greenlets = [gevent.spawn(loop) for _ in range(16)]
                 gevent.sleep(1)
--- a/tests/live.py
+++ b/tests/live.py
@@ -136,7 +136,7 @@
 
     def call(self, function, body=b"x", **headers):
         with closing(self.client()) as client:
-            return client.ask("POST", f"/v1/functions/{function}/calls",
+            return client.request("POST", f"/v1/functions/{function}/calls",
                               {name.replace("_", "-"): value for name, value in headers.items()}, body)
 
     def raw(self, data, close=False):
--- a/tests/several.py
+++ b/tests/several.py
@@ -177,7 +177,7 @@
         client = Client(Address("127.0.0.1", (self.admin if admin else self.port)[name]))
         try:
             with gevent.Timeout(limit, NoAnswer(f"{name}: nothing in {limit} s")):
-                answer = client.ask(method, path, headers or {}, body)
+                answer = client.request(method, path, headers or {}, body)
         finally:
             client.close()
         return answer.status, json.loads(answer.body) if answer.body[:1] == b"{" else answer.body
@@ -210,7 +210,7 @@
         ids, client = [], Client(Address("127.0.0.1", self.port[name]))
         for n in range(count):
             mark = f"{name}-{batch}-{time.monotonic_ns()}-{n}"
-            answer = client.ask("POST", f"/v1/functions/{function}/calls", {
+            answer = client.request("POST", f"/v1/functions/{function}/calls", {
                 "Prefer": "respond-async", "Batch": batch, "Time-Left": str(left)},
                 json.dumps({"mark": mark, "work_ms": work_ms}, separators=(",", ":")).encode())
             if answer.status != 202:
@@ -224,7 +224,7 @@
         """Each id's answer: a status, or None while there is none."""
         client, found = Client(Address("127.0.0.1", self.port[name])), []
         for each in ids:
-            answer = client.ask("GET", f"/v1/calls/{each}")
+            answer = client.request("GET", f"/v1/calls/{each}")
             found.append(None if answer.status == 202 else answer.status)
             self.told.append({"mark": self.marks[each], "status": answer.status, "t": time.monotonic_ns()})
         client.close()
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -300,14 +300,14 @@
                 until(lambda: it.front.replicated_services
                       and it.front.replicated_services.carrier.status()["holds"], 10)
                 batching = it.front.replicated_services.batch_service
-                answer = client.ask("POST", "/v1/functions/check-a/calls", {
+                answer = client.request("POST", "/v1/functions/check-a/calls", {
                     "Prefer": "respond-async", "Batch": "eve"}, b'{"mark":"m","work_ms":300}')
                 ivk = answer.headers["activation"]
                 until(lambda: batching.held)
                 disk.order("full")
                 until(lambda: batching.failed)
-                self.assertEqual(client.ask("GET", f"/v1/calls/{ivk}").status, 202)
-                until(lambda: client.ask("GET", f"/v1/calls/{ivk}").status == 200)
+                self.assertEqual(client.request("GET", f"/v1/calls/{ivk}").status, 202)
+                until(lambda: client.request("GET", f"/v1/calls/{ivk}").status == 200)
                 self.assertEqual(batching.shelf.calls[ivk].answer["final"], "completed")
 
 
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -77,11 +77,11 @@
     def call(self, function="f"):
         """A call by a client of the service address."""
         with closing(Client(self.router.services[0][1])) as client:
-            return client.ask("POST", f"/v1/functions/{function}/calls", {}, b"x")
+            return client.request("POST", f"/v1/functions/{function}/calls", {}, b"x")
 
     def order(self, word, body=""):
         with closing(Client(Address("127.0.0.1", self.admin))) as client:
-            return client.ask("POST", f"/v1/bgp/{word}", {}, body.encode())
+            return client.request("POST", f"/v1/bgp/{word}", {}, body.encode())
 
 
 class Announced(unittest.TestCase):
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -61,7 +61,7 @@
             until(lambda: len(live.front.connections) >= 30)
             self.assertEqual(live.call("f").status, 503)        # none has been silent for long
             with closing(Client(Address("127.0.0.1", admin))) as operator:
-                self.assertEqual(operator.ask("GET", "/v1/status").status, 200)
+                self.assertEqual(operator.request("GET", "/v1/status").status, 200)
             gevent.sleep(1.1)
             self.assertEqual([live.call("f").status for _ in range(5)], [200] * 5)
             self.assertLessEqual(len(live.front.connections), 30)
@@ -73,7 +73,7 @@
             rendered, status = [], live.front.api.status
             live.front.api.status = lambda: rendered.append(1) or status()
             for _ in range(200):
-                client.ask("GET", "/v1/status")
+                client.request("GET", "/v1/status")
             self.assertLess(len(rendered), 20)
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -28,7 +28,7 @@
 
 def ask(port, path="/v1/functions/text-upper/calls", body=b"x", method="POST", **headers):
     with closing(Client(Address("127.0.0.1", port))) as client:
-        return client.ask(method, path, {name.replace("_", "-"): value for name, value in headers.items()}, body)
+        return client.request(method, path, {name.replace("_", "-"): value for name, value in headers.items()}, body)
 
 
 def answers(port):
@@ -99,14 +99,14 @@
         with Live() as live:
             live.call("f")
             busy = live.client()
-            busy.ask("GET", "/v1/status")
+            busy.request("GET", "/v1/status")
             held = gevent.spawn(live.call, "f", b"held", work_hint="400")
             until(lambda: live.front.desk.owed)
             began = time.monotonic()
             live.front.end()
             until(lambda: live.front.api.closing)
-            late = busy.ask("POST", "/v1/functions/f/calls", {}, b"late")
-            self.assertEqual((late.status, late.headers["final"], late.keep), (503, "rejected", False))
+            late = busy.request("POST", "/v1/functions/f/calls", {}, b"late")
+            self.assertEqual((late.status, late.headers["final"], late.keep_alive), (503, "rejected", False))
             with self.assertRaises(NoAnswer):
                 live.call("f")
             live.running.join(5)
@@ -271,7 +271,7 @@
                     until(lambda live=live: "w9" in live.front.links and live.front.links["w9"].up)
                     self.assertEqual(live.call("f").status, 200, at)
                     with closing(Client(Address("", 0, f"{folder}/admin"))) as admin:
-                        told = json.loads(admin.ask("GET", "/v1/status").body)
+                        told = json.loads(admin.request("GET", "/v1/status").body)
                     self.assertTrue(told["workers"]["w9"]["link"])
 
 
--- a/tests/test_invoke.py
+++ b/tests/test_invoke.py
@@ -54,7 +54,7 @@
         for method, path, status in (("GET", "/v1/functions/f/calls", 405), ("GET", "/nothing", 404),
                                      ("GET", "/v1/calls/unknown", 404), ("DELETE", "/v1/status", 405)):
             with closing(self.live.client()) as client:
-                self.assertEqual(client.ask(method, path).status, status)
+                self.assertEqual(client.request(method, path).status, status)
 
     def test_malformed_http_gets_one_answer_and_a_close(self):
         chunked = "Transfer-Encoding: chunked\r\n"
@@ -129,23 +129,23 @@
 class Deferred(unittest.TestCase):
     def test_accepted_waited_for_and_collected(self):
         with Live() as live, closing(live.client()) as client:
-            first = client.ask("POST", "/v1/functions/submit-x/calls", {"Prefer": "respond-async"}, b"filing")
+            first = client.request("POST", "/v1/functions/submit-x/calls", {"Prefer": "respond-async"}, b"filing")
             self.assertEqual((first.status, first.headers["preference-applied"]), (202, "respond-async"))
             where = first.headers["location"]
-            self.assertEqual(client.ask("GET", where).status, 202)
-            reply = client.ask("GET", where, {"Prefer": "wait=5"})
+            self.assertEqual(client.request("GET", where).status, 202)
+            reply = client.request("GET", where, {"Prefer": "wait=5"})
             self.assertEqual((reply.status, reply.body, reply.headers["final"]), (200, b"filing", "completed"))
-            self.assertEqual(client.ask("GET", where).body, b"filing")
+            self.assertEqual(client.request("GET", where).body, b"filing")
 
     def test_a_wait_is_bounded_and_a_final_answer_comes_in_its_own_time(self):
         with Live(bounds="longest-wait 100ms") as live, closing(live.client()) as client:
             live.workers["w0"].obey(["hang", "9s"])
             live.workers["w1"].obey(["hang", "9s"])
-            where = client.ask("POST", "/v1/functions/submit-x/calls",
+            where = client.request("POST", "/v1/functions/submit-x/calls",
                                {"Prefer": "respond-async", "Time-Left": "400"}).headers["location"]
-            self.assertEqual(client.ask("GET", where, {"Prefer": "wait=60"}).status, 202)
+            self.assertEqual(client.request("GET", where, {"Prefer": "wait=60"}).status, 202)
             until(lambda: not live.front.desk.owed)
-            reply = client.ask("GET", where)
+            reply = client.request("GET", where)
             self.assertEqual((reply.status, reply.headers["final"]), (504, "aborted"))
             self.assertTrue(json.loads(reply.body)["may-have-run"])
 
@@ -153,7 +153,8 @@
         with Live(bounds="deferred 3") as live, closing(live.client()) as client:
             for worker in live.workers.values():
                 worker.obey(["hang", "9s"])
-            got = [client.ask("POST", "/v1/functions/submit-x/calls", {"Prefer": "respond-async", "Time-Left": "300"})
+            got = [client.request("POST", "/v1/functions/submit-x/calls",
+                                  {"Prefer": "respond-async", "Time-Left": "300"})
                    for _ in range(5)]
             self.assertEqual([reply.status for reply in got], [202] * 3 + [429] * 2)
             self.assertEqual(got[-1].headers["final"], "rejected")
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -184,9 +184,9 @@
         server = StreamServer(("127.0.0.1", 0), once)
         server.start()
         try:
-            client = Client(Address("127.0.0.1", server.server_port), limit=2 * SECOND)
+            client = Client(Address("127.0.0.1", server.server_port), timeout=2 * SECOND)
             for _ in range(2):
-                self.assertEqual(client.ask("GET", "/").status, 200)
+                self.assertEqual(client.request("GET", "/").status, 200)
                 self.assertTrue(closed.wait(2))
                 closed.clear()
             client.close()
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -196,7 +196,7 @@
         while True:
             n += 1
             try:
-                answer = client.ask("POST", f"/v1/functions/check-{n % 3}/calls", {}, b"x")
+                answer = client.request("POST", f"/v1/functions/check-{n % 3}/calls", {}, b"x")
                 self.answers[answer.status] = self.answers.get(answer.status, 0) + 1
                 self.good += answer.status == 200
             except NoAnswer as problem:
--- a/threadshift/cli/base.py
+++ b/threadshift/cli/base.py
@@ -54,7 +54,7 @@
     """The answer of a front end's admin listener, or of its clients'."""
     from threadshift.invoke.client import Client, NoAnswer
     try:
-        reply = Client(to).ask(method, path, headers or {}, body.encode())
+        reply = Client(to).request(method, path, headers or {}, body.encode())
         told = json.loads(reply.body)
     except (NoAnswer, ValueError) as problem:
         raise SystemExit(f"threadshift: {to}: {problem}") from None
--- a/threadshift/cli/serve.py
+++ b/threadshift/cli/serve.py
@@ -111,10 +111,10 @@
                "Prefer": "respond-async" if deferred else None}
     client = Client(to)
     try:
-        answer = client.ask("POST", f"/v1/functions/{function}/calls", headers, data)
+        answer = client.request("POST", f"/v1/functions/{function}/calls", headers, data)
         until = time.monotonic() + 60
         while answer.status == 202 and time.monotonic() < until:
-            answer = client.ask("GET", f"/v1/calls/{answer.headers['activation']}", {"Prefer": "wait=10"})
+            answer = client.request("GET", f"/v1/calls/{answer.headers['activation']}", {"Prefer": "wait=10"})
     except NoAnswer as problem:
         raise SystemExit(f"threadshift: {to}: {problem}") from None
     sys.stdout.buffer.write(answer.body + b"\n" * (not answer.body.endswith(b"\n")))
@@ -129,7 +129,7 @@
     """Shows what a front end knows of itself and its workers."""
     from threadshift.invoke.client import Client, NoAnswer
     try:
-        told = json.loads(Client(to).ask("GET", "/v1/status").body)
+        told = json.loads(Client(to).request("GET", "/v1/status").body)
     except NoAnswer as problem:
         raise SystemExit(f"threadshift: {to}: {problem}") from None
     if plain:
--- a/threadshift/days/clients.py
+++ b/threadshift/days/clients.py
@@ -96,12 +96,12 @@
 
     def call(self, client: Client, it: Try, mark: str, number: int, start: int) -> Reply:
         body = json.dumps({"mark": mark, "work_ms": round(it.work / MS, 3)}, separators=(",", ":")).encode()
-        reply = client.ask("POST", f"/v1/functions/{it.function}/calls", {
+        reply = client.request("POST", f"/v1/functions/{it.function}/calls", {
             "Time-Left": str(it.left // MS), "Work-Hint": str(it.hint // MS), "Tenant": it.tenant or None,
             "Idempotency-Key": mark if it.type.effect is Effect.DEDUPLICATED else None,
             "Repetition": "?1" if number else None, "Prefer": "respond-async" if it.deferred else None}, body)
         while reply.status == 202:
             if time.monotonic_ns() > start + it.left + OVERTIME:
                 raise NoAnswer("a deferred call without its final answer")
-            reply = client.ask("GET", f"/v1/calls/{reply.headers['activation']}", {"Prefer": f"wait={LONG_WAIT}"})
+            reply = client.request("GET", f"/v1/calls/{reply.headers['activation']}", {"Prefer": f"wait={LONG_WAIT}"})
         return reply
--- a/threadshift/days/play.py
+++ b/threadshift/days/play.py
@@ -185,7 +185,7 @@
         """An operator's word on its announcements."""
         self.record.note("says", who=who, word=word)
         with suppress(NoAnswer):                # it may be dead just then
-            Client(self.admin[who]).ask("POST", f"/v1/bgp/{word}", {}, b"")
+            Client(self.admin[who]).request("POST", f"/v1/bgp/{word}", {}, b"")
 
 
 def with_front_ends(day: Day) -> str:
--- a/threadshift/invoke/client.py
+++ b/threadshift/invoke/client.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 client for the command line, load and tests: one connection, one request at a time."""
+"""A small HTTP/1.1 client for the command line, load tools and tests: one connection, one request at a time."""
 from __future__ import annotations
 
 import select
@@ -14,22 +14,25 @@
 from threadshift.interface import SECOND
 from threadshift.links.sockets import READ, connect, shows
 
+CONNECT_TIMEOUT = 5 * SECOND
+DEFAULT_TIMEOUT = 30 * SECOND
+
 
 class NoAnswer(Cause):
-    """The connection failed, or ended before its answer did."""
+    """The connection failed, or ended before the answer was complete."""
 
     help = "see whether the gateway runs and listens at that address"
 
 
 @dataclass
 class Reply:
-    """An answer as it comes in; called by httptools."""
+    """An answer while it is received; httptools calls the on_ methods."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    over: bool = False
-    keep: bool = True
+    is_complete: bool = False
+    keep_alive: bool = True
     parser: Any = None
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -39,37 +42,38 @@
         self.body += data
 
     def on_message_complete(self) -> None:
-        self.status, self.keep = self.parser.get_status_code(), self.parser.should_keep_alive()
-        self.over = self.status >= 200
+        self.status, self.keep_alive = self.parser.get_status_code(), self.parser.should_keep_alive()
+        self.is_complete = self.status >= 200
 
 
 class Client:
-    """Keeps one connection and dials anew when it was closed between two requests."""
+    """Keeps one connection and opens a new one when it was closed between two requests."""
 
-    def __init__(self, address: Address, limit: int = 30 * SECOND):
-        self.address, self.limit = address, limit
+    def __init__(self, address: Address, timeout: int = DEFAULT_TIMEOUT):
+        self.address, self.timeout = address, timeout
         self.sock: socket.socket | None = None
 
-    def ask(self, method: str, path: str, headers: Mapping[str, str | None] | None = None,
-            body: bytes = b"", limit: int | None = None) -> Reply:
-        """Raises NoAnswer. A request is never sent twice by itself: it may have run."""
+    def request(self, method: str, path: str, headers: Mapping[str, str | None] | None = None,
+                body: bytes = b"", timeout: int | None = None) -> Reply:
+        """Sends a request and waits for its answer. Never sends it twice, as it may have run. Raises NoAnswer."""
         lines = [f"{method} {path} HTTP/1.1", f"Host: {self.address}", f"Content-Length: {len(body)}"]
         lines += [f"{name}: {value}" for name, value in (headers or {}).items() if value is not None]
         reply = Reply()
         reply.parser = httptools.HttpResponseParser(reply)
         try:
-            # Closed meanwhile, or with bytes that nobody asked for. Found by a day on which most front ends were
-            # killed at once: the next call went to a connection that had ended with its front end, and was lost.
+            # The connection was closed meanwhile, or holds bytes that no request asked for. Without this check, after
+            # most front ends were killed at once, the next call was written to a connection that had ended with its
+            # front end, and was lost.
             if self.sock is not None and shows(self.sock, select.POLLIN):
                 self.close()
             if self.sock is None:
-                self.sock = connect(self.address, 5 * SECOND)
-            self.sock.settimeout((limit or self.limit) / SECOND)
+                self.sock = connect(self.address, CONNECT_TIMEOUT)
+            self.sock.settimeout((timeout or self.timeout) / SECOND)
             self.sock.sendall("\r\n".join([*lines, "", ""]).encode("latin-1") + body)
-            while not reply.over:
+            while not reply.is_complete:
                 data = self.sock.recv(READ)
                 if not data:
-                    raise NoAnswer("closed before its answer")
+                    raise NoAnswer("the connection was closed before its answer was complete")
                 reply.parser.feed_data(data)
         except (OSError, httptools.HttpParserError) as problem:
             self.close()
@@ -77,7 +81,7 @@
         except BaseException:
             self.close()
             raise
-        if not reply.keep:
+        if not reply.keep_alive:
             self.close()
         return reply
 
--- a/threadshift/standins/rig.py
+++ b/threadshift/standins/rig.py
@@ -131,7 +131,7 @@
         client, until = Client(at), time.monotonic() + limit
         while time.monotonic() < until and self.processes[name].alive:
             try:
-                if client.ask("GET", "/v1/status").body.count(b'"link": true') == workers:
+                if client.request("GET", "/v1/status").body.count(b'"link": true') == workers:
                     client.close()
                     return True
             except NoAnswer:
