--- a/threadshift/invoke/admission.py
+++ b/threadshift/invoke/admission.py
@@ -70,13 +70,13 @@
 
     def admit(self, is_client_retry: bool, tenant: str = NOBODY) -> bool:
         """Whether this call is admitted; counts it."""
-        tenant = known(tenant, self.tenant_weights)
-        self.demand[tenant] += 1
+        key = known(tenant, self.tenant_weights)
+        self.demand[key] += 1
         if not self.refused_share:
             return True
-        self.carried[tenant] += min(MAX_REFUSED_SHARE, (2 if is_client_retry else 1) * self.refused_shares[tenant])
-        if self.carried[tenant] < 1:
+        self.carried[key] += min(MAX_REFUSED_SHARE, (2 if is_client_retry else 1) * self.refused_shares[key])
+        if self.carried[key] < 1:
             return True
-        self.carried[tenant] -= 1
+        self.carried[key] -= 1
         self.refused_count += 1
         return False
