--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,7 +18,7 @@
 from tests.live import Live, until
 from threadshift.conf.values import Address
 from threadshift.gateway.demo import Demo
-from threadshift.gateway.restarts import FIRST, MOST, STEADY, Restarts
+from threadshift.gateway.restart_backoff import FIRST, MOST, STEADY, RestartBackoff
 from threadshift.interface import MS, SECOND, WorkerState
 from threadshift.invoke.client import Client, NoAnswer
 from threadshift.standins.common import Record
@@ -28,7 +28,7 @@
 
 def ask(port, path="/v1/functions/text-upper/calls", body=b"x", method="POST", **headers):
     with closing(Client(Address("127.0.0.1", port))) as client:
-        return client.ask(method, path, {name.replace("_", "-"): value for name, value in headers.items()}, body)
+        return client.request(method, path, {name.replace("_", "-"): value for name, value in headers.items()}, body)
 
 
 def answers(port):
@@ -99,14 +99,14 @@
         with Live() as live:
             live.call("f")
             busy = live.client()
-            busy.ask("GET", "/v1/status")
+            busy.request("GET", "/v1/status")
             held = gevent.spawn(live.call, "f", b"held", work_hint="400")
             until(lambda: live.front.desk.owed)
             began = time.monotonic()
             live.front.end()
             until(lambda: live.front.api.closing)
-            late = busy.ask("POST", "/v1/functions/f/calls", {}, b"late")
-            self.assertEqual((late.status, late.headers["final"], late.keep), (503, "rejected", False))
+            late = busy.request("POST", "/v1/functions/f/calls", {}, b"late")
+            self.assertEqual((late.status, late.headers["final"], late.keep_alive), (503, "rejected", False))
             with self.assertRaises(NoAnswer):
                 live.call("f")
             live.running.join(5)
@@ -181,7 +181,8 @@
             to = []
             live.front.send = lambda worker, held, number: to.append(worker) or sent(worker, held, number)
             # The word lies unread behind the call: it is heard by the next greenlet to run.
-            live.front.api.looks.unread = lambda now: gevent.spawn(live.front.listed, [drains], False) and 200 * MS
+            live.front.api.poll_monitor.unread_time = lambda now: (
+                gevent.spawn(live.front.listed, [drains], False) and 200 * MS)
             self.assertEqual(live.call("f").status, 200)
             self.assertNotIn(home, to)
 
@@ -198,12 +199,13 @@
             live.front.desk.ended = hear
             job = gevent.spawn(live.call, "f", work_hint="100")
             until(lambda: live.front.desk.owed)
-            live.front.api.looks.unread = lambda now: gevent.spawn(live.front.listed, [drains], False) and 200 * MS
+            live.front.api.poll_monitor.unread_time = lambda now: (
+                gevent.spawn(live.front.listed, [drains], False) and 200 * MS)
             job.join()
             self.assertEqual(states, [WorkerState.DRAINING])
 
     def test_pauses_of_restarts(self):
-        it, now = Restarts(), 100 * SECOND
+        it, now = RestartBackoff(), 100 * SECOND
         pauses = []
         for _ in range(12):
             it.start(now)
@@ -269,7 +271,7 @@
                     until(lambda live=live: "w9" in live.front.links and live.front.links["w9"].up)
                     self.assertEqual(live.call("f").status, 200, at)
                     with closing(Client(Address("", 0, f"{folder}/admin"))) as admin:
-                        told = json.loads(admin.ask("GET", "/v1/status").body)
+                        told = json.loads(admin.request("GET", "/v1/status").body)
                     self.assertTrue(told["workers"]["w9"]["link"])
 
 
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -64,7 +64,7 @@
         # Through the file's own form: what JSON makes of it is what is read.
         config = parse_config(json.loads(json.dumps(told)), {}, "drawn")
         types = config.deployment.types
-        Admission(min(each.target_latency for each in types)).measured(SECOND, MS)
+        Admission(min(each.target_latency for each in types)).record_lag(SECOND, MS)
         Descriptors(config.max_sockets).client_limit(40)
         shutdown = Shutdown(max(each.action_timeout for each in types))
         fleet, now, calls = Fleet(), SECOND, []
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -9,10 +9,10 @@
 
 from threadshift.desk.desk import Answer, Final
 from threadshift.interface import MS, SECOND, Tenant
-from threadshift.invoke.admission import MOST, PERIOD, Admission
+from threadshift.invoke.admission import MAX_REFUSED_SHARE, READING_INTERVAL, Admission
 from threadshift.invoke.deferred import InMemory
+from threadshift.invoke.refusal_counters import REPORT_INTERVAL, RefusalCounters
 from threadshift.invoke.shares import LEAST, NOBODY, Places, parts, weights
-from threadshift.invoke.tally import EVERY, Tally
 from threadshift.log import Log
 from threadshift.ration import A_SECOND, KINDS, Ration
 
@@ -25,8 +25,8 @@
         """The part refused of each tenant's calls, asked a second, by a front end that serves 1000 a second."""
         it, now, counts = Admission(600 * MS, WEIGHT), 0, {name: [0, 0] for name in asked}
         waiting = 0.0
-        for step in range(int(seconds * SECOND / PERIOD)):
-            now += PERIOD
+        for step in range(int(seconds * SECOND / READING_INTERVAL)):
+            now += READING_INTERVAL
             for name, rate in asked.items():
                 for _ in range(int((step + 1) * rate / 100) - int(step * rate / 100)):
                     let_in = it.admit(False, name)
@@ -34,8 +34,8 @@
                     if step >= 300:
                         counts[name][let_in] += 1
             waiting = max(0.0, waiting - 10)
-            it.measured(now, int(waiting * MS))
-        return {name: no / (no + yes) for name, (no, yes) in counts.items()}, it.part
+            it.record_lag(now, int(waiting * MS))
+        return {name: no / (no + yes) for name, (no, yes) in counts.items()}, it.refused_share
 
     def test_one_that_floods_is_refused_and_the_others_are_not(self):
         """Before: every call alike, so that who asked for its due lost as large a part as the flooder."""
@@ -66,7 +66,7 @@
         self.assertAlmostEqual(sum(WEIGHT.values()) / 4, 1)
         self.assertAlmostEqual(WEIGHT["a"] / WEIGHT[NOBODY], 5)
         self.assertGreaterEqual(weights([Tenant("a", 1.0, 9.0)])[NOBODY], LEAST)
-        self.assertLess(MOST, 1)
+        self.assertLess(MAX_REFUSED_SHARE, 1)
 
 
 class Held(unittest.TestCase):
@@ -113,17 +113,17 @@
 
 class Told(unittest.TestCase):
     def test_refusals_are_told_when_they_begin_and_then_as_sums(self):
-        it, lines = Tally(), []
+        it, lines = RefusalCounters(), []
         for n in range(12_000):
-            it.note(n * MS, "overloaded", "b" if n % 3 else "a")
-            lines += it.tell(n * MS)
-        lines += it.tell(12 * SECOND, all_=True)
+            it.record(n * MS, "overloaded", "b" if n % 3 else "a")
+            lines += it.due_reports(n * MS)
+        lines += it.due_reports(12 * SECOND, flush=True)
         self.assertEqual([line["count"] for line in lines], [1, 5000, 5000, 1999])
         self.assertEqual(lines[1]["in_all"], 5001)
         self.assertEqual(list(lines[1]["tenants"]), ["b", "a"])
-        self.assertEqual(it.tell(99 * SECOND), [])
+        self.assertEqual(it.due_reports(99 * SECOND), [])
         self.assertEqual(it.totals(), {"overloaded": 12_000})
-        self.assertGreater(EVERY, SECOND)
+        self.assertGreater(REPORT_INTERVAL, SECOND)
 
     def test_kinds_are_rationed_apart_and_what_was_held_back_is_told(self):
         it = Ration(0)
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -21,7 +21,7 @@
 from threadshift.emulator.network import Network
 from threadshift.emulator.worker import Job, ModelWorker
 from threadshift.interface import Copy, Deployment, Outcome, Report, WorkerState
-from threadshift.invoke.admission import PERIOD, Admission
+from threadshift.invoke.admission import READING_INTERVAL, Admission
 from threadshift.invoke.shares import weights
 from threadshift.links.redial import Redial
 from threadshift.roster.membership import Entry, Membership
@@ -97,7 +97,7 @@
     def do(self, cost: int, act: Callable[..., None], words: tuple, came: int) -> None:
         self.busy_until = self.clock.now + cost
         self.used += cost
-        self.held_up = self.clock.now - came        # unread, while the client's time ran (invoke/looks.py)
+        self.held_up = self.clock.now - came    # unread, while the client's time ran (invoke/poll_monitor.py)
         act(*words)
         self.held_up = 0
 
@@ -119,8 +119,8 @@
     # Clients and roster.
 
     def take(self, call: Call, client: Any) -> None:
-        if self.clock.now - self.admission.read >= PERIOD:
-            self.admission.measured(self.clock.now, self.lag)
+        if self.clock.now - self.admission.last_reading_at >= READING_INTERVAL:
+            self.admission.record_lag(self.clock.now, self.lag)
         if call.left <= self.held_up or self.closing or not self.admission.admit(call.again, call.tenant):
             self.busy_until -= CALL - REFUSED
             self.used -= CALL - REFUSED
@@ -148,8 +148,8 @@
             self.backlog = []
 
     def go_on(self) -> None:
-        """The roster's and workers' word that came meanwhile, then answers, the timer, and calls: what the SETTLE of
-        invoke/api.py gives time for."""
+        """The roster's and workers' word that came meanwhile, then answers, the timer, and calls: what the
+        CATCH_UP_TIME of invoke/api.py gives time for."""
         if self.backlog is None:
             return                  # another process by now
         backlog, self.backlog = self.backlog, None
@@ -219,7 +219,7 @@
 
     def answered(self, held: Held) -> None:
         if self.hall is not None:
-            self.hall.recent.note(self.clock.now, held)
+            self.hall.recent.record(self.clock.now, held)
         self.tell(held)
         if self.closing:
             self.clock.after(0, self.end_if_done)
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -20,7 +20,7 @@
 from threadshift.emulator.router import ModelHall, ModelRouter
 from threadshift.emulator.store import MB, ModelStore
 from threadshift.emulator.worker import ModelWorker
-from threadshift.gateway.hall import WORDS
+from threadshift.gateway.service_announcer import OPERATOR_ORDERS
 from threadshift.interface import MS, SECOND, Effect, WorkerState
 from threadshift.roster.membership import Entry
 from threadshift.standins.worker import Machine
@@ -218,7 +218,7 @@
         """An operator's word on its announcements."""
         hall = self.fronts[who].hall
         if hall is not None:
-            hall.say(WORDS[word])
+            hall.say(OPERATOR_ORDERS[word])
 
     # Clients.
 
@@ -234,7 +234,7 @@
             self.again(it, number, note, True)
             return
         if front.hall is not None:
-            front.hall.arrivals.note(self.clock.now)
+            front.hall.arrivals.record(self.clock.now)
         # The mark and the true work travel as the call's own mark: the models read them, the decisions do not.
         known = self.day.told.function(it.function)
         call = Call(it.type.name, it.function, it.left, b"", it.tenant, f"{mark} {it.work}", it.hint,
--- a/threadshift/fastcgi/listener.py
+++ b/threadshift/fastcgi/listener.py
@@ -21,8 +21,8 @@
 from threadshift.fastcgi.requests import InvalidRequest
 from threadshift.interface import MS, SECOND, NamespaceType
 from threadshift.invoke.admission import Admission
-from threadshift.invoke.looks import STALL, Looks
-from threadshift.invoke.tally import Tally
+from threadshift.invoke.poll_monitor import STALL_THRESHOLD, PollMonitor
+from threadshift.invoke.refusal_counters import RefusalCounters
 from threadshift.links.sockets import BACKLOG, arriving, shows
 from threadshift.log import fault_of
 
@@ -51,7 +51,7 @@
         self.max_connections, self.max_activations, self.types, self.max_retry_advice = (
             max_connections, max_activations, types, max_retry_advice)
         self.admission, self.front_end, self.note, self.chance = admission, front_end, note, chance
-        self.looks, self.tally = Looks(), Tally()
+        self.poll_monitor, self.refusal_counters = PollMonitor(), RefusalCounters()
         self.connections: set[Connection] = set()
         self.greenlets = Group()
         self.postponed = PostponedRequests(self, self.greenlets.spawn)
@@ -63,7 +63,7 @@
         for client in arriving(sock, self.note):
             self.wait_for_room()
             if len(self.connections) >= self.max_connections():
-                self.tally.note(time.monotonic_ns(), CROWDED)
+                self.refusal_counters.record(time.monotonic_ns(), CROWDED)
                 self.turn_away(client)
                 continue
             self.welcome(client)
@@ -96,7 +96,7 @@
 
     def welcome(self, client: socket.socket) -> None:
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        connection = Connection(client, self, self.looks.unread(time.monotonic_ns()))
+        connection = Connection(client, self, self.poll_monitor.unread_time(time.monotonic_ns()))
         self.connections.add(connection)
         self.greenlets.spawn(self.converse, connection)
 
@@ -138,8 +138,8 @@
         asked = requests.read(told, request.body, self.types)
         request.held, request.told, request.body = True, {}, b""
         # It may have lain unread since the event loop looked last: its client's time ran all the while.
-        unread = max(unread, self.looks.unread(time.monotonic_ns()))
-        if unread < STALL and not self.front_end.list_is_stale() and not self.front_end.update_unread():
+        unread = max(unread, self.poll_monitor.unread_time(time.monotonic_ns()))
+        if unread < STALL_THRESHOLD and not self.front_end.list_is_stale() and not self.front_end.has_unread_update():
             self.let_in(request, asked, unread)
         elif len(self.postponed) + len(self.desk.held) >= self.max_activations:
             self.refuse(request, FULL, asked.ivk)
@@ -181,7 +181,7 @@
     def refuse(self, request: Request, reason: str, id_: str = "") -> None:
         """Not taken: nothing ran, so trying again is harmless."""
         now = time.monotonic_ns()
-        self.tally.note(now, reason)
+        self.refusal_counters.record(now, reason)
         if id_:
             self.note("request-refused", reason=reason, id=id_, read_ms=(now - request.began) // MS)
         request.held = True
@@ -200,7 +200,7 @@
         answer = held.answer
         assert answer is not None
         if answer.reason != "completed":
-            self.tally.note(held.answered_at, f"{answer.final.value}-{answer.reason}")
+            self.refusal_counters.record(held.answered_at, f"{answer.final.value}-{answer.reason}")
         if answer.reason != "completed" or len(held.sends) > 1:
             self.note("request-ended", reason=answer.reason, id=held.ivk, type=held.call.type,
                       answer=answer.final.value, after_ms=(held.answered_at - held.taken) // MS,
@@ -240,5 +240,5 @@
         self.tell_turned_away(time.monotonic_ns(), all_=True)
 
     def tell_turned_away(self, now: int, all_: bool = False) -> None:
-        for line in self.tally.tell(now, all_):
+        for line in self.refusal_counters.due_reports(now, all_):
             self.note("turned-away", level="warning", **line)
--- a/threadshift/fastcgi/postponed.py
+++ b/threadshift/fastcgi/postponed.py
@@ -19,9 +19,9 @@
 
 from threadshift.fastcgi.requests import ParsedRequest
 from threadshift.interface import MS, SECOND
-from threadshift.invoke.looks import SETTLE
+from threadshift.invoke.poll_monitor import CATCH_UP_TIME
 
-LONGEST_READ = 5 * SETTLE  # for a connection to be read empty; one that is flooded never is
+LONGEST_READ = 5 * CATCH_UP_TIME  # for a connection to be read empty; one that is flooded never is
 ANSWER_MARGIN = 20 * MS    # before the end of a request's time, by which it is refused: two reviews
 
 
@@ -46,7 +46,7 @@
 
     def ready(self) -> bool: ...
     def list_is_stale(self) -> bool: ...        # no coordinator has answered since the start
-    def update_unread(self) -> bool: ...        # news of workers has arrived and is not read yet
+    def has_unread_update(self) -> bool: ...    # news of workers has arrived and is not read yet
 
 
 class Owner(Protocol):
@@ -79,7 +79,7 @@
     def run(self) -> None:
         """Reviews the waiting requests until there is none."""
         while self.waiting:
-            gevent.sleep(SETTLE / SECOND)
+            gevent.sleep(CATCH_UP_TIME / SECOND)
             self.review(time.monotonic_ns())
 
     def review(self, now: int) -> None:
@@ -97,4 +97,4 @@
 
     def unread_behind(self, each: Postponed, now: int) -> bool:
         return now - each.since < LONGEST_READ and (
-            self.owner.front_end.update_unread() or self.owner.unread_on(each.request))
+            self.owner.front_end.has_unread_update() or self.owner.unread_on(each.request))
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -46,13 +46,13 @@
 
 
 class Owner(Protocol):
-    """Whose link it is. settle() is called before what answers bring, or a dial that came up, is
+    """Whose link it is. catch_up_after_stall() is called before what answers bring, or a dial that came up, is
     acted upon: it may wait a moment. make_room_for_connection() makes room for one
     more connection, by ending others only where it is wanted for something that waits; False where there is none.
     dials_ahead() tells whether connections are dialled before anything waits for them: not where workers are too many
     to have one each. Each dial is counted as a connection from its begin on."""
 
-    def settle(self) -> None: ...
+    def catch_up_after_stall(self) -> None: ...
     def make_room_for_connection(self, wanted: bool) -> bool: ...
     def dials_ahead(self) -> bool: ...
     def connection_opened(self, link: Link) -> None: ...
@@ -275,7 +275,7 @@
                 break
             except OSError as failed:
                 if self.queue:
-                    self.owner.settle()
+                    self.owner.catch_up_after_stall()
                 now = time.monotonic_ns()
                 self.dial_not_before = self.redial.broke(now)
                 if not problem:
@@ -290,7 +290,8 @@
         else:
             return
         if self.queue:
-            self.owner.settle()             # word that a client is gone, or that the worker drains, may lie unread
+            # word that a client is gone, or that the worker drains, may lie unread
+            self.owner.catch_up_after_stall()
         if self.stopped:
             sock.close()                    # while it came up; it is counted no more
             return
@@ -323,7 +324,7 @@
                 except ProtocolError as refused:
                     problem, answers = str(refused), getattr(refused, "before", [])
                 if answers:
-                    self.owner.settle()
+                    self.owner.catch_up_after_stall()
                 for answer in answers:
                     self.on_frame(connection, answer)
         except (OSError, ProtocolError) as failed:
@@ -331,9 +332,9 @@
         except Exception as fault:          # ours; loud, and what waits here is not left waiting
             self.note("fault", level="error", **fault_of(fault))
             problem = "a fault of ours"
-        connection.suspected = True         # carries nothing new while settle() waits
+        connection.suspected = True         # carries nothing new while catch_up_after_stall() waits
         if connection.in_flight:
-            self.owner.settle()
+            self.owner.catch_up_after_stall()
         self.on_connection_lost(connection, problem or ("closed inside a frame" if frames.torn else ""))
 
     def on_frame(self, connection: Connection, it: Frame) -> None:
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -26,9 +26,9 @@
 from threadshift.desk.desk import Desk
 from threadshift.errors import Cause
 from threadshift.gateway.admin import Admin
-from threadshift.gateway.fleet import Fleet
-from threadshift.gateway.hall import Hall
-from threadshift.gateway.recent import Arrivals, Recent
+from threadshift.gateway.base_front_end import BaseFrontEnd
+from threadshift.gateway.recent_calls import ConnectionRate, RecentCalls
+from threadshift.gateway.service_announcer import ServiceAnnouncer
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.admission import Admission
 from threadshift.invoke import requests
@@ -52,7 +52,7 @@
               keep=False) for pause in PAUSE_OF]
 
 
-class FrontEnd(Fleet):
+class FrontEnd(BaseFrontEnd):
     """Carries steps to links and answers to the desk; owns every greenlet of the process."""
 
     def __init__(self, told: Installation, index: int, log: Log, seed: int | None = None, disk: Any = None,
@@ -72,7 +72,7 @@
         self.watch = Watch()
         self.api = Invoke(told, self.name, f"http://{self.own}" if self.own else "", self.deferrals,
                           self.admission, log, self.status, weight)
-        self.looks, self.api.read_updates = self.api.looks, self.read_updates
+        self.poll_monitor, self.api.read_updates = self.api.poll_monitor, self.read_updates
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
         earlier.assume(dispatcher, told.deployment, now)
         self.desk = self.api.desk = Desk(dispatcher, self, self.api, bounds.load_order)
@@ -83,26 +83,26 @@
         self.greenlets = Group()
         self.feed: Feed | None = None       # where the list of workers comes over the network
         self.ending = False
-        self.recent = Recent({each.name: each.utility for each in told.deployment.types})
+        self.recent = RecentCalls({each.name: each.utility for each in told.deployment.types})
         self.api.recent = self.recent
-        self.arrivals = Arrivals()
-        self.hall = Hall(self) if told.announcing else None
-        self.together: Any = None        # what it holds in common with others, once that could be opened
+        self.arrivals = ConnectionRate()
+        self.service_announcer = ServiceAnnouncer(self) if told.announcing else None
+        self.replicated_services: Any = None        # what it holds in common with others, once that could be opened
         self.disk, self.version, self.ready = disk, version, ready
         self.started = now
 
     def join_in(self) -> None:
         """Opens what is held in common with others. Until that is possible this front end serves without: the one
         that it replaces may still hold the files, or they are not to be read."""
-        from threadshift.gateway.together import Together     # only where peers are configured
+        from threadshift.gateway.replicated_services import ReplicatedServices     # only where peers are configured
         said, peering = "", self.told.peering
-        while self.together is None and peering is not None and not self.ending:
+        while self.replicated_services is None and peering is not None and not self.ending:
             try:
-                it = Together(self, peering, self.version, self.disk)
+                it = ReplicatedServices(self, peering, self.version, self.disk)
                 it.start()
-                self.together = it
+                self.replicated_services = it
                 for link in self.links.values():
-                    link.speaks = it.evicting
+                    link.speaks = it.eviction_service
                 self.note("joined-in", version=self.version)
                 return
             except Cause as problem:
@@ -146,7 +146,7 @@
             self.draining(worker)
         return ""
 
-    def update_unread(self) -> bool:
+    def has_unread_update(self) -> bool:
         return self.feed is not None and self.feed.unread()
 
     def draining(self, worker: str) -> None:
@@ -157,7 +157,7 @@
 
     def link(self, it: Entry) -> Link:
         return Link(it.worker, it.address, self.told.bounds, self.name, self.told.deployment.zone, self, self.chance,
-                    self.together.evicting if self.together is not None else None)
+                    self.replicated_services.eviction_service if self.replicated_services is not None else None)
 
     def note(self, event: str, **fields: Any) -> None:
         if event in ("roster-lost", "roster-unreadable"):
@@ -169,7 +169,7 @@
     def run(self) -> None:
         """Serves until end() was called and what is held has its answers."""
         shared = self.told.front_ends > 1 or self.told.peering is not None
-        self.api.looks.start()
+        self.api.poll_monitor.start()
         for address in self.told.listen:
             sock = listener(address, shared)
             self.listeners.append(sock)
@@ -193,8 +193,8 @@
                 self.greenlets.spawn(self.serve_at, at, lambda sock: self.accept_admin(sock, admin))
             else:
                 self.greenlets.spawn(self.accept_admin, listener(at, shared=False), admin)
-        if self.hall is not None:
-            self.hall.start()
+        if self.service_announcer is not None:
+            self.service_announcer.start()
         if self.told.peering is not None:
             self.greenlets.spawn(self.join_in)
         self.ready()
@@ -208,13 +208,13 @@
 
     def accept(self, sock: socket.socket) -> None:
         for client in arriving(sock, self.note):
-            self.arrivals.note(time.monotonic_ns())
+            self.arrivals.record(time.monotonic_ns())
             if len(self.connections) >= self.told.bounds.connections:
                 # Who holds connections and asks nothing makes room for who asks.
                 self.watch.make_room(time.monotonic_ns())
                 gevent.sleep(ROOM_WAIT / SECOND)
             if len(self.connections) >= self.told.bounds.connections:
-                self.api.tally.note(time.monotonic_ns(), "too-many-connections")
+                self.api.refusal_counters.record(time.monotonic_ns(), "too-many-connections")
                 with suppress(OSError):
                     client.settimeout(0)
                     client.send(next(self.full))
@@ -222,7 +222,8 @@
                 continue
             if not sock.family == socket.AF_UNIX:
                 client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.connections.spawn(self.converse, client, self.api, self.api.looks.unread(time.monotonic_ns()))
+            self.connections.spawn(self.converse, client, self.api,
+                                   self.api.poll_monitor.unread_time(time.monotonic_ns()))
 
     def accept_admin(self, sock: socket.socket, admin: Admin) -> None:
         """Operators' connections: with a bound of their own, so that a flood of clients does not lock them out."""
@@ -245,42 +246,42 @@
 
         A fault in what it calls is ours, and ends the process loudly: half a front end is worse than none."""
         for now, late in ticks(self.told.deployment.tick, over):
-            now = self.beat(now, late)
+            now = self.on_tick(now, late)
             self.watch.tick(now)
             self.api.tick(now)
-            if self.together is not None:
-                self.together.tick(now)
-            if self.hall is not None:
-                self.hall.tick(now)
+            if self.replicated_services is not None:
+                self.replicated_services.tick(now)
+            if self.service_announcer is not None:
+                self.service_announcer.tick(now)
 
     def drain(self) -> None:
         """No new calls; what is held gets its answers; then the end, within the stated time."""
         self.note("draining", owed=self.desk.owed, connections=len(self.connections))
-        if self.hall is not None:
+        if self.service_announcer is not None:
             # Routes first: what still arrives by them is answered until routers have converged.
-            self.hall.leave(time.monotonic_ns())
-            self.keep_time(self.hall.left)
+            self.service_announcer.leave(time.monotonic_ns())
+            self.keep_time(self.service_announcer.left)
         self.api.closing = True
         for sock in self.listeners:
             sock.close()
-        if self.together is not None:
-            self.together.leave()
+        if self.replicated_services is not None:
+            self.replicated_services.leave()
         until = time.monotonic_ns() + self.told.bounds.drain
         self.keep_time(lambda: not self.desk.owed or time.monotonic_ns() >= until)
         gevent.sleep(2 * self.told.deployment.tick / SECOND)     # the last answers leave their connections
-        if self.together is not None:
-            gevent.sleep(self.together.leaving / SECOND)
-            self.together.stop()
-        if self.hall is not None:
-            self.hall.speaker.stop("drained")
+        if self.replicated_services is not None:
+            gevent.sleep(self.replicated_services.leaving / SECOND)
+            self.replicated_services.stop()
+        if self.service_announcer is not None:
+            self.service_announcer.speaker.stop("drained")
         for link in self.links.values():
             link.stop()
         self.connections.kill()
         self.operators.kill()
         self.greenlets.kill()
-        self.api.looks.stop()
-        self.api.tell_turned_away(time.monotonic_ns(), all_=True)
-        self.note("ended", owed=self.desk.owed, turned_away=self.api.tally.totals(),
+        self.api.poll_monitor.stop()
+        self.api.log_refusals(time.monotonic_ns(), flush=True)
+        self.note("ended", owed=self.desk.owed, turned_away=self.api.refusal_counters.totals(),
                   **{key.replace(" ", "_"): n for key, n in self.desk.counts.items()})
 
     def reload(self) -> None:
@@ -306,16 +307,17 @@
             "front-end": self.name, "pid": os.getpid(), "up-s": round((now - self.started) / SECOND, 3),
             "closing": self.api.closing, "owed": self.desk.owed, "held": len(self.desk.held),
             "connections": len(self.connections), "counts": dict(sorted(self.desk.counts.items())),
-            "refused-at-door": self.admission.refused, "refused-part": round(self.admission.part, 3),
-            "turned-away": self.api.tally.totals(),
-            "lag-ms": round(self.admission.lag / MS, 3), "stalls": self.stalls,
+            "refused-at-door": self.admission.refused_count, "refused-part": round(self.admission.refused_share, 3),
+            "turned-away": self.api.refusal_counters.totals(),
+            "lag-ms": round(self.admission.smoothed_lag / MS, 3), "stalls": self.stalls,
             "longest-stall-ms": self.longest_stall // MS,
             "deferred": {"pending": self.deferrals.waiting.all, "bytes": self.deferrals.kept.all,
                          "dropped": self.deferrals.dropped},
-            "announcements": self.hall.status(now) if self.hall is not None else None,
-            "together": self.together.status() if self.together is not None else None,
+            "announcements": self.service_announcer.status(now) if self.service_announcer is not None else None,
+            "together": self.replicated_services.status() if self.replicated_services is not None else None,
             "roster": {"kind": self.told.roster_kind,
-                       "age-s": round((now - self.roster_said) / SECOND, 3) if self.roster_said else None},
+                       "age-s": (round((now - self.list_applied_at) / SECOND, 3) if self.list_applied_at
+                                 else None)},
             "workers": {name: {
                 "state": self.membership.state(one).value, "zone": one.entry.zone,
                 "link": bool(name in self.links and self.links[name].up),
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -17,10 +17,10 @@
 from threadshift.invoke.admission import Admission
 from threadshift.invoke.deferred import Deferral, Deferrals
 from threadshift.invoke.http import Exchange, whole
-from threadshift.invoke.looks import SETTLE, STALL, Looks
+from threadshift.invoke.poll_monitor import CATCH_UP_TIME, STALL_THRESHOLD, PollMonitor
 from threadshift.invoke.requests import BATCH, BATCH_CANCEL, CALLS, CANCEL, DEFERRED, Problem, Response
 from threadshift.invoke.shares import Places
-from threadshift.invoke.tally import Tally
+from threadshift.invoke.refusal_counters import RefusalCounters
 from threadshift.log import Log
 
 BUSY_PAUSE = SECOND        # ns; when to come back after a refusal at the door, in the mean: it sheds a burst
@@ -49,7 +49,7 @@
 class Counts(Protocol):
     """Who counts activations as they end."""
 
-    def note(self, now: int, held: Held) -> None: ...
+    def record(self, now: int, held: Held) -> None: ...
 
 
 class Batches(Protocol):
@@ -76,13 +76,13 @@
         self.functions = requests.Functions(told)
         self.closing = False
         self.places = Places(told.bounds.activations, weight)       # of activations under way
-        self.tally = Tally()
+        self.refusal_counters = RefusalCounters()
         self.overloaded, self.pauses = cycle(OVERLOADED), cycle(PAUSE_OF)
         self.status_at, self.status_told = 0, b""
-        self.looks = Looks()
+        self.poll_monitor = PollMonitor()
         self.read_updates: Callable[[], None] = lambda: None    # lets news of the roster that has arrived be read
         self.desk: Desk
-        self.batching: Batches | None = None
+        self.batch_service: Batches | None = None
         self.recent: Counts
         boot = f"{time.time_ns() // MS:x}"
         serial = count(1).__next__
@@ -135,11 +135,11 @@
 
     def batches(self) -> Batches:
         """Raises Problem."""
-        if self.batching is None and self.told.peering is not None:
+        if self.batch_service is None and self.told.peering is not None:
             raise busy(503, "not-joined-in", "what is held in common cannot be opened yet")
-        if self.batching is None:
+        if self.batch_service is None:
             raise Problem(404, "no-batches", "no batches are kept here: the configuration has no 'peers' block")
-        return self.batching
+        return self.batch_service
 
     def of_batches(self, exchange: Exchange, match: re.Match[str]) -> None:
         """An order on a batch, or a question about one. Its tenant is that of the header."""
@@ -162,19 +162,19 @@
         # First, as what is refused must cost as little as can be: at the limit all else is work for nothing.
         tenant = exchange.headers.get("tenant", "")
         if not self.admission.admit(exchange.headers.get("repetition") == "?1", tenant):
-            exchange.connection.pause = self.admission.pause(tenant)
-            self.tally.note(time.monotonic_ns(), "overloaded", self.places.who(tenant))
+            exchange.connection.pause = self.admission.read_pause(tenant)
+            self.refusal_counters.record(time.monotonic_ns(), "overloaded", self.places.who(tenant))
             exchange.respond(next(self.overloaded))
             return
         call = requests.call_of(path, exchange.headers, exchange.body, self.functions)
         wish = requests.prefer(exchange.headers.get("prefer", ""))
         # It may have lain unread since the event loop looked last: its client's time ran all the while.
-        unread = max(exchange.unread, self.looks.unread(time.monotonic_ns()))
-        if unread >= STALL:
+        unread = max(exchange.unread, self.poll_monitor.unread_time(time.monotonic_ns()))
+        if unread >= STALL_THRESHOLD:
             # The roster's word, or a worker's, may lie unread too, and rule 3 counts from when it came. Found by a
             # hunt: calls read first after a standstill went to workers that had long been told of as draining.
-            gevent.sleep(SETTLE / SECOND)
-            unread += SETTLE
+            gevent.sleep(CATCH_UP_TIME / SECOND)
+            unread += CATCH_UP_TIME
         self.read_updates()
         call = call._replace(left=call.left - unread)
         if call.left <= 0:
@@ -198,7 +198,7 @@
         exchange.held = self.desk.take(time.monotonic_ns(), self.number(), call, exchange)
 
     def turned_away(self, status: int, kind: str, detail: str, tenant: str) -> Problem:
-        self.tally.note(time.monotonic_ns(), kind, self.places.who(tenant))
+        self.refusal_counters.record(time.monotonic_ns(), kind, self.places.who(tenant))
         return busy(status, kind, detail, next(self.pauses))
 
     def take_deferred(self, exchange: Exchange, call: Call) -> None:
@@ -222,7 +222,7 @@
             exchange.respond(self.pending(ivk))
 
     def pending(self, ivk: str) -> Response:
-        return requests.pending(ivk, self.batching.state_of(ivk) if self.batching is not None else None)
+        return requests.pending(ivk, self.batch_service.state_of(ivk) if self.batch_service is not None else None)
 
     def gone(self, exchange: Exchange) -> None:
         """The client of an unanswered exchange is gone."""
@@ -235,10 +235,10 @@
     def tick(self, now: int) -> None:
         for exchange, it in self.deferrals.tick(now):
             exchange.respond(self.pending(it.ivk))
-        self.tell_turned_away(now)
+        self.log_refusals(now)
 
-    def tell_turned_away(self, now: int, all_: bool = False) -> None:
-        for line in self.tally.tell(now, all_):
+    def log_refusals(self, now: int, flush: bool = False) -> None:
+        for line in self.refusal_counters.due_reports(now, flush):
             self.log.note("turned-away", level="warning", **line)
 
     # The desk's port.
@@ -251,21 +251,21 @@
         assert answer is not None
         self.places.give(held.call.tenant)
         if answer.final is not Final.COMPLETED:
-            self.tally.note(held.answered_at, f"{answer.final.value}-{answer.reason}",
-                            self.places.who(held.call.tenant))
-        self.recent.note(held.answered_at, held)
+            self.refusal_counters.record(held.answered_at, f"{answer.final.value}-{answer.reason}",
+                                         self.places.who(held.call.tenant))
+        self.recent.record(held.answered_at, held)
         if isinstance(held.client, Deferral):
             for exchange in self.deferrals.finish(held.answered_at, held.client, answer):
                 exchange.respond(requests.final(answer, held.ivk))
-        elif self.batching is not None and self.batching.owns(held):
-            self.batching.answered(held)
+        elif self.batch_service is not None and self.batch_service.owns(held):
+            self.batch_service.answered(held)
         else:
             held.client.respond(requests.final(answer, held.ivk))
         self.tell(held, answer)
 
     def over(self, held: Held) -> None:
-        if held.gone and not (self.batching is not None and self.batching.owns(held)):
-            self.recent.note(self.desk.now, held)
+        if held.gone and not (self.batch_service is not None and self.batch_service.owns(held)):
+            self.recent.record(self.desk.now, held)
             self.tell(held, Answer(Final.ABORTED, "client-left"))
 
     def tell(self, held: Held, answer: Answer) -> None:
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -23,7 +23,7 @@
 from threadshift.fastcgi.listener import FastCgiListener
 from threadshift.frames import pool
 from threadshift.frames.link import Link
-from threadshift.gateway.fleet import Fleet
+from threadshift.gateway.base_front_end import BaseFrontEnd
 from threadshift.interface import MS, SECOND, WorkerListing
 from threadshift.invoke.admission import Admission
 from threadshift.links.sockets import listener
@@ -41,7 +41,7 @@
 FIRST_LIST_TIMEOUT = 4 * SECOND  # for a list with a worker in it: finding a lost coordinator may take as long
 
 
-class Node(Fleet):
+class Node(BaseFrontEnd):
     """Carries steps to links and answers to the desk; owns every greenlet of the process."""
 
     def __init__(self, config: FrontEndConfig, environment: Mapping[str, str], log: Log):
@@ -61,7 +61,7 @@
         self.listener = FastCgiListener(
             lambda: self.descriptors.client_limit(self.worker_connections), config.max_activations, types,
             config.deployment.max_retry_after, self.admission, self, self.note, self.chance)
-        self.looks = self.listener.looks
+        self.poll_monitor = self.listener.poll_monitor
         dispatcher = Dispatcher(chance.getrandbits(63), config.deployment, now)
         earlier.assume(dispatcher, config.deployment, now)
         self.desk = self.listener.desk = Desk(dispatcher, self, self.listener, config.load_timeout)
@@ -123,13 +123,14 @@
         idle[goes].close_connection(goes)
         return True
 
-    def update_unread(self) -> bool:
+    def has_unread_update(self) -> bool:
         return self.coordinator.has_unread_data()
 
     def on_list_update(self, update: ListUpdate) -> None:
         """An event of the coordinator."""
         now = time.monotonic_ns()
-        self.apply_list(update.workers, self.coordinator.freshness.notified_since(now, self.looks.unread(now)))
+        self.apply_list(update.workers,
+                        self.coordinator.freshness.notified_since(now, self.poll_monitor.unread_time(now)))
 
     def on_coordinator_lost(self) -> None:
         self.roster_lost = True
@@ -186,7 +187,7 @@
             self.stop_all()
             return
         sock = listener(self.config.listen, shared=False)
-        self.listener.looks.start()
+        self.listener.poll_monitor.start()
         self.listening_socket, self.ready_deadline = sock, time.monotonic_ns() + FIRST_LIST_TIMEOUT
         self.greenlets.spawn(self.listener.accept, sock)
         self.note("started", listen=str(self.config.listen), pid=os.getpid(), workers=len(self.links),
@@ -202,7 +203,7 @@
         for link in self.links.values():
             link.stop()
         self.greenlets.kill()
-        self.listener.looks.stop()
+        self.listener.poll_monitor.stop()
         self.note("ended", **self.state())
 
     def join_known_workers(self) -> None:
@@ -221,7 +222,7 @@
         """The one timer: every tick, what is due."""
         told = 0
         for now, late in ticks(TICK, over, self.desk.due):
-            now = self.beat(now, late)
+            now = self.on_tick(now, late)
             self.listener.tick(now)
             if now - told >= TELL:
                 told = now
@@ -237,6 +238,6 @@
                 "worker_connections": self.worker_connections, "dialled_in_all": self.total_dials,
                 "ready": len(dispatcher.ready_workers), "suspended": sum(it.suspended_until > now for it in workers),
                 "functions": len(dispatcher.functions), "roster_lost": self.roster_lost,
-                "lag_ms": round(self.admission.lag / MS, 1), "part": round(self.admission.part, 3),
+                "lag_ms": round(self.admission.smoothed_lag / MS, 1), "part": round(self.admission.refused_share, 3),
                 "stalls": self.stalls, "longest_stall_ms": self.longest_stall // MS,
-                "turned_away": self.listener.tally.totals(), "counts": dict(self.desk.counts)}
+                "turned_away": self.listener.refusal_counters.totals(), "counts": dict(self.desk.counts)}
