--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -27,7 +27,8 @@
 READ = 16 << 10            # bytes a read: many usual answers, and little memory a connection
 MAX_USED_IDS = 128         # ids remembered a connection that may not go over it again
 COPIES = {"reused": Copy.FOUND, "init": Copy.LOAD_STARTED, "shared_init": Copy.WAITED, "init_error": Copy.LOAD_FAILED}
-ENDS = {OK: Outcome.COMPLETED, MISS: Outcome.MISS, FULL: Outcome.FULL, ERROR: Outcome.ERROR, EXPIRED: Outcome.NEVER_SENT}
+ENDS = {OK: Outcome.COMPLETED, MISS: Outcome.MISS, FULL: Outcome.FULL, ERROR: Outcome.ERROR,
+        EXPIRED: Outcome.NEVER_SENT}
 ORDERS = {OK: Outcome.COMPLETED, FULL: Outcome.FULL, ERROR: Outcome.ERROR}
 PROBES = (HEALTHY, UNHEALTHY)
 
--- a/threadshift/node/front_end_config.py
+++ b/threadshift/node/front_end_config.py
@@ -44,8 +44,9 @@
     def link_limits(self, workers: int) -> LinkSettings:
         """Bounds of the connections to one of so many workers."""
         return LinkSettings(self.connect_timeout, WRITE, self.idle_timeout, self.streams_per_connection,
-                    pool.connections_per_worker(self.max_sockets, workers), pool.choose_dial_threshold(self.deployment.front_ends),
-                    self.memory_bytes // BUFFER_PART + 2 * LONGEST_BODY, self.memory_bytes // BODY_PART)
+                            pool.connections_per_worker(self.max_sockets, workers),
+                            pool.choose_dial_threshold(self.deployment.front_ends),
+                            self.memory_bytes // BUFFER_PART + 2 * LONGEST_BODY, self.memory_bytes // BODY_PART)
 
 
 def read_config(environment: Mapping[str, str]) -> FrontEndConfig:
