--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -10,7 +10,7 @@
 from tests.live import Live
 from threadshift.audit.records import Seen, Unreadable, read
 from threadshift.audit.rules import SLACK, breaches
-from threadshift.desk.desk import Desk
+from threadshift.engine.engine import Desk
 from threadshift.interface import MS, SECOND, Deployment, Outcome
 
 TOLD = Deployment((), drain_grace=SECOND, cold_share=0.2, cold_time=10 * SECOND, fall_multiple=2.0,
--- a/tests/test_desk.py
+++ b/tests/test_engine.py
@@ -5,8 +5,8 @@
 
 from tests.helpers import deployment, ready
 from threadshift.choice import NEVER_RAN, Dispatcher
-from threadshift.desk import earlier
-from threadshift.desk.desk import Answer, Call, Desk, Final
+from threadshift.engine import previous_process
+from threadshift.engine.engine import Answer, Call, Desk, Final
 from threadshift.interface import (
     MS, SECOND, Copy, Deployment, Effect, Listing, NamespaceType, Outcome, State)
 
@@ -286,7 +286,7 @@
                           load_window=5 * SECOND, load_free=6.0, load_ratio=0.2)
         for now, most in ((SECOND, 0), (5 * SECOND, 0), (6 * SECOND, 6)):
             it = Dispatcher(1, told, SECOND)
-            earlier.assume(it, told, SECOND)
+            previous_process.assume(it, told, SECOND)
             it.roster(SECOND, [Listing("w", State.READY)], True)
             given = 0
             for n in range(9):
@@ -297,7 +297,7 @@
             self.assertLessEqual(given, most + 1)
             self.assertGreaterEqual(given, most)
         it = Dispatcher(1, told._replace(load_window=0), SECOND)
-        earlier.assume(it, told._replace(load_window=0), SECOND)
+        previous_process.assume(it, told._replace(load_window=0), SECOND)
         self.assertFalse(it.ordered)
 
 
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -5,7 +5,7 @@
 
 from tests.helpers import TYPES
 from tests.platform import begin, params, request
-from threadshift.desk.desk import Answer, Final
+from threadshift.engine.engine import Answer, Final
 from threadshift.fastcgi import codec, requests, room
 from threadshift.fastcgi.codec import BEGIN, PARAMS, STDIN, Records, NotFastCGI, pair, pairs, record, stream
 from threadshift.fastcgi.requests import Unfit
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -11,7 +11,7 @@
 from threadshift.audit.report import judge
 from threadshift.audit.rules import breaches
 from threadshift.days.day import KINDS, read_text
-from threadshift.desk.desk import Asked
+from threadshift.engine.engine import Asked
 from threadshift.emulator.front import ModelFront
 from threadshift.emulator.run import Emulation
 from threadshift.interface import Effect, State
--- a/tests/test_invoke.py
+++ b/tests/test_invoke.py
@@ -7,7 +7,7 @@
 from gevent import socket
 
 from tests.live import Live, until
-from threadshift.desk.desk import Answer, Final
+from threadshift.engine.engine import Answer, Final
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.admission import PERIOD, Admission
 from threadshift.invoke.deferred import RECORD, InMemory
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -8,10 +8,10 @@
 
 from tests.helpers import ready
 from tests.platform import SETTINGS, Platform, configuration
-from tests.test_desk import Fleet
+from tests.test_engine import Fleet
 from threadshift.choice import Dispatcher
 from threadshift.conf.settings import Malformed
-from threadshift.desk.desk import Call, Desk, Final
+from threadshift.engine.engine import Call, Desk, Final
 from threadshift.frames.codec import INVOKE
 from threadshift.interface import MS, SECOND, Copy, Effect, Outcome
 from threadshift.invoke.admission import Admission
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -22,7 +22,7 @@
 from tests.live import free_port, until
 from tests.platform import (
     SETTINGS, Client, Coordinator, Platform, Worker, begin, configuration, event, instance, params, request, serve)
-from tests.test_desk import ask, desk
+from tests.test_engine import ask, desk
 from threadshift.conf.values import Address
 from threadshift.coordinator import freshness
 from threadshift.fastcgi import room
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from threadshift.desk.desk import Answer, Final
+from threadshift.engine.engine import Answer, Final
 from threadshift.interface import MS, SECOND, Tenant
 from threadshift.invoke.admission import MOST, PERIOD, Admission
 from threadshift.invoke.deferred import InMemory
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -12,7 +12,7 @@
 from tests.live import until
 from tests.platform import Coordinator, Platform, Worker, configuration, event, instance
 from tests.processes import FrontEndProcess
-from threadshift.desk.desk import Call, Held
+from threadshift.engine.engine import Call, Held
 from threadshift.frames.codec import INVOKE
 from threadshift.frames.link import request_now
 from threadshift.interface import MS, SECOND, Outcome
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -20,7 +20,7 @@
 from threadshift.choice import FAR_REACH, Dispatcher
 from threadshift.coordinator.events import parse_update
 from threadshift.coordinator.stream import Response
-from threadshift.desk.desk import Asked
+from threadshift.engine.engine import Asked
 from threadshift.frames.codec import ASK, FROM_WORKER, FULL, HOLD, INVOKE, encode
 from threadshift.gateway.fleet import JOIN_BATCH
 from threadshift.interface import MS, SECOND, Deployment, Effect, Listing, NamespaceType, State
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -15,8 +15,8 @@
 
 from threadshift.choice import Dispatcher
 from threadshift.days.day import Day
-from threadshift.desk import earlier
-from threadshift.desk.desk import Asked, Call, Desk, Held
+from threadshift.engine import previous_process
+from threadshift.engine.engine import Asked, Call, Desk, Held
 from threadshift.emulator.clock import Clock
 from threadshift.emulator.network import Network
 from threadshift.emulator.worker import Job, ModelWorker
@@ -45,7 +45,7 @@
         dispatcher = policy(chance.getrandbits(63), told, clock.now)
         if hasattr(dispatcher, "see"):
             dispatcher.see(network)         # an oracle
-        earlier.assume(dispatcher, told, clock.now)
+        previous_process.assume(dispatcher, told, clock.now)
         self.desk = Desk(dispatcher, self, self, day.told.bounds.load_order)
         self.membership = Membership(told.drain_grace)
         self.tell, self.refuse = answered, refuse
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -12,7 +12,7 @@
 from threadshift.days.day import Day
 from threadshift.days.orders import Order, names, orders
 from threadshift.days.traffic import ANY, Try, follower, tries
-from threadshift.desk.desk import Call, Final, Held
+from threadshift.engine.engine import Call, Final, Held
 from threadshift.emulator.clock import Clock
 from threadshift.choice import Dispatcher
 from threadshift.emulator.front import CALL, ModelFront, Policy
--- a/threadshift/fastcgi/connection.py
+++ b/threadshift/fastcgi/connection.py
@@ -13,7 +13,7 @@
 import gevent
 from gevent import socket
 
-from threadshift.desk.desk import Held
+from threadshift.engine.engine import Held
 from threadshift.fastcgi import codec, requests, room
 from threadshift.fastcgi.codec import ABORT, BEGIN, GET_VALUES, PARAMS, STDIN, Records, NotFastCGI
 from threadshift.fastcgi.requests import LONGEST_BODY, LONGEST_PARAMS, Unfit
--- a/threadshift/fastcgi/door.py
+++ b/threadshift/fastcgi/door.py
@@ -13,7 +13,7 @@
 from gevent import socket
 from gevent.pool import Group
 
-from threadshift.desk.desk import Desk, Held
+from threadshift.engine.engine import Desk, Held
 from threadshift.fastcgi import codec, requests, room
 from threadshift.fastcgi.codec import BEGIN, Records, NotFastCGI
 from threadshift.fastcgi.connection import MOST_OPEN, READ, WRITE, Connection, Request
--- a/threadshift/fastcgi/requests.py
+++ b/threadshift/fastcgi/requests.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from threadshift.desk.desk import Answer, Call, Final
+from threadshift.engine.engine import Answer, Call, Final
 from threadshift.errors import Cause
 from threadshift.fastcgi.codec import NotFastCGI, pairs
 from threadshift.interface import MS, SECOND, NamespaceType
--- a/threadshift/gateway/batching.py
+++ b/threadshift/gateway/batching.py
@@ -18,7 +18,7 @@
 from threadshift.batches.shelf import Kept, Shelf, record
 from threadshift.choice import NEVER_RAN
 from threadshift.conf.installation import Installation
-from threadshift.desk.desk import Answer, Call, Desk, Final, Held
+from threadshift.engine.engine import Answer, Call, Desk, Final, Held
 from threadshift.errors import Cause
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
--- a/threadshift/gateway/fleet.py
+++ b/threadshift/gateway/fleet.py
@@ -12,7 +12,7 @@
 import gevent
 
 from threadshift.conf.values import Address
-from threadshift.desk.desk import Asked, Desk, Held
+from threadshift.engine.engine import Asked, Desk, Held
 from threadshift.interface import MS, SECOND, Listing, Outcome, State
 from threadshift.invoke.admission import PERIOD, Admission
 from threadshift.invoke.looks import SETTLE, STALL, Looks
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -22,8 +22,8 @@
 from threadshift.conf.installation import Installation
 from threadshift.conf.reading import Mistake
 from threadshift.conf.values import Address
-from threadshift.desk import earlier
-from threadshift.desk.desk import Desk
+from threadshift.engine import previous_process
+from threadshift.engine.engine import Desk
 from threadshift.errors import Cause
 from threadshift.gateway.admin import Admin
 from threadshift.gateway.fleet import Fleet
@@ -74,7 +74,7 @@
                           self.admission, log, self.status, weight)
         self.looks, self.api.read_updates = self.api.looks, self.read_updates
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
-        earlier.assume(dispatcher, told.deployment, now)
+        previous_process.assume(dispatcher, told.deployment, now)
         self.desk = self.api.desk = Desk(dispatcher, self, self.api, bounds.load_order)
         self.listeners: list[socket.socket] = []
         self.connections = Group()
--- a/threadshift/gateway/recent.py
+++ b/threadshift/gateway/recent.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 from threadshift.bgp.announce import Service
-from threadshift.desk.desk import Final, Held
+from threadshift.engine.engine import Final, Held
 from threadshift.interface import SECOND, Outcome
 
 BUCKETS = 10               # seconds looked back on; shorter and few calls judge, longer and a fall is seen late
--- a/threadshift/gateway/rolling.py
+++ b/threadshift/gateway/rolling.py
@@ -19,7 +19,7 @@
 from threadshift.conf import installation, patch
 from threadshift.conf.peering import Peering
 from threadshift.conf.reading import Mistake, load
-from threadshift.desk.desk import Final, Held
+from threadshift.engine.engine import Final, Held
 from threadshift.errors import Cause
 from threadshift.gateway.batching import Front
 from threadshift.gateway.evicting import Evicting
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -11,7 +11,7 @@
 import gevent
 
 from threadshift.conf.installation import Installation
-from threadshift.desk.desk import Answer, Call, Desk, Final, Held
+from threadshift.engine.engine import Answer, Call, Desk, Final, Held
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
 from threadshift.invoke.admission import Admission
--- a/threadshift/invoke/deferred.py
+++ b/threadshift/invoke/deferred.py
@@ -11,7 +11,7 @@
 from itertools import count
 from typing import Any, Protocol
 
-from threadshift.desk.desk import Answer
+from threadshift.engine.engine import Answer
 from threadshift.eviction.policies import Facts
 from threadshift.invoke.shares import Places
 
--- a/threadshift/invoke/requests.py
+++ b/threadshift/invoke/requests.py
@@ -14,7 +14,7 @@
 from urllib.parse import unquote
 
 from threadshift.conf.installation import FunctionClass, Installation
-from threadshift.desk.desk import Answer, Call, Final
+from threadshift.engine.engine import Answer, Call, Final
 from threadshift.errors import Cause
 from threadshift.interface import MS, SECOND, Effect, NamespaceType
 
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -18,8 +18,8 @@
 from threadshift.conf.settings import Malformed
 from threadshift.coordinator.events import ListUpdate
 from threadshift.coordinator.stream import CoordinatorStream
-from threadshift.desk import earlier
-from threadshift.desk.desk import Desk
+from threadshift.engine import previous_process
+from threadshift.engine.engine import Desk
 from threadshift.fastcgi.door import Door
 from threadshift.frames import pool
 from threadshift.frames.link import Link
@@ -62,7 +62,7 @@
                          told.deployment.longest_advice, self.admission, self, self.note, self.chance)
         self.looks = self.door.looks
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
-        earlier.assume(dispatcher, told.deployment, now)
+        previous_process.assume(dispatcher, told.deployment, now)
         self.desk = self.door.desk = Desk(dispatcher, self, self.door, told.load_order)
         self.coordinator = CoordinatorStream(told.coordinator, self.on_list_update, self.on_coordinator_lost,
                                              self.note, self.chance)
