--- a/tests/test_roster.py
+++ b/tests/test_discovery.py
@@ -6,8 +6,8 @@
 from threadshift.conf.values import Address
 from threadshift.interface import MS, SECOND, State
 from threadshift.links.codec import Refused
-from threadshift.roster.membership import Entry, Membership, Unbelievable, entry
-from threadshift.roster.sources import Feed, WatchedFile
+from threadshift.discovery.registry import Entry, Membership, Unbelievable, entry
+from threadshift.discovery.sources import Feed, WatchedFile
 
 AT, WALL = Address("127.0.0.1", 1), 1_800_000_000 * SECOND
 READY, DRAINING, GONE = State.READY, State.DRAINING, State.GONE
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -32,7 +32,7 @@
 from threadshift.links.redial import Redial
 from threadshift.node import placement
 from threadshift.node.front import Node
-from threadshift.roster.membership import Entry, Membership, WorkerList
+from threadshift.discovery.registry import Entry, Membership, WorkerList
 
 ROOT = Path(__file__).resolve().parent.parent
 DRAINING_WORKER, READY_WORKER = "s-0", "s-1"
--- a/threadshift/coordinator/events.py
+++ b/threadshift/coordinator/events.py
@@ -15,7 +15,7 @@
 from threadshift.errors import Cause
 from threadshift.conf import values
 from threadshift.interface import MS, State
-from threadshift.roster.membership import MOST_WORKERS, Entry, WorkerList
+from threadshift.discovery.registry import MOST_WORKERS, Entry, WorkerList
 
 LONGEST_LINE = 4 << 20     # bytes; a list of MOST_WORKERS takes half of it
 LONGEST_ID = 256           # characters of a worker's id
--- a/threadshift/roster/sources.py
+++ b/threadshift/discovery/sources.py
@@ -21,7 +21,7 @@
 from threadshift.links.codec import VERSION, Frames, Refused, encode
 from threadshift.links.sockets import READ, connect, shows
 from threadshift.links.redial import Redial
-from threadshift.roster.membership import MOST_WORKERS, Entry, Unbelievable, entry
+from threadshift.discovery.registry import MOST_WORKERS, Entry, Unbelievable, entry
 
 LOOK = 500 * MS            # ns between two looks at a file; a change is seen as soon as any feed would tell it
 QUIET = 30 * SECOND        # ns; a feed that says nothing, not even a keepalive, so long is dialled anew
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -24,7 +24,7 @@
 from threadshift.invoke.admission import PERIOD, Admission
 from threadshift.invoke.shares import weights
 from threadshift.links.redial import Redial
-from threadshift.roster.membership import Entry, Membership
+from threadshift.discovery.registry import Entry, Membership
 
 # ns of processor: a call read, parsed and placed, or refused at the door; what workers say is in network.py.
 # Together a served call costs 320 us, as measured at saturation with 12 workers.
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -22,7 +22,7 @@
 from threadshift.emulator.worker import ModelWorker
 from threadshift.gateway.hall import WORDS
 from threadshift.interface import MS, SECOND, Effect, State
-from threadshift.roster.membership import Entry
+from threadshift.discovery.registry import Entry
 from threadshift.standins.worker import Machine
 
 START = 1_000 * SECOND     # virtual; times of 0 mean "never" in many places
--- a/threadshift/gateway/fleet.py
+++ b/threadshift/gateway/fleet.py
@@ -17,7 +17,7 @@
 from threadshift.invoke.admission import PERIOD, Admission
 from threadshift.invoke.looks import SETTLE, STALL, Looks
 from threadshift.log import Log
-from threadshift.roster.membership import Entry, Membership, WorkerList
+from threadshift.discovery.registry import Entry, Membership, WorkerList
 
 
 JOIN_BATCH = 32            # new workers taken in at a time: some ms of work, also on a part of a core
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -40,8 +40,8 @@
 from threadshift.links.link import Link
 from threadshift.links.sockets import arriving, listener
 from threadshift.log import Log, fault_of
-from threadshift.roster.membership import Entry, Membership
-from threadshift.roster.sources import Feed, WatchedFile
+from threadshift.discovery.registry import Entry, Membership
+from threadshift.discovery.sources import Feed, WatchedFile
 from threadshift.storage.journal import Taken
 from threadshift.timer import ticks
 
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -32,7 +32,7 @@
 from threadshift.node.descriptors import Descriptors
 from threadshift.node.leaving import Leaving, Stage
 from threadshift.node.placement import Placement
-from threadshift.roster.membership import Entry, Membership
+from threadshift.discovery.registry import Entry, Membership
 from threadshift.timer import ticks
 
 TICK = 5 * MS              # pace of the timer; what falls due between two ticks has one of its own
