--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -6,15 +6,15 @@
 from threadshift.conf.values import Address
 from threadshift.interface import MS, SECOND, State
 from threadshift.links.codec import Refused
-from threadshift.discovery.registry import Entry, Membership, Unbelievable, entry
-from threadshift.discovery.sources import Feed, WatchedFile
+from threadshift.discovery.registry import InvalidWorkerList, WorkerEntry, WorkerRegistry, parse_entry
+from threadshift.discovery.sources import FeedSource, WatchedFile
 
 AT, WALL = Address("127.0.0.1", 1), 1_800_000_000 * SECOND
 READY, DRAINING, GONE = State.READY, State.DRAINING, State.GONE
 
 
 def told(name, state=READY, **facts):
-    return Entry(name, AT, state, **facts)
+    return WorkerEntry(name, AT, state, **facts)
 
 
 def states(listings):
@@ -23,7 +23,7 @@
 
 class Believing(unittest.TestCase):
     def setUp(self):
-        self.it = Membership(SECOND)
+        self.it = WorkerRegistry(SECOND)
         self.it.listed(0, WALL, [told("a"), told("b")], full=True)
 
     def test_a_worker_that_a_full_list_lacks_is_gone(self):
@@ -78,7 +78,7 @@
 class Sources(unittest.TestCase):
     def setUp(self):
         self.lists, self.notes = [], []
-        self.feed = Feed(AT, "front", None, self, lambda: 0.5)
+        self.feed = FeedSource(AT, "front", None, self, lambda: 0.5)
 
     def listed(self, entries, full):
         self.lists.append(([each.worker for each in entries], full))
@@ -88,11 +88,11 @@
 
     def test_a_gap_and_changes_before_a_list_are_not_followed(self):
         worker = {"worker": "a", "address": "127.0.0.1:1"}
-        with self.assertRaises(Unbelievable):
+        with self.assertRaises(InvalidWorkerList):
             self.feed.hear({"kind": "changes", "generation": 4, "workers": [worker]})
         self.feed.hear({"kind": "list", "generation": 4, "workers": [worker]})
         self.feed.hear({"kind": "changes", "generation": 5, "workers": [worker]})
-        with self.assertRaises(Unbelievable) as caught:
+        with self.assertRaises(InvalidWorkerList) as caught:
             self.feed.hear({"kind": "changes", "generation": 7, "workers": [worker]})
         self.assertIn("generation 7 follows 5", str(caught.exception))
         self.assertEqual(self.lists, [(["a"], True), (["a"], False)])
@@ -103,9 +103,9 @@
         good = {"worker": "a", "address": "127.0.0.1:1"}
         for change in ({"worker": 3}, {"worker": "a b"}, {"address": "x"}, {"state": "asleep"}, {"cell": True},
                        {"size": "big"}, {"started": 1.5}):
-            with self.assertRaises(Unbelievable):
-                entry(good | change)
-        self.assertEqual(entry(good | {"colour": 1}).worker, "a")
+            with self.assertRaises(InvalidWorkerList):
+                parse_entry(good | change)
+        self.assertEqual(parse_entry(good | {"colour": 1}).worker, "a")
 
     def test_a_file_is_read_when_it_changes_and_a_bad_one_leaves_the_last_list(self):
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -32,7 +32,7 @@
 from threadshift.links.redial import Redial
 from threadshift.node import placement
 from threadshift.node.front import Node
-from threadshift.discovery.registry import Entry, Membership, WorkerList
+from threadshift.discovery.registry import WorkerEntry, WorkerList, WorkerRegistry
 
 ROOT = Path(__file__).resolve().parent.parent
 DRAINING_WORKER, READY_WORKER = "s-0", "s-1"
@@ -419,8 +419,8 @@
     @given(st.integers(0, 3000), st.integers(0, 6000))
     def test_one_is_believed_within_the_grace_of_when_it_counts_as_told(self, grace_ms, late_ms):
         grace, told, read = grace_ms * MS, 10 * SECOND, 10 * SECOND + late_ms * MS
-        it = Membership(grace)
-        it.listed(0, 0, [Entry("a", ANY)], full=True)
+        it = WorkerRegistry(grace)
+        it.listed(0, 0, [WorkerEntry("a", ANY)], full=True)
         changed = it.apply(read, 0, WorkerList([], full=True), told)
         while not changed:
             read += 5 * MS                  # the timer's tick
@@ -431,10 +431,10 @@
             self.assertEqual(read, told + late_ms * MS)
 
     def test_workers_told_of_after_it_are_not_gone_with_those_before(self):
-        it = Membership(SECOND)
-        it.listed(0, 0, [Entry("a", ANY), Entry("b", ANY)], full=True)
+        it = WorkerRegistry(SECOND)
+        it.listed(0, 0, [WorkerEntry("a", ANY), WorkerEntry("b", ANY)], full=True)
         it.listed(SECOND, 0, [], full=True)
-        it.listed(SECOND + MS, 0, [Entry("b", ANY), Entry("c", ANY)], full=False)
+        it.listed(SECOND + MS, 0, [WorkerEntry("b", ANY), WorkerEntry("c", ANY)], full=False)
         self.assertEqual([each.worker for each in it.tick(2 * SECOND)], ["a"])
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -176,7 +176,7 @@
         with Live() as live:
             live.call("f")
             home = next(name for name, worker in live.front.desk.dispatcher.workers.items() if worker.warm)
-            drains = replace(live.front.membership.known[home].entry, state=State.DRAINING)
+            drains = replace(live.front.registry.known[home].entry, state=State.DRAINING)
             sent = live.front.send
             to = []
             live.front.send = lambda worker, held, number: to.append(worker) or sent(worker, held, number)
@@ -189,11 +189,11 @@
         """Found by a hunt: read first, it brought a load order to a worker long told of as draining."""
         with Live() as live:
             live.call("f")
-            drains = replace(live.front.membership.known["w0"].entry, state=State.DRAINING)
+            drains = replace(live.front.registry.known["w0"].entry, state=State.DRAINING)
             states, ended = [], live.front.desk.ended
 
             def hear(*words, **more):
-                states.append(live.front.membership.state(live.front.membership.known["w0"]))
+                states.append(live.front.registry.state(live.front.registry.known["w0"]))
                 ended(*words, **more)
             live.front.desk.ended = hear
             job = gevent.spawn(live.call, "f", work_hint="100")
--- a/threadshift/coordinator/events.py
+++ b/threadshift/coordinator/events.py
@@ -15,9 +15,9 @@
 from threadshift.errors import Cause
 from threadshift.conf import values
 from threadshift.interface import MS, State
-from threadshift.discovery.registry import MOST_WORKERS, Entry, WorkerList
+from threadshift.discovery.registry import MAX_WORKERS, WorkerEntry, WorkerList
 
-LONGEST_LINE = 4 << 20     # bytes; a list of MOST_WORKERS takes half of it
+LONGEST_LINE = 4 << 20     # bytes; a list of MAX_WORKERS takes half of it
 LONGEST_ID = 256           # characters of a worker's id
 STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
 LATEST = 1 << 53           # ms; a start after it is no time
@@ -120,14 +120,14 @@
     return STATES[state]
 
 
-def parse_instance(instance: Mapping[str, Any]) -> Entry:
+def parse_instance(instance: Mapping[str, Any]) -> WorkerEntry:
     """One worker off the wire. Raises InvalidEvent."""
     worker, state = parse_id(instance), parse_state(instance)
     try:
         address = values.address(str(instance.get("hostPort", "")))
     except ValueError as problem:
         raise InvalidEvent(f"hostPort: {problem}") from None
-    return Entry(
+    return WorkerEntry(
         worker, address, state, str(instance.get("zone") or "")[:128],
         int(parse_number(instance, "cell", 0, -LATEST, LATEST)),
         float(parse_number(instance, "weight", 1.0, 0, 1e9)) or 1.0,
@@ -136,7 +136,7 @@
 
 def parse_instances(instances: Iterable[Any], full: bool) -> tuple[WorkerList, tuple[str, ...]]:
     """The workers of one event, and a sentence for each entry that cannot be read whole."""
-    entries: list[Entry] = []
+    entries: list[WorkerEntry] = []
     ending: dict[str, State] = {}
     unreadable: set[str] = set()
     problems: list[str] = []
@@ -166,8 +166,8 @@
         raise InvalidEvent("no list of instances")
     if index is not None and (isinstance(index, bool) or not isinstance(index, int)):
         raise InvalidEvent("its index is no number")
-    if len(body["instances"]) > MOST_WORKERS:
-        raise InvalidEvent(f"a list of {len(body['instances'])} workers is over {MOST_WORKERS}")
+    if len(body["instances"]) > MAX_WORKERS:
+        raise InvalidEvent(f"a list of {len(body['instances'])} workers is over {MAX_WORKERS}")
     return ListUpdate(index or 0, *parse_instances(body["instances"], body.get("reset") is True))
 
 
--- a/threadshift/discovery/registry.py
+++ b/threadshift/discovery/registry.py
@@ -24,17 +24,17 @@
 
 SAME_START = 2 * SECOND    # ns; starts told closer together than this are the same, seen by two clocks
 FORGOTTEN = 60 * SECOND    # ns after which a worker that is gone is forgotten; the roster's word is seconds late
-MOST_WORKERS = 10_000      # listed at once; past that a list is taken as broken
+MAX_WORKERS = 10_000       # listed at once; past that a list is taken as broken
 
 
-class Unbelievable(Cause):
+class InvalidWorkerList(Cause):
     """A roster entry or list that cannot be understood; says which part."""
 
     help = "see what writes the list; the last good one stands meanwhile"
 
 
 @dataclass(slots=True)
-class Entry:
+class WorkerEntry:
     """One worker as the roster told it."""
 
     worker: str
@@ -49,7 +49,7 @@
 class WorkerList(NamedTuple):
     """What was told of workers at once: all there are, or those that changed."""
 
-    entries: list[Entry]
+    entries: list[WorkerEntry]
     full: bool                   # the whole list
     ending: Mapping[str, State] = {}             # draining or gone, by entries of which no more can be read
     unreadable: frozenset[str] = frozenset()     # listed by entries of which not even that can be read
@@ -67,30 +67,30 @@
 class Known:
     """One worker as believed."""
 
-    entry: Entry
+    entry: WorkerEntry
     started: int = 0             # the latest start told by anybody, wall clock ns
     since: int = 0               # the same in our clock, 0: not told
     drains: bool = False         # by its own word, since that start
     gone: int = 0                # when it was last seen to be gone, our clock
 
 
-def entry(told: Mapping[str, Any]) -> Entry:
-    """An entry off the wire. Raises Unbelievable."""
+def parse_entry(told: Mapping[str, Any]) -> WorkerEntry:
+    """An entry off the wire. Raises InvalidWorkerList."""
     def read(name: str, type_: type | tuple[type, ...], default: Any = None) -> Any:
         value = told.get(name, default)
         if not isinstance(value, type_) or isinstance(value, bool):
-            raise Unbelievable(f"'{name}' of {str(told.get('worker'))[:64]!r} is absent or of the wrong type")
+            raise InvalidWorkerList(f"'{name}' of {str(told.get('worker'))[:64]!r} is absent or of the wrong type")
         return value
     try:
-        return Entry(values.name(read("worker", str)), values.address(read("address", str)),
-                     State(read("state", str, "ready")), read("zone", str, ""), read("cell", int, 0),
-                     float(read("size", (int, float), 1.0)), read("started", int, 0))
+        return WorkerEntry(values.name(read("worker", str)), values.address(read("address", str)),
+                           State(read("state", str, "ready")), read("zone", str, ""), read("cell", int, 0),
+                           float(read("size", (int, float), 1.0)), read("started", int, 0))
     except ValueError as problem:
-        raise Unbelievable(f"worker {str(told.get('worker'))[:64]!r}: {problem}") from None
+        raise InvalidWorkerList(f"worker {str(told.get('worker'))[:64]!r}: {problem}") from None
 
 
 @dataclass
-class Membership:
+class WorkerRegistry:
     """All workers known, and what is told of them to the decisions."""
 
     grace: int                   # ns; the drain grace
@@ -100,7 +100,7 @@
     empty_since: int | None = None   # since when an empty list that is not believed yet may count as told
     lacking: set[str] = field(default_factory=set)   # workers that it lacked, and that were not told of since
 
-    def listed(self, now: int, wall: int, entries: Iterable[Entry], full: bool) -> list[Listing]:
+    def listed(self, now: int, wall: int, entries: Iterable[WorkerEntry], full: bool) -> list[Listing]:
         """News from the roster that counts as told now; see apply()."""
         return self.apply(now, wall, WorkerList(list(entries), full), now)
 
@@ -124,7 +124,7 @@
     def not_gone(self) -> set[str]:
         return self.known.keys() - self.gone
 
-    def take(self, now: int, wall: int, told: Entry) -> Listing:
+    def take(self, now: int, wall: int, told: WorkerEntry) -> Listing:
         one = self.known.setdefault(told.worker, Known(told))
         one.entry = told
         self.note_gone(told.worker, one)
--- a/threadshift/discovery/sources.py
+++ b/threadshift/discovery/sources.py
@@ -21,18 +21,18 @@
 from threadshift.links.codec import VERSION, Frames, Refused, encode
 from threadshift.links.sockets import READ, connect, shows
 from threadshift.links.redial import Redial
-from threadshift.discovery.registry import MOST_WORKERS, Entry, Unbelievable, entry
+from threadshift.discovery.registry import MAX_WORKERS, InvalidWorkerList, WorkerEntry, parse_entry
 
 LOOK = 500 * MS            # ns between two looks at a file; a change is seen as soon as any feed would tell it
 QUIET = 30 * SECOND        # ns; a feed that says nothing, not even a keepalive, so long is dialled anew
 
 
 class Listener(Protocol):
-    def listed(self, entries: list[Entry], full: bool) -> None: ...
+    def listed(self, entries: list[WorkerEntry], full: bool) -> None: ...
     def note(self, event: str, **fields: Any) -> None: ...
 
 
-class Feed:
+class FeedSource:
     """Follows a roster feed: a full list after each hello, then changes with generations that have no gap."""
 
     def __init__(self, address: Address, name: str, bounds: Bounds, listener: Listener,
@@ -66,7 +66,7 @@
                 for frame in frames.feed(data):
                     self.hear(frame)
             return "closed by the feed"
-        except (OSError, Refused, Unbelievable) as failed:
+        except (OSError, Refused, InvalidWorkerList) as failed:
             return str(failed) or type(failed).__name__
         finally:
             self.sock = None
@@ -79,16 +79,16 @@
         full = frame["kind"] == "list"
         if not full and frame["kind"] != "changes":
             raise Refused(f"'{frame['kind']}' is not for a feed to send")
-        if len(frame["workers"]) > MOST_WORKERS:
-            raise Unbelievable(f"a list of {len(frame['workers'])} workers is over {MOST_WORKERS}")
+        if len(frame["workers"]) > MAX_WORKERS:
+            raise InvalidWorkerList(f"a list of {len(frame['workers'])} workers is over {MAX_WORKERS}")
         if not full and self.generation is None:
-            raise Unbelievable("changes came before a full list")
+            raise InvalidWorkerList("changes came before a full list")
         if not full and self.generation is not None and frame["generation"] != self.generation + 1:
             # Something between was missed: only a full list mends that, and each connection begins with one.
-            raise Unbelievable(f"generation {frame['generation']} follows {self.generation}")
-        entries = [entry(each) for each in frame["workers"] if isinstance(each, dict)]
+            raise InvalidWorkerList(f"generation {frame['generation']} follows {self.generation}")
+        entries = [parse_entry(each) for each in frame["workers"] if isinstance(each, dict)]
         if len(entries) != len(frame["workers"]):
-            raise Unbelievable("an entry is not a map")
+            raise InvalidWorkerList("an entry is not a map")
         self.generation = frame["generation"]
         self.redial.up(time.monotonic_ns())
         self.listener.listed(entries, full)
@@ -97,7 +97,7 @@
 FACTS: dict[str, Callable[[str], Any]] = {"zone": values.name, "cell": int, "size": values.number, "state": State}
 
 
-def worker_line(line: Directive) -> Entry:
+def worker_line(line: Directive) -> WorkerEntry:
     """'worker w1 127.0.0.1:9001 zone hall-a size 1.5 state draining'"""
     if line.name != "worker":
         raise line.wrong(f"unknown directive '{line.name}'{nearest(line.name, ['worker'])}")
@@ -109,7 +109,7 @@
             if fact not in FACTS:
                 raise ValueError(f"unknown fact '{fact}'{nearest(fact, FACTS)}")
             facts[fact] = FACTS[fact](text)
-        return Entry(values.name(line.words[0]), values.address(line.words[1]), **facts)
+        return WorkerEntry(values.name(line.words[0]), values.address(line.words[1]), **facts)
     except ValueError as problem:
         raise line.wrong(f"worker {line.words[0]}: {problem}") from None
 
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -1,4 +1,4 @@
-"""A front end in the emulator: the real desk, decisions, membership and admission behind modelled connections.
+"""A front end in the emulator: the real desk, decisions, worker registry and admission behind modelled connections.
 
 Its processor is one server, first come first served: what arrives while it is busy waits, and how long is the lag by
 which admission refuses at the door.
@@ -24,7 +24,7 @@
 from threadshift.invoke.admission import PERIOD, Admission
 from threadshift.invoke.shares import weights
 from threadshift.links.redial import Redial
-from threadshift.discovery.registry import Entry, Membership
+from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
 
 # ns of processor: a call read, parsed and placed, or refused at the door; what workers say is in network.py.
 # Together a served call costs 320 us, as measured at saturation with 12 workers.
@@ -47,7 +47,7 @@
             dispatcher.see(network)         # an oracle
         previous_process.assume(dispatcher, told, clock.now)
         self.desk = Desk(dispatcher, self, self, day.told.bounds.load_order)
-        self.membership = Membership(told.drain_grace)
+        self.registry = WorkerRegistry(told.drain_grace)
         self.tell, self.refuse = answered, refuse
         self.admission = Admission(min(each.target_latency for each in told.types), weights(told.tenants))
         self.hall: Any = None        # its announcements, where it has any
@@ -72,11 +72,11 @@
             return
         if self.desk.due() <= self.clock.now:
             self.desk.tick(self.clock.now)
-        self.apply_listings(self.membership.tick(self.clock.now))
+        self.apply_listings(self.registry.tick(self.clock.now))
         # The live timer comes every tick; nothing happens here in between, so the next due one will do.
         due = max(self.clock.now + self.day.told.deployment.tick, self.desk.due())
-        if self.membership.empty_since is not None:
-            due = min(due, self.clock.now + self.membership.grace // 2)
+        if self.registry.empty_since is not None:
+            due = min(due, self.clock.now + self.registry.grace // 2)
         self.clock.at(due, self.tick)
 
     def hear(self, cost: int, act: Callable[..., None], *words: Any) -> None:
@@ -130,8 +130,8 @@
         self.serial += 1
         self.desk.take(self.clock.now, f"{self.name}-{self.serial}", call, client)
 
-    def listed(self, entries: list[Entry], full: bool) -> None:
-        self.apply_listings(self.membership.listed(self.clock.now, self.clock.now, entries, full))
+    def listed(self, entries: list[WorkerEntry], full: bool) -> None:
+        self.apply_listings(self.registry.listed(self.clock.now, self.clock.now, entries, full))
         for each in entries:
             if each.state is not State.GONE and each.worker not in self.links:
                 self.dial(each.worker)
@@ -141,7 +141,7 @@
             self.desk.roster(self.clock.now, listings, full=False)
 
     def drains(self, worker: str) -> None:
-        self.apply_listings(self.membership.draining(worker))
+        self.apply_listings(self.registry.draining(worker))
 
     def stop(self) -> None:
         if self.backlog is None:
@@ -198,7 +198,7 @@
         if not self.alive or worker in self.links or worker in self.dialling and not again:
             return
         self.dialling.discard(worker)
-        if self.membership.known[worker].entry.state is State.GONE:
+        if self.registry.known[worker].entry.state is State.GONE:
             return
         it = self.network.reach(worker)
         if it is None:
@@ -208,7 +208,7 @@
             return
         self.links[worker] = it.started
         self.redials.setdefault(worker, Redial(self.chance)).up(self.clock.now)
-        self.apply_listings(self.membership.hello(self.clock.now, self.clock.now, worker, it.started))
+        self.apply_listings(self.registry.hello(self.clock.now, self.clock.now, worker, it.started))
         if it.draining:
             self.drains(worker)
 
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -22,7 +22,7 @@
 from threadshift.emulator.worker import ModelWorker
 from threadshift.gateway.hall import WORDS
 from threadshift.interface import MS, SECOND, Effect, State
-from threadshift.discovery.registry import Entry
+from threadshift.discovery.registry import WorkerEntry
 from threadshift.standins.worker import Machine
 
 START = 1_000 * SECOND     # virtual; times of 0 mean "never" in many places
@@ -41,7 +41,7 @@
         self.store = ModelStore(self.clock, day.store, self.noter("store"))
         self.network.fronts = self.fronts = dict[str, ModelFront]()
         self.lives: list[ModelFront] = []    # of front ends, one a start
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, WorkerEntry] = {}
         self.late = 0
         self.late_until = 0
         self.ended: set[str] = set()         # marks of tries that were answered
@@ -101,9 +101,9 @@
                           report_every=fleet.report_every, loads_on_miss=told.loads_on_miss)
         self.network.workers[name] = ModelWorker(self.clock, machine, self.store, self.noter(name, worker=name))
 
-    def entry(self, name: str, state: State = State.READY) -> Entry:
+    def entry(self, name: str, state: State = State.READY) -> WorkerEntry:
         it = self.network.workers[name]
-        return Entry(name, Address("127.0.0.1", 1), state, self.zones[name], 0, 1.0, it.started)
+        return WorkerEntry(name, Address("127.0.0.1", 1), state, self.zones[name], 0, 1.0, it.started)
 
     def start_front(self, n: int) -> None:
         name = f"front-{n}"
@@ -116,13 +116,13 @@
         self.noter("conductor")("front-up", front=n)
         self.tell(list(self.entries.values()), True, [name])
 
-    def tell(self, entries: list[Entry], full: bool, to: list[str] | None = None) -> None:
+    def tell(self, entries: list[WorkerEntry], full: bool, to: list[str] | None = None) -> None:
         """News from the roster, late where that is ordered."""
         late = self.late if self.clock.now < self.late_until and to is None else 0
         for name in to or list(self.fronts):
             self.clock.after(late + self.network.delay(), self.told, name, entries, full)
 
-    def told(self, name: str, entries: list[Entry], full: bool) -> None:
+    def told(self, name: str, entries: list[WorkerEntry], full: bool) -> None:
         front = self.fronts[name]
         if front.alive:
             self.noter("roster")("told", front=name, full=full,
--- a/threadshift/gateway/fleet.py
+++ b/threadshift/gateway/fleet.py
@@ -17,7 +17,7 @@
 from threadshift.invoke.admission import PERIOD, Admission
 from threadshift.invoke.looks import SETTLE, STALL, Looks
 from threadshift.log import Log
-from threadshift.discovery.registry import Entry, Membership, WorkerList
+from threadshift.discovery.registry import WorkerEntry, WorkerList, WorkerRegistry
 
 
 JOIN_BATCH = 32            # new workers taken in at a time: some ms of work, also on a part of a core
@@ -47,8 +47,8 @@
     looks: Looks
     admission: Admission
 
-    def __init__(self, membership: Membership, log: Log) -> None:
-        self.log, self.membership = log, membership
+    def __init__(self, registry: WorkerRegistry, log: Log) -> None:
+        self.log, self.registry = log, registry
         self.links: dict[str, Any] = {}
         self.joining: dict[str, None] = {}      # workers listed as ready that are still to be taken in
         self.settled = 0                 # when it was last seen that the process had stood still
@@ -57,7 +57,7 @@
         self.roster_said = 0
         self.roster_lost = False         # the feed is lost or the file unreadable: the last list stands
 
-    def link(self, it: Entry) -> AnyLink:
+    def link(self, it: WorkerEntry) -> AnyLink:
         """A new link to a worker."""
         raise NotImplementedError
 
@@ -109,7 +109,7 @@
         what came now. (Found by a hunt: an answer read first brought a load order to a worker long told of as
         draining.) A loop at its limit looks like one that stalled, and loses a fifth of its time by this at most."""
         now = time.monotonic_ns()
-        if self.looks.unread(now) >= min(STALL, max(SETTLE, self.membership.grace // 2)):
+        if self.looks.unread(now) >= min(STALL, max(SETTLE, self.registry.grace // 2)):
             self.settled = now
         if now - self.settled < SETTLE:
             gevent.sleep(SETTLE / SECOND)
@@ -133,7 +133,7 @@
             self.admission.measured(now, late)
         if due:
             self.desk.tick(now)
-        self.change(self.membership.tick(now))
+        self.change(self.registry.tick(now))
         if self.joining:
             self.join_workers()
         if now - self.looked >= SECOND:
@@ -144,7 +144,7 @@
 
     # What the roster tells.
 
-    def listed(self, entries: Collection[Entry], full: bool) -> None:
+    def listed(self, entries: Collection[WorkerEntry], full: bool) -> None:
         """News that counts as told as it is read."""
         self.apply_list(WorkerList(list(entries), full), time.monotonic_ns())
 
@@ -156,10 +156,10 @@
         with thousands of them at once requests would wait unread for seconds."""
         now = self.roster_said = time.monotonic_ns()
         self.roster_lost = False
-        before = self.membership.empty_since
-        listings = self.membership.apply(now, time.time_ns(), workers, told_since)
-        if self.membership.empty_since is not None and before is None:
-            self.note("roster-empty", level="warning", held_ms=self.membership.grace // 2 // MS)
+        before = self.registry.empty_since
+        listings = self.registry.apply(now, time.time_ns(), workers, told_since)
+        if self.registry.empty_since is not None and before is None:
+            self.note("roster-empty", level="warning", held_ms=self.registry.grace // 2 // MS)
         listings = self.postpone_new(listings)
         self.apply_listings(listings)
         for link in self.relink(each for each in workers.entries if each.worker not in self.joining):
@@ -187,11 +187,11 @@
         names = list(islice(self.joining, most))
         for name in names:
             del self.joining[name]
-        joined = [one for name in names if (one := self.membership.known.get(name)) is not None]
-        self.apply_listings([self.membership.listing(one) for one in joined])
+        joined = [one for name in names if (one := self.registry.known.get(name)) is not None]
+        self.apply_listings([self.registry.listing(one) for one in joined])
         self.relink(one.entry for one in joined)
 
-    def relink(self, entries: Iterable[Entry]) -> list[AnyLink]:
+    def relink(self, entries: Iterable[WorkerEntry]) -> list[AnyLink]:
         """A link to each listed worker, at the address that the roster has now; the links that these replace."""
         replaced = []
         for it in entries:
@@ -220,9 +220,9 @@
 
     def let_go_of_workers(self) -> None:
         """Ends links to workers that are gone, once nothing waits for them."""
-        for name in self.membership.gone:
+        for name in self.registry.gone:
             link = self.links.get(name)
             if link is not None and not link.busy:
                 del self.links[name]
                 link.stop()
-        self.membership.forget(time.monotonic_ns(), self.links)
+        self.registry.forget(time.monotonic_ns(), self.links)
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -40,8 +40,8 @@
 from threadshift.links.link import Link
 from threadshift.links.sockets import arriving, listener
 from threadshift.log import Log, fault_of
-from threadshift.discovery.registry import Entry, Membership
-from threadshift.discovery.sources import Feed, WatchedFile
+from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
+from threadshift.discovery.sources import FeedSource, WatchedFile
 from threadshift.storage.journal import Taken
 from threadshift.timer import ticks
 
@@ -58,7 +58,7 @@
     def __init__(self, told: Installation, index: int, log: Log, seed: int | None = None, disk: Any = None,
                  version: str = "", ready: Callable[[], None] = lambda: None):
         """`version` is what of the installation's rollouts it runs; ready() is called once it serves."""
-        super().__init__(Membership(told.deployment.drain_grace), log)
+        super().__init__(WorkerRegistry(told.deployment.drain_grace), log)
         now = time.monotonic_ns()
         self.told, self.index = told, index
         self.name = told.front_end(index)
@@ -81,7 +81,7 @@
         self.operators = Group()
         self.full = cycle(FULL)
         self.greenlets = Group()
-        self.feed: Feed | None = None       # where the list of workers comes over the network
+        self.feed: FeedSource | None = None     # where the list of workers comes over the network
         self.ending = False
         self.recent = Recent({each.name: each.utility for each in told.deployment.types})
         self.api.recent = self.recent
@@ -140,7 +140,7 @@
         started = hello.get("started", 0)
         if not isinstance(started, int) or started < 0:
             return "'started' is not a time"
-        self.change(self.membership.hello(time.monotonic_ns(), time.time_ns(), worker, started))
+        self.change(self.registry.hello(time.monotonic_ns(), time.time_ns(), worker, started))
         self.note("link-up", worker=worker, level="debug")
         if hello.get("draining"):
             self.draining(worker)
@@ -150,12 +150,12 @@
         return self.feed is not None and self.feed.unread()
 
     def draining(self, worker: str) -> None:
-        listings = self.membership.draining(worker)
+        listings = self.registry.draining(worker)
         if listings:
             self.note("worker-drains", worker=worker)
         self.change(listings)
 
-    def link(self, it: Entry) -> Link:
+    def link(self, it: WorkerEntry) -> Link:
         return Link(it.worker, it.address, self.told.bounds, self.name, self.told.deployment.zone, self, self.chance,
                     self.together.evicting if self.together is not None else None)
 
@@ -181,7 +181,7 @@
             self.listeners.append(sock)
             self.greenlets.spawn(self.accept, sock)
         if isinstance(self.told.roster_at, Address):
-            self.feed = Feed(self.told.roster_at, self.name, self.told.bounds, self, self.chance)
+            self.feed = FeedSource(self.told.roster_at, self.name, self.told.bounds, self, self.chance)
             self.greenlets.spawn(self.feed.run)
         else:
             self.greenlets.spawn(WatchedFile(str(self.told.roster_at), self).run)
@@ -317,12 +317,12 @@
             "roster": {"kind": self.told.roster_kind,
                        "age-s": round((now - self.roster_said) / SECOND, 3) if self.roster_said else None},
             "workers": {name: {
-                "state": self.membership.state(one).value, "zone": one.entry.zone,
+                "state": self.registry.state(one).value, "zone": one.entry.zone,
                 "link": bool(name in self.links and self.links[name].up),
                 "in-flight": len(believed[name].sends) if name in believed else 0,
                 "suspended-ms": max(0, believed[name].until - now) // MS if name in believed else 0,
                 "pace": round(believed[name].pace, 3) if name in believed else 0,
                 "copies-believed": sum(until > now for until in believed[name].warm.values())
                 if name in believed else 0,
-            } for name, one in sorted(self.membership.known.items())},
+            } for name, one in sorted(self.registry.known.items())},
         }
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -32,7 +32,7 @@
 from threadshift.node.descriptors import Descriptors
 from threadshift.node.leaving import Leaving, Stage
 from threadshift.node.placement import Placement
-from threadshift.discovery.registry import Entry, Membership
+from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
 from threadshift.timer import ticks
 
 TICK = 5 * MS              # pace of the timer; what falls due between two ticks has one of its own
@@ -45,7 +45,8 @@
     """Carries steps to links and answers to the desk; owns every greenlet of the process."""
 
     def __init__(self, told: Placement, environment: Mapping[str, str], log: Log):
-        super().__init__(Membership(told.deployment.drain_grace, same_start=0), log)   # starts are told by one clock
+        # Starts are told by one clock.
+        super().__init__(WorkerRegistry(told.deployment.drain_grace, same_start=0), log)
         now = time.monotonic_ns()
         self.known, self.told = told.known, told._replace(known=())
         self.environment = environment
@@ -79,7 +80,7 @@
     def ready_workers(self) -> int:
         return len(self.desk.dispatcher.fleet)
 
-    def link(self, it: Entry) -> Link:
+    def link(self, it: WorkerEntry) -> Link:
         return Link(it.worker, it.address, self.bounds, self, self.chance, self.bits)
 
     def apply_listings(self, listings: list[Listing]) -> None:
@@ -91,7 +92,7 @@
     @property
     def listed_workers(self) -> int:
         """All that are not gone, those included that are still to be taken in."""
-        return len(self.membership.known) - len(self.membership.gone)
+        return len(self.registry.known) - len(self.registry.gone)
 
     def dials_ahead(self) -> bool:
         return self.descriptors.dials_ahead(self.listed_workers)
