--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import threadshift
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 
 PAGE = Path(__file__).resolve().parent.parent / "docs" / "operate" / "errors.md"
 
@@ -15,7 +15,7 @@
     for each in pkgutil.walk_packages(threadshift.__path__, "threadshift."):
         if not each.name.endswith("__main__"):
             importlib.import_module(each.name)
-    found, open_ = {}, [Cause]
+    found, open_ = {}, [ThreadshiftError]
     while open_:
         for each in open_.pop().__subclasses__():
             if each.__module__.startswith("threadshift."):
@@ -37,9 +37,9 @@
         self.assertEqual(straight, ["errors.py"])
 
     def test_all_three_print_the_same(self):
-        it = Cause("what", "where:1")
-        self.assertEqual((str(it), it.told()), ("where:1: what", {"problem": "what", "where": "where:1",
-                                                                  "help": Cause.help}))
+        it = ThreadshiftError("what", "where:1")
+        self.assertEqual((str(it), it.as_fields()), ("where:1: what", {"problem": "what", "where": "where:1",
+                                                                       "help": ThreadshiftError.help}))
 
 
 if __name__ == "__main__":
--- a/threadshift/audit/records.py
+++ b/threadshift/audit/records.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS
 
 
@@ -26,7 +26,7 @@
 }
 
 
-class Unreadable(Cause):
+class Unreadable(ThreadshiftError):
     """A folder or record that cannot be audited; says which line."""
 
     help = "play the day again into an empty folder"
--- a/threadshift/batches/cancels.py
+++ b/threadshift/batches/cancels.py
@@ -10,7 +10,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.interface import SECOND
 
 WINDOW = 120 * SECOND      # to undo a cancel in, if the settings say nothing: a look at the screen and a call
@@ -22,13 +22,13 @@
 OPEN, RESTORED, CLOSED = "open", "restored", "closed"
 
 
-class NoSuchCancel(Cause):
+class NoSuchCancel(ThreadshiftError):
     """No cancel of this id is known."""
 
     help = "ask for the batch: its open cancel's id is told there"
 
 
-class CancelOver(Cause):
+class CancelOver(ThreadshiftError):
     """A cancel that was restored or closed before."""
 
     help = "what a closed cancel stopped has its final answer; send those calls anew where they are still wanted"
--- a/threadshift/batches/shelf.py
+++ b/threadshift/batches/shelf.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.interface import Effect
 from threadshift.storage.disk import Disk
 from threadshift.storage.journal import Journal
@@ -23,7 +23,7 @@
 SPARE = 2_000              # records beyond four times what stands, after which the file begins anew
 
 
-class Later(Cause):
+class Later(ThreadshiftError):
     """A file that a later program wrote."""
 
     help = "start the program that wrote it, or a later one; this one leaves the file as it is"
--- a/threadshift/bgp/codec.py
+++ b/threadshift/bgp/codec.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from typing import Protocol
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.bgp.path import Capabilities, Family, NextHop, Origin, Path, Prefix
 
 MARKER = b"\xff" * 16
@@ -44,7 +44,7 @@
 C_MULTIPROTOCOL, C_REFRESH, C_RESTART, C_FOUR_OCTETS = 1, 2, 64, 65
 
 
-class Fault(Cause):
+class Fault(ThreadshiftError):
     """A message that ends its session, with the NOTIFICATION that says why."""
 
     help = "tell the peer's operators what it sent; the session is begun anew"
@@ -181,7 +181,7 @@
     return found
 
 
-class Withdraw(Cause):
+class Withdraw(ThreadshiftError):
     """RFC 7606: the routes of this message count as withdrawn; the session goes on."""
 
     help = "none: the peer sent attributes that RFC 7606 has treated so; tell its operators"
--- a/threadshift/cli/base.py
+++ b/threadshift/cli/base.py
@@ -8,7 +8,7 @@
 from threadshift.conf import installation, values
 from threadshift.conf.installation import Installation
 from threadshift.conf.reading import Mistake
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 
 
 class Of(click.ParamType):
@@ -29,7 +29,7 @@
 ADDRESS, TIME = Of("address", values.address), Of("time", values.duration)
 
 
-def ended(problem: Cause) -> SystemExit:
+def ended(problem: ThreadshiftError) -> SystemExit:
     """What ends a command: what happened and where, and what can be done."""
     return SystemExit(f"threadshift: {problem}\n  {problem.help}")
 
--- a/threadshift/conf/reading.py
+++ b/threadshift/conf/reading.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 
 LONGEST_FILE = 1 << 20     # bytes; a thousand times a usual file, and still read at once
 DEEPEST = 4                # blocks in blocks; the form needs two
@@ -25,7 +25,7 @@
 WORD = re.compile(r'"([^"]*)"|([^\s"#]+)|(#.*)|(")')
 
 
-class Mistake(Cause):
+class Mistake(ThreadshiftError):
     """What is wrong, where; `str()` is the one line to show."""
 
     help = "mend the file at the line named, and try it with 'threadshift check'"
--- a/threadshift/conf/settings.py
+++ b/threadshift/conf/settings.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND, Deployment, Effect, NamespaceType, Report, Tenant
 
 EFFECTS = {"safe": Effect.REPEATABLE, "keyed": Effect.DEDUPLICATED, "unsafe": Effect.ONCE_ONLY}
@@ -19,7 +19,7 @@
 LONG = {"queue": "backlog", "inflight": "outstanding", "util": "utilization"}
 
 
-class Malformed(Cause):
+class Malformed(ThreadshiftError):
     """Input that cannot be understood; says what is wrong and where."""
 
     help = "mend the settings that the platform hands over at the place named"
--- a/threadshift/consensus/keeper.py
+++ b/threadshift/consensus/keeper.py
@@ -11,14 +11,14 @@
 
 from threadshift.consensus.kept import Kept, Unfit
 from threadshift.consensus.member import Effects, Member, Timing
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.storage.disk import Disk
 from threadshift.storage.journal import Damaged, Journal
 
 LONG = 256                 # entries after which the file begins anew from a snapshot: replayed within a few ms
 
 
-class Alone(Cause):
+class Alone(ThreadshiftError):
     """The only voter's file is damaged: nobody else knows what it held."""
 
     help = "restore the file from a copy, or remove it to begin an empty record; what was promised is then forgotten"
@@ -58,7 +58,7 @@
                 self.journal.renew(*effects.records)
             elif effects.records:
                 self.journal.append(*effects.records)
-        except Cause as problem:
+        except ThreadshiftError as problem:
             self.member.doubt(str(problem))
             return False
         return True
--- a/threadshift/consensus/kept.py
+++ b/threadshift/consensus/kept.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 
 FORM = 1                   # of these records; a file with a later one was written by a later program
 
@@ -22,13 +22,13 @@
     body: dict[str, Any]
 
 
-class Unknown(Cause):
+class Unknown(ThreadshiftError):
     """A file of a form that this program does not know."""
 
     help = "start the program that wrote the file, or a later one; this one leaves it as it is"
 
 
-class Unfit(Cause):
+class Unfit(ThreadshiftError):
     """Records that do not follow from each other."""
 
     help = "put the file aside and start without it: with other voters up, this one learns all of it from them"
--- a/threadshift/consensus/member.py
+++ b/threadshift/consensus/member.py
@@ -23,7 +23,7 @@
 from typing import Any, NamedTuple
 
 from threadshift.consensus.kept import Entry, Kept, Place, entries_record, snapshot_record, term_record
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS
 
 RATE = 100                 # clocks differ in rate by less than one part in so many: crystals keep to 1e-4
@@ -40,7 +40,7 @@
     lease: int = 1500 * MS     # a voter that heard a holder votes for nobody else so long
 
 
-class Voters(Cause):
+class Voters(ThreadshiftError):
     """A list of voters that cannot be."""
 
     help = "name 1, 3 or 5 of the front ends as voters, the same in every configuration file of the installation"
--- a/threadshift/coordinator/events.py
+++ b/threadshift/coordinator/events.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.conf import values
 from threadshift.interface import MS, State
 from threadshift.discovery.registry import MAX_WORKERS, WorkerEntry, WorkerList
@@ -23,13 +23,13 @@
 LATEST = 1 << 53           # ms; a start after it is no time
 
 
-class InvalidEvent(Cause):
+class InvalidEvent(ThreadshiftError):
     """An event that cannot be understood; says which part."""
 
     help = "none: what the coordinator tells next is believed again; look there if it goes on"
 
 
-class MissingEvents(Cause):
+class MissingEvents(ThreadshiftError):
     """An event whose number does not follow the last one: something between was not received."""
 
     help = "none: the stream is asked for again from the last number; look at the coordinator if it goes on"
--- a/threadshift/discovery/registry.py
+++ b/threadshift/discovery/registry.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.conf import values
 from threadshift.conf.values import Address
 from threadshift.interface import SECOND, Listing, State
@@ -27,7 +27,7 @@
 MAX_WORKERS = 10_000       # listed at once; past that a list is taken as broken
 
 
-class InvalidWorkerList(Cause):
+class InvalidWorkerList(ThreadshiftError):
     """A roster entry or list that cannot be understood; says which part."""
 
     help = "see what writes the list; the last good one stands meanwhile"
--- a/threadshift/emulator/batches.py
+++ b/threadshift/emulator/batches.py
@@ -19,7 +19,7 @@
 from threadshift.consensus.kept import Entry
 from threadshift.consensus.member import Told
 from threadshift.emulator.record import Node, Record
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
 
 CALLS = Path("/calls")
@@ -54,7 +54,7 @@
     def keep(self, records: list[dict[str, Any]]) -> bool:
         try:
             self.shelf.write(records)
-        except Cause:
+        except ThreadshiftError:
             return False
         anew = self.shelf.wrote(records)
         if anew:
--- a/threadshift/emulator/changes.py
+++ b/threadshift/emulator/changes.py
@@ -10,7 +10,7 @@
 
 from threadshift.conf.peering import Peer
 from threadshift.conf.values import Address
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.interface import SECOND
 from threadshift.rollout.conduct import Conductor, Report
 from threadshift.rollout.judge import BUCKETS, Sums, bucket
@@ -20,7 +20,7 @@
 START = 3                  # s that a front end takes to come up
 
 
-class Broken(Cause):
+class Broken(ThreadshiftError):
     """A promise of a rollout that did not hold."""
 
     help = "run the same seed again"
--- a/threadshift/emulator/record.py
+++ b/threadshift/emulator/record.py
@@ -21,7 +21,7 @@
 from threadshift.consensus.kept import Entry
 from threadshift.consensus.member import Member, Message, Role, Timing
 from threadshift.emulator.disk import Plate
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
 
 TICK = 50 * MS             # of a member's timer
@@ -29,7 +29,7 @@
 FAULTS = ("freeze", "kill", "cut", "one-way", "loss", "old", "forget", "refuse", "flip", "leave", *["propose"] * 8)
 
 
-class Broken(Cause):
+class Broken(ThreadshiftError):
     """A promise that did not hold; says which, when, and with which seed."""
 
     help = "run the same seed again; the trace has what led to it"
@@ -115,7 +115,7 @@
         try:
             node.keeper = self.make(node.clock(self.now), FILE, node.name, self.voters, others, self.random.random,
                                     disk=node.disk, timing=Timing())
-        except Cause as problem:
+        except ThreadshiftError as problem:
             self.note(f"{node.name} does not start: {problem}")
             node.keeper = None
             return
--- a/threadshift/errors.py
+++ b/threadshift/errors.py
@@ -1,12 +1,12 @@
-"""The base of all errors of ours: what happened, where, and what an operator can do about it.
+"""The base class of all errors of this package: what happened, where, and what an operator can do about it.
 
-Command line, log and API print from `told()` and from nowhere else. Every cause is a type of its own in its package;
-`docs/operate/errors.md` has a line for each, which a test holds it to.
+Every error is a type of its own in its package. tests/test_errors.py compares `docs/operate/errors.md`, which has a
+row for each type, with the code.
 """
 from __future__ import annotations
 
 
-class Cause(Exception):
+class ThreadshiftError(Exception):
     """`str()` is what happened and where; `help` is what an operator can do, one sentence of the type's own."""
 
     help = "report it: no cause of its own is told"
@@ -15,6 +15,6 @@
         super().__init__(f"{where}: {what}" if where else what)
         self.what, self.where = what, where
 
-    def told(self) -> dict[str, str]:
+    def as_fields(self) -> dict[str, str]:
         """The three as fields of a log line or of an API's answer."""
         return {"problem": self.what, **({"where": self.where} if self.where else {}), "help": self.help}
--- a/threadshift/eviction/force.py
+++ b/threadshift/eviction/force.py
@@ -8,14 +8,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.eviction.policies import BUILT_IN, digest, label
 
 FEWEST = 2                 # nodes that must complain, and ...
 PART = 4                   # ... one of so many of those that there are
 
 
-class Lacking(Cause):
+class Lacking(ThreadshiftError):
     """Nodes that lack a policy that should come into force."""
 
     help = "install the policy's package on the nodes named, in the same version, and try again"
--- a/threadshift/eviction/node.py
+++ b/threadshift/eviction/node.py
@@ -22,7 +22,7 @@
 from types import FrameType
 from typing import Any
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.eviction.force import Force
 from threadshift.eviction.policies import BUILT_IN, Facts, Policy, digest, known, tie
 from threadshift.interface import MS, SECOND
@@ -33,7 +33,7 @@
 FRESH = 10 * SECOND        # what was told of other nodes counts so long
 
 
-class TooSlow(Cause):
+class TooSlow(ThreadshiftError):
     """A policy thought for longer than a decision may take."""
 
     help = "bound the policy's work: it is asked for each thing that takes memory"
@@ -156,7 +156,7 @@
         return found
 
 
-class Wrong(Cause):
+class Wrong(ThreadshiftError):
     """A policy that does not keep what a policy promises."""
 
     help = "run the conformance kit on it: python -m threadshift.eviction.conformance NAME@VERSION"
--- a/threadshift/fastcgi/codec.py
+++ b/threadshift/fastcgi/codec.py
@@ -8,7 +8,7 @@
 import struct
 from collections.abc import Iterator
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 
 VERSION = 1
 BEGIN, ABORT, END, PARAMS, STDIN, STDOUT, GET_VALUES, VALUES, UNKNOWN = 1, 2, 3, 4, 5, 6, 9, 10, 11
@@ -22,7 +22,7 @@
 PADDED = bytes(8)
 
 
-class NotFastCGI(Cause):
+class NotFastCGI(ThreadshiftError):
     """Input that breaks the protocol; `str()` says how."""
 
     help = "none: the connection is ended; its client sends what is no FastCGI"
--- a/threadshift/fastcgi/requests.py
+++ b/threadshift/fastcgi/requests.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from threadshift.engine.engine import Answer, Call, Final
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.fastcgi.codec import NotFastCGI, pairs
 from threadshift.interface import MS, SECOND, NamespaceType
 
@@ -32,7 +32,7 @@
           b"HTTP_X_SIZE_MS", b"HTTP_X_SPEC", b"HTTP_X_TEAM", b"HTTP_X_UNIQUE"}
 
 
-class Unfit(Cause):
+class Unfit(ThreadshiftError):
     """A request that is refused for what it says: a status of 400 and up, and one sentence."""
 
     help = "none: its client is told what is wrong with it"
--- a/threadshift/frames/codec.py
+++ b/threadshift/frames/codec.py
@@ -12,7 +12,7 @@
 import zlib
 from typing import NamedTuple
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 
 HEAD = struct.Struct(">BBHI8s")
 CHECK = struct.Struct(">I")
@@ -24,7 +24,7 @@
 MOST_FIELDS = 64           # in one answer; the protocol's largest has four
 
 
-class NotFrames(Cause):
+class NotFrames(ThreadshiftError):
     """Input that breaks the protocol; `str()` says how."""
 
     help = "none: the connection is dialled anew; look at the worker named if it goes on"
--- a/threadshift/gateway/admin.py
+++ b/threadshift/gateway/admin.py
@@ -4,7 +4,7 @@
 import json
 from typing import Any, Protocol
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.gateway.hall import WORDS
 from threadshift.invoke import requests
 from threadshift.invoke.http import Exchange
@@ -64,7 +64,7 @@
             if not isinstance(told, dict):
                 raise ValueError("a JSON object is wanted")
             return self.front.together.order(exchange.method, exchange.path, told)
-        except Cause as it:
+        except ThreadshiftError as it:
             raise Problem(409, type(it).__name__, f"{it}; {it.help}") from None
         except (ValueError, KeyError, TypeError) as it:
             raise Problem(400, "bad-request", repr(it)[:300]) from None
--- a/threadshift/gateway/batching.py
+++ b/threadshift/gateway/batching.py
@@ -19,7 +19,7 @@
 from threadshift.choice import NEVER_RAN
 from threadshift.conf.installation import Installation
 from threadshift.engine.engine import Answer, Call, Desk, Final, Held
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
 from threadshift.invoke.api import Invoke
@@ -42,7 +42,7 @@
 STOPPED = ("waiting", "out", "parked", "done")
 
 
-class Unkept(Cause):
+class Unkept(ThreadshiftError):
     """A call that could not be kept, and so was not accepted."""
 
     help = "free disk space or mend the disk under 'peers folder', then restart the front end"
@@ -117,7 +117,7 @@
         if problem is not None:
             if str(problem) != self.failed:
                 self.failed = str(problem)
-                self.front.note("calls-not-kept", level="error", **problem.told())
+                self.front.note("calls-not-kept", level="error", **problem.as_fields())
             return False
         self.failed = ""
         return True
@@ -332,7 +332,7 @@
             except NotHeard as it:
                 exchange.respond(requests.problem(Problem(503, "record-not-heard", f"{it}; {it.help}",
                                                           headers=requests.retry_after(SECOND))))
-            except Cause as it:
+            except ThreadshiftError as it:
                 status = 404 if isinstance(it, NoSuchCancel) else 409
                 exchange.respond(requests.problem(Problem(status, kind_of(it), f"{it}; {it.help}")))
             finally:
@@ -400,11 +400,11 @@
         return {"batch": it.batch, "state": it.state, **more}
 
 
-def failure(act: Callable[..., None], *words: Any) -> Cause | None:
+def failure(act: Callable[..., None], *words: Any) -> ThreadshiftError | None:
     """What act() raised, if anything: handed back, as the pool of threads would print it with its lines."""
     try:
         act(*words)
-    except Cause as problem:
+    except ThreadshiftError as problem:
         return problem
     return None
 
@@ -413,7 +413,7 @@
     return {**{name: getattr(it, name) for name in STOPPED}, "nearest-end-ms": it.nearest // MS}
 
 
-def kind_of(it: Cause) -> str:
+def kind_of(it: ThreadshiftError) -> str:
     """'NoSuchCancel' as 'no-such-cancel'."""
     return "".join(f"-{letter.lower()}" if letter.isupper() else letter for letter in type(it).__name__).strip("-")
 
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -24,7 +24,7 @@
 from threadshift.conf.values import Address
 from threadshift.engine import previous_process
 from threadshift.engine.engine import Desk
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.gateway.admin import Admin
 from threadshift.gateway.fleet import Fleet
 from threadshift.gateway.hall import Hall
@@ -105,8 +105,8 @@
                     link.speaks = it.evicting
                 self.note("joined-in", version=self.version)
                 return
-            except Cause as problem:
-                waits, told = isinstance(problem, Taken), problem.told()
+            except ThreadshiftError as problem:
+                waits, told = isinstance(problem, Taken), problem.as_fields()
             except OSError as problem:
                 waits, told = problem.errno == errno.EADDRINUSE, {"problem": str(problem)}
             if not waits and said != told["problem"]:
--- a/threadshift/gateway/rolling.py
+++ b/threadshift/gateway/rolling.py
@@ -20,7 +20,7 @@
 from threadshift.conf.peering import Peering
 from threadshift.conf.reading import Mistake, load
 from threadshift.engine.engine import Final, Held
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.gateway.batching import Front
 from threadshift.gateway.evicting import Evicting
 from threadshift.gateway.versions import Versions
@@ -42,7 +42,7 @@
 BACK_VOTER = 4 * SECOND    # ... and after a voter, so that the next one finds it back
 
 
-class BadChange(Cause):
+class BadChange(ThreadshiftError):
     """A change that cannot be rolled out as it was told."""
 
     help = "see docs/operate/rollout.md for what a change may hold"
@@ -128,7 +128,7 @@
         try:
             ids = (*self.rollouts.done, it.id)
             self.can[it.id] = self.prepared(ids)[1]
-        except (Cause, OSError) as problem:
+        except (ThreadshiftError, OSError) as problem:
             self.can[it.id] = str(problem)[:300] or type(problem).__name__
         except Mistake as problem:
             self.can[it.id] = str(problem)[:300]
@@ -161,7 +161,7 @@
             return                  # the record has moved on; or it failed here, and that is told with each report
         try:
             it, problem = self.prepared(ids)
-        except (Cause, Mistake, OSError) as trouble:
+        except (ThreadshiftError, Mistake, OSError) as trouble:
             it, problem = Wanted(), str(trouble)
         if problem:
             self.front.note("version-not-taken", level="error", version="+".join(ids), problem=problem,
--- a/threadshift/invoke/client.py
+++ b/threadshift/invoke/client.py
@@ -9,13 +9,13 @@
 import httptools
 from gevent import socket
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.conf.values import Address
 from threadshift.interface import SECOND
 from threadshift.links.sockets import READ, connect, shows
 
 
-class NoAnswer(Cause):
+class NoAnswer(ThreadshiftError):
     """The connection failed, or ended before its answer did."""
 
     help = "see whether the gateway runs and listens at that address"
--- a/threadshift/invoke/requests.py
+++ b/threadshift/invoke/requests.py
@@ -15,7 +15,7 @@
 
 from threadshift.conf.installation import FunctionClass, Installation
 from threadshift.engine.engine import Answer, Call, Final
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND, Effect, NamespaceType
 
 FUNCTION = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@-]{0,127}")
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class Problem(Cause):
+class Problem(ThreadshiftError):
     """Why a request was not taken."""
 
     help = "none: its client is told what to change, and when to come back"
--- a/threadshift/links/codec.py
+++ b/threadshift/links/codec.py
@@ -10,7 +10,7 @@
 
 import msgpack
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 
 VERSION = 1                # of the protocol; a hello with another major version is refused
 LENGTH = struct.Struct(">I")
@@ -20,7 +20,7 @@
 Frame = dict[str, Any]
 
 
-class Refused(Cause):
+class Refused(ThreadshiftError):
     """Input that breaks the protocol; `str()` says how."""
 
     help = "none: the connection is dialled anew; look at the peer named if it goes on"
--- a/threadshift/packs/registry.py
+++ b/threadshift/packs/registry.py
@@ -8,7 +8,7 @@
 import re
 from typing import Any, NamedTuple
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.interface import Effect
 
 CURRENT = "current"        # the alias of a name without one
@@ -17,7 +17,7 @@
 LONGEST_WHY = 1000         # characters
 
 
-class NotAllowed(Cause):
+class NotAllowed(ThreadshiftError):
     """What may not be added or moved; says what and why."""
 
     help = "change what is told and try again; nothing was kept"
--- a/threadshift/peers/carrier.py
+++ b/threadshift/peers/carrier.py
@@ -19,7 +19,7 @@
 from threadshift.consensus.book import Book, Machine
 from threadshift.consensus.keeper import Keeper
 from threadshift.consensus.member import Told
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
 from threadshift.log import fault_of
 from threadshift.peers.hearing import Hearing
@@ -33,13 +33,13 @@
 REPROPOSE = 2 * SECOND     # a duty's entry that did not come back is proposed again
 
 
-class NotHeard(Cause):
+class NotHeard(ThreadshiftError):
     """An entry that was not told back in time. It may still come: ask again with the same id."""
 
     help = "see 'threadshift status --json' for who is heard; without a majority of voters nothing moves"
 
 
-class TooNew(Cause):
+class TooNew(ThreadshiftError):
     """An entry of a form that not every voter reads yet."""
 
     help = "finish or roll back the change of programs first"
--- a/threadshift/rollout/plan.py
+++ b/threadshift/rollout/plan.py
@@ -9,20 +9,20 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any, NamedTuple
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 
 CHECKING, GOING, PAUSED, BACK, DONE = "checking", "going", "paused", "back", "done"
 KEPT = 50                  # rollouts remembered after their end; changes of those that are done stay for good
 STAGES = (0.0, 0.2, 0.5, 1.0)      # shares of the front ends; the first stage is one
 
 
-class UnderWay(Cause):
+class UnderWay(ThreadshiftError):
     """A rollout while another goes on."""
 
     help = "let it end, or abort it: 'threadshift rollout abort'"
 
 
-class NoRollout(Cause):
+class NoRollout(ThreadshiftError):
     """No rollout goes on, or none of this id."""
 
     help = "see 'threadshift rollout show'"
--- a/threadshift/storage/journal.py
+++ b/threadshift/storage/journal.py
@@ -20,7 +20,7 @@
 
 import msgpack
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.storage.disk import Disk
 
 MAGIC = b"tsj1"            # of a record; another form gets another
@@ -30,13 +30,13 @@
 LONGEST = 8 << 20          # bytes of a payload: a snapshot of all that front ends hold in common fits many times
 
 
-class Damaged(Cause):
+class Damaged(ThreadshiftError):
     """A file that is no journal, or no longer whole; says where."""
 
     help = "put the file aside and restore it, or start without it; what it held is not guessed"
 
 
-class Unwritten(Cause):
+class Unwritten(ThreadshiftError):
     """A record that could not be kept; nothing of it is left, unless the disk said no to fsync."""
 
     help = "free disk space or mend the disk, then restart what writes the file"
--- a/threadshift/trials/keep.py
+++ b/threadshift/trials/keep.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 
 WAIT = 30.0                # s for another process that writes
 FORM = 1                   # of the tables
@@ -61,7 +61,7 @@
         return self.in_time / self.asked if self.asked else 1.0
 
 
-class Unusable(Cause):
+class Unusable(ThreadshiftError):
     """A file that holds no results, or of another form."""
 
     help = "give another file, or remove this one"
