--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -5,7 +5,7 @@
 from threadshift.conf.reading import Mistake
 from threadshift.conf.values import Address
 from threadshift.interface import MS, SECOND, State
-from threadshift.links.codec import Refused
+from threadshift.links.codec import ProtocolError
 from threadshift.discovery.registry import InvalidWorkerList, WorkerEntry, WorkerRegistry, parse_entry
 from threadshift.discovery.sources import FeedSource, WatchedFile
 
@@ -96,7 +96,7 @@
             self.feed.hear({"kind": "changes", "generation": 7, "workers": [worker]})
         self.assertIn("generation 7 follows 5", str(caught.exception))
         self.assertEqual(self.lists, [(["a"], True), (["a"], False)])
-        with self.assertRaises(Refused):
+        with self.assertRaises(ProtocolError):
             self.feed.hear({"kind": "invoke"})
 
     def test_entries_that_are_wrong_name_the_worker(self):
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,7 +8,7 @@
 
 from tests.live import Live, Scripted, until
 from threadshift.interface import MS, SECOND
-from threadshift.links.codec import LENGTH, VERSION, Frames, Refused, encode
+from threadshift.links.codec import LENGTH, VERSION, Frames, ProtocolError, encode
 from threadshift.links.outbox import Outbox
 from threadshift.links.redial import FIRST, MOST, STEADY, Redial
 
@@ -33,7 +33,7 @@
         for stream in (data, LENGTH.pack(len(data)) + data):
             try:
                 Frames(1 << 16).feed(stream)
-            except Refused as problem:
+            except ProtocolError as problem:
                 self.assertTrue(str(problem))
 
     def test_what_is_wrong_is_named(self):
@@ -51,7 +51,7 @@
             (LENGTH.pack(0), "not msgpack"),
         )
         for data, words in cases:
-            with self.assertRaises(Refused) as caught:
+            with self.assertRaises(ProtocolError) as caught:
                 Frames(1 << 16).feed(data)
             self.assertIn(words, str(caught.exception))
 
--- a/threadshift/discovery/sources.py
+++ b/threadshift/discovery/sources.py
@@ -18,7 +18,7 @@
 from threadshift.conf.reading import Directive, Mistake, load, nearest
 from threadshift.conf.values import Address
 from threadshift.interface import MS, SECOND, State
-from threadshift.links.codec import VERSION, Frames, Refused, encode
+from threadshift.links.codec import VERSION, Frames, ProtocolError, encode
 from threadshift.links.sockets import READ, connect, shows
 from threadshift.links.redial import Redial
 from threadshift.discovery.registry import MAX_WORKERS, InvalidWorkerList, WorkerEntry, parse_entry
@@ -66,7 +66,7 @@
                 for frame in frames.feed(data):
                     self.hear(frame)
             return "closed by the feed"
-        except (OSError, Refused, InvalidWorkerList) as failed:
+        except (OSError, ProtocolError, InvalidWorkerList) as failed:
             return str(failed) or type(failed).__name__
         finally:
             self.sock = None
@@ -78,7 +78,7 @@
             return
         full = frame["kind"] == "list"
         if not full and frame["kind"] != "changes":
-            raise Refused(f"'{frame['kind']}' is not for a feed to send")
+            raise ProtocolError(f"'{frame['kind']}' is not for a feed to send")
         if len(frame["workers"]) > MAX_WORKERS:
             raise InvalidWorkerList(f"a list of {len(frame['workers'])} workers is over {MAX_WORKERS}")
         if not full and self.generation is None:
--- a/threadshift/links/codec.py
+++ b/threadshift/links/codec.py
@@ -1,7 +1,7 @@
 """Frames of the worker protocol: a length of four bytes, big-endian, then one msgpack map with a "kind".
 
 docs/worker-protocol.md has every kind and field. Unknown fields are skipped; a kind that the reader does not know is
-refused by name. All that is wrong with input is `Refused`, with one sentence to send back and to log.
+refused by name. All that is wrong with input is `ProtocolError`, with one sentence to send back and to log.
 """
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 Frame = dict[str, Any]
 
 
-class Refused(ThreadshiftError):
+class ProtocolError(ThreadshiftError):
     """Input that breaks the protocol; `str()` says how."""
 
     help = "none: the connection is dialled anew; look at the peer named if it goes on"
@@ -68,18 +68,18 @@
 
 
 def check(frame: Any) -> Frame:
-    """A decoded map that keeps the protocol. Raises Refused."""
+    """A decoded map that keeps the protocol. Raises ProtocolError."""
     if not isinstance(frame, dict) or not isinstance(kind := frame.get("kind"), str):
-        raise Refused("a frame is a map with a text 'kind'")
+        raise ProtocolError("a frame is a map with a text 'kind'")
     wanted = WANTED.get(kind)
     if wanted is None:
-        raise Refused(f"unknown frame kind '{kind[:64]}'")
+        raise ProtocolError(f"unknown frame kind '{kind[:64]}'")
     for name, type_ in wanted.items():
         value = frame.get(name)
         if not isinstance(value, type_) or isinstance(value, bool):
-            raise Refused(f"{kind}: field '{name}' is {'absent' if value is None else 'of the wrong type'}")
+            raise ProtocolError(f"{kind}: field '{name}' is {'absent' if value is None else 'of the wrong type'}")
         if isinstance(value, str) and len(value) > DEEPEST_TEXT:
-            raise Refused(f"{kind}: field '{name}' is longer than {DEEPEST_TEXT}")
+            raise ProtocolError(f"{kind}: field '{name}' is longer than {DEEPEST_TEXT}")
     return frame
 
 
@@ -92,20 +92,21 @@
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Frame]:
-        """The frames that data completes. Raises Refused; nothing after that may be read."""
+        """The frames that data completes. Raises ProtocolError; nothing after that may be read."""
         self.buffer += data
         frames, at = [], 0
         while len(self.buffer) - at >= LENGTH.size:
             length = LENGTH.unpack_from(self.buffer, at)[0]
             if length > self.longest:
-                raise Refused(f"a frame of {length} bytes is over the bound of {self.longest}")
+                raise ProtocolError(f"a frame of {length} bytes is over the bound of {self.longest}")
             end = at + LENGTH.size + length
             if len(self.buffer) < end:
                 break
             try:
                 frame = msgpack.unpackb(bytes(self.buffer[at + LENGTH.size:end]), max_map_len=MOST_FIELDS)
             except (ValueError, msgpack.UnpackException, RecursionError, TypeError) as problem:
-                raise Refused(f"a frame is not msgpack: {str(problem)[:100] or type(problem).__name__}") from None
+                raise ProtocolError(
+                    f"a frame is not msgpack: {str(problem)[:100] or type(problem).__name__}") from None
             frames.append(check(frame))
             at = end
         del self.buffer[:at]
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -18,7 +18,7 @@
 from threadshift.conf.installation import Bounds
 from threadshift.conf.values import Address
 from threadshift.interface import SECOND, Copy, Outcome, Report
-from threadshift.links.codec import VERSION, Frame, Frames, Refused, encode, pack
+from threadshift.links.codec import VERSION, Frame, Frames, ProtocolError, encode, pack
 from threadshift.links.outbox import Outbox
 from threadshift.links.redial import Redial
 from threadshift.links.sockets import READ, connect, since_ready, write_out
@@ -184,9 +184,9 @@
                 self.read(frames)
                 if frames.torn:
                     problem = "closed by the worker inside a frame"
-            except (OSError, Refused) as failed:
+            except (OSError, ProtocolError) as failed:
                 problem = str(failed) or type(failed).__name__
-                if isinstance(failed, Refused):
+                if isinstance(failed, ProtocolError):
                     self.refuse(problem)
             finally:
                 self.up = False
@@ -217,12 +217,12 @@
             first = frames.feed(data)
         hello = first.pop(0)
         if hello["kind"] != "hello":
-            raise Refused(f"'{hello['kind']}' came before hello")
+            raise ProtocolError(f"'{hello['kind']}' came before hello")
         if hello["version"] != VERSION:
-            raise Refused(f"version {hello['version']} is not spoken here, version {VERSION} is")
+            raise ProtocolError(f"version {hello['version']} is not spoken here, version {VERSION} is")
         problem = self.owner.hello(self.worker, hello)
         if problem:
-            raise Refused(problem)
+            raise ProtocolError(problem)
         if self.speaks is not None:
             self.speaks.heard(self.worker, hello)
         started = hello.get("started", 0)
@@ -296,7 +296,7 @@
         if kind == "refused":
             raise OSError(f"refused by the worker: {frame['reason'][:200]}")
         if kind not in ("result", "error", "full", "miss", "held", "status"):
-            raise Refused(f"'{kind}' is not for a worker to send here")
+            raise ProtocolError(f"'{kind}' is not for a worker to send here")
         what = self.waiting.pop(frame["id"], None)
         if what is None:
             return
@@ -304,7 +304,7 @@
         left = self.outbox.left.pop(frame["id"], now)
         load = report(frame.get("load"))
         if isinstance(what, tuple) != (kind in ("result", "error", "full", "miss")):
-            raise Refused(f"'{kind}' answers something else")
+            raise ProtocolError(f"'{kind}' answers something else")
         if kind == "held":
             what.answered(now, HELD.get(frame["outcome"], Outcome.ERROR), copies=frame["copies"])
         elif kind == "status":
--- a/threadshift/peers/link.py
+++ b/threadshift/peers/link.py
@@ -17,7 +17,7 @@
 
 from threadshift.conf.peering import Peer, Peering
 from threadshift.interface import MS, SECOND
-from threadshift.links.codec import VERSION, Frame, Frames, Refused, encode
+from threadshift.links.codec import VERSION, Frame, Frames, ProtocolError, encode
 from threadshift.links.outbox import Outbox
 from threadshift.links.redial import Redial
 from threadshift.links.sockets import READ, arriving, connect, listener, write_out
@@ -92,7 +92,7 @@
                 writer = gevent.spawn(self.write, sock)
                 self.read(sock, frames)
                 said = "closed by the peer"
-            except (OSError, Refused) as problem:
+            except (OSError, ProtocolError) as problem:
                 said = str(problem) or type(problem).__name__
             finally:
                 was, self.up = self.up, False
@@ -113,10 +113,10 @@
             for frame in frames.feed(data):
                 kind = frame["kind"]
                 if kind == "refused":
-                    raise Refused(frame["reason"][:200])
+                    raise ProtocolError(frame["reason"][:200])
                 if kind == "hello":
                     if frame["name"] != self.peer.name:
-                        raise Refused(f"this is {self.peer.name}'s address, and {frame['name'][:64]!r} answers")
+                        raise ProtocolError(f"this is {self.peer.name}'s address, and {frame['name'][:64]!r} answers")
                     self.up, self.problem = True, ""
                     self.redial.up(time.monotonic_ns())
                     self.wake.set()
@@ -125,7 +125,7 @@
                     if (waits := self.asked.get(frame["id"])) is not None:
                         waits.set(frame["say"])
                 else:
-                    raise Refused(f"'{kind}' is no reply")
+                    raise ProtocolError(f"'{kind}' is no reply")
 
     def write(self, sock: socket.socket) -> None:
         try:
@@ -190,8 +190,8 @@
                     elif frame["kind"] == "ping":
                         self.owner.alive(name, life)
                     else:
-                        raise Refused(f"'{frame['kind']}' is not for a peer to say")
-        except Refused as problem:
+                        raise ProtocolError(f"'{frame['kind']}' is not for a peer to say")
+        except ProtocolError as problem:
             self.owner.note("peer-refused", peer=name, problem=str(problem))
             with suppress(OSError):
                 sock.settimeout(0)
@@ -204,18 +204,18 @@
             sock.close()
 
     def greet(self, sock: socket.socket, frame: Frame) -> tuple[str, int]:
-        """The peer's name and life. Raises Refused."""
+        """The peer's name and life. Raises ProtocolError."""
         if frame["kind"] != "hello" or frame["version"] != VERSION:
-            raise Refused("a peer says hello first, in version 1")
+            raise ProtocolError("a peer says hello first, in version 1")
         name, life = frame["name"], frame.get("life")
         if name not in self.peers:
-            raise Refused(f"{name[:64]!r} is no front end of this installation's configuration")
+            raise ProtocolError(f"{name[:64]!r} is no front end of this installation's configuration")
         if frame.get("to") != self.name:
-            raise Refused(f"this is {self.name}, and {str(frame.get('to'))[:64]!r} was dialled")
+            raise ProtocolError(f"this is {self.name}, and {str(frame.get('to'))[:64]!r} was dialled")
         if not isinstance(life, int) or life < 0:
-            raise Refused("hello: 'life' is no time")
+            raise ProtocolError("hello: 'life' is no time")
         if frame.get("voters") != self.digest:
-            raise Refused("its configuration names other voters than ours: nothing is held in common with it")
+            raise ProtocolError("its configuration names other voters than ours: nothing is held in common with it")
         before = self.open.get(name)
         if before is not None:
             with suppress(OSError):         # an earlier life, or a connection that is gone
--- a/threadshift/peers/words.py
+++ b/threadshift/peers/words.py
@@ -6,7 +6,7 @@
 
 from typing import Any
 
-from threadshift.links.codec import Refused
+from threadshift.links.codec import ProtocolError
 
 PLACE, ENTRIES, ANY = "place", "entries", "any"
 FIELDS: dict[str, dict[str, Any]] = {
@@ -34,16 +34,18 @@
 
 
 def checked(hear: str, say: dict[str, Any]) -> dict[str, Any]:
-    """The fields that the method `hear` takes; further ones, of a later form, are passed over. Raises Refused."""
+    """The fields that the method `hear` takes; further ones, of a later form, are passed over. Raises
+    ProtocolError."""
     wanted = FIELDS.get(hear)
     if wanted is None:
-        raise Refused(f"record: no member hears '{hear[:64]}'")
+        raise ProtocolError(f"record: no member hears '{hear[:64]}'")
     found = {}
     for name, type_ in wanted.items():
         value: Any = say.get(name)
         good = (place(value) if type_ is PLACE else isinstance(value, list) and all(map(entry, value))
                 if type_ is ENTRIES else type(value) is type_ and (type_ is not int or value >= 0))
         if not good:
-            raise Refused(f"record: {hear}: field '{name}' is {'absent' if value is None else 'of the wrong type'}")
+            raise ProtocolError(
+                f"record: {hear}: field '{name}' is {'absent' if value is None else 'of the wrong type'}")
         found[name] = tuple(value) if type_ is PLACE else value
     return found
--- a/threadshift/standins/common.py
+++ b/threadshift/standins/common.py
@@ -18,7 +18,7 @@
 from threadshift.conf import values
 from threadshift.conf.values import Address
 from threadshift.interface import SECOND
-from threadshift.links.codec import Frame, Frames, Refused, encode
+from threadshift.links.codec import Frame, Frames, ProtocolError, encode
 from threadshift.links.sockets import READ, listener
 
 LONGEST_FRAME = 16 << 20   # bytes
@@ -124,7 +124,7 @@
                     self.hear(peer, frame)
                 while cut := self.cut_off(peer):
                     gevent.sleep(cut)       # accepts, but reads nothing on
-        except Refused as problem:
+        except ProtocolError as problem:
             peer.send("refused", reason=str(problem))
             gevent.sleep(0.01)
         except OSError:
--- a/threadshift/standins/store.py
+++ b/threadshift/standins/store.py
@@ -8,7 +8,7 @@
 import gevent
 
 from threadshift.conf.values import Address
-from threadshift.links.codec import Frame, Refused
+from threadshift.links.codec import Frame, ProtocolError
 from threadshift.standins.common import Peer, Record, Server
 
 OPERATIONS = ("echo", "upper", "reverse", "count", "sum", "digest")
@@ -48,7 +48,7 @@
         elif frame["kind"] == "fetch":
             self.group.spawn(self.fetch, peer, frame["id"], frame["function"])
         else:
-            raise Refused(f"'{frame['kind']}' is not for a store to hear")
+            raise ProtocolError(f"'{frame['kind']}' is not for a store to hear")
 
     def fetch(self, peer: Peer, id_: int, function: str) -> None:
         self.turned += self.faults.amount("refuse")
--- a/threadshift/standins/worker.py
+++ b/threadshift/standins/worker.py
@@ -23,7 +23,7 @@
 from threadshift.eviction.node import Evictor, keeper
 from threadshift.eviction.policies import Facts, digest
 from threadshift.interface import MS, SECOND
-from threadshift.links.codec import VERSION, Frame, Frames, Refused, encode
+from threadshift.links.codec import VERSION, Frame, Frames, ProtocolError, encode
 from threadshift.links.sockets import READ, connect
 from threadshift.standins.common import LONGEST_FRAME, Peer, Record, Server
 
@@ -160,16 +160,16 @@
         kind = frame["kind"]
         if kind == "hello":
             if peer.name:
-                raise Refused("a second hello")
+                raise ProtocolError("a second hello")
             if frame["version"] != VERSION:
-                raise Refused(f"version {frame['version']} is not spoken here, version {VERSION} is")
+                raise ProtocolError(f"version {frame['version']} is not spoken here, version {VERSION} is")
             peer.name, peer.zone = frame["name"] or "?", str(frame.get("zone", ""))
             peer.send("hello", version=VERSION, name=self.machine.name, started=self.started_wall,
                       size=self.machine.size, zone=self.machine.zone, draining=self.draining,
                       policies={name: digest(each) for name, each in self.evictor.policies.items()})
             self.told_of_eviction(peer, frame)
         elif not peer.name:
-            raise Refused(f"'{kind}' came before hello")
+            raise ProtocolError(f"'{kind}' came before hello")
         elif kind == "invoke":
             self.invoke(peer, frame)
         elif kind == "cancel":
@@ -193,7 +193,7 @@
             peer.send("pong", epoch=it.force.epoch, complaint=it.complaint, lacks=it.lacks,
                       copies=[name for name, shelf in self.shelves.items() if shelf.copies][:MOST_COPIES])
         elif kind != "refused":
-            raise Refused(f"'{kind}' is not for a worker to hear")
+            raise ProtocolError(f"'{kind}' is not for a worker to hear")
 
     def told_of_eviction(self, peer: Peer, frame: Frame) -> None:
         """Which policy is in force, and which other workers hold what."""
@@ -309,7 +309,7 @@
                         return "the pack does not match its digest"
                     return json.loads(frame["body"])
             return "store: closed"
-        except (OSError, Refused) as problem:
+        except (OSError, ProtocolError) as problem:
             return f"store: {problem}"
         finally:
             sock.close()
