--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -14,7 +14,7 @@
 from threadshift.invoke.shares import LEAST, NOBODY, Places, parts, weights
 from threadshift.invoke.tally import EVERY, Tally
 from threadshift.log import Log
-from threadshift.ration import A_SECOND, KINDS, Ration
+from threadshift.log_limiter import LINES_PER_SECOND, MAX_KINDS, LogRateLimiter
 
 TENANTS = tuple(Tenant(name, share, 100.0) for name, share in (("a", 0.5), ("b", 0.3), ("c", 0.1)))
 WEIGHT = weights(TENANTS)
@@ -126,17 +126,17 @@
         self.assertGreater(EVERY, SECOND)
 
     def test_kinds_are_rationed_apart_and_what_was_held_back_is_told(self):
-        it = Ration(0)
-        granted = sum(it.grant(n * MS, "final no-room") for n in range(3000))
-        self.assertEqual(granted, 3 * A_SECOND)
-        self.assertTrue(it.grant(3 * SECOND, "roster-lost"))
-        self.assertEqual(it.tell(4 * SECOND), {})
-        told = it.tell(5 * SECOND)
-        self.assertEqual(told, {"final no-room": {"lines": 3000 - granted, "for_ms": 5000 - A_SECOND}})
-        self.assertEqual(it.tell(6 * SECOND, all_=True), {})
-        for n in range(10 * KINDS):
-            it.grant(SECOND, f"kind {n}")
-        self.assertLessEqual(len(it.kinds), KINDS + 1)
+        it = LogRateLimiter(0)
+        granted = sum(it.allow(n * MS, "final no-room") for n in range(3000))
+        self.assertEqual(granted, 3 * LINES_PER_SECOND)
+        self.assertTrue(it.allow(3 * SECOND, "roster-lost"))
+        self.assertEqual(it.summary(4 * SECOND), {})
+        told = it.summary(5 * SECOND)
+        self.assertEqual(told, {"final no-room": {"lines": 3000 - granted, "for_ms": 5000 - LINES_PER_SECOND}})
+        self.assertEqual(it.summary(6 * SECOND, is_last=True), {})
+        for n in range(10 * MAX_KINDS):
+            it.allow(SECOND, f"kind {n}")
+        self.assertLessEqual(len(it.kinds), MAX_KINDS + 1)
 
 
 class Stuck(io.StringIO):
--- a/threadshift/cli/serve.py
+++ b/threadshift/cli/serve.py
@@ -56,7 +56,7 @@
     import gevent
     from gevent.fileobject import FileObject
 
-    from threadshift import collector
+    from threadshift import garbage_collection
     from threadshift.gateway.front_end import FrontEnd
     from threadshift.log import Log
     it = told(file)
@@ -74,7 +74,7 @@
             os.close(ready_fd)
 
     front = FrontEnd(it, index, log, seed, disk, version, ready)
-    collector.calm()
+    garbage_collection.freeze_startup_objects()
 
     def parent_gone() -> None:
         while FileObject(sys.stdin.buffer, "rb").read(1):
--- a/threadshift/log.py
+++ b/threadshift/log.py
@@ -1,7 +1,7 @@
 """Structured logs over structlog, written by a thread of their own so that a full pipe never holds a call up.
 
 `Log.note(event, level, **fields)` is all that packages use. The queue is bounded; what finds it full, or is one of
-too many of its kind (ration.py), is counted before anything is rendered, and the counts are logged by kind.
+too many of its kind (log_limiter.py), is counted before anything is rendered, and the counts are logged by kind.
 """
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 import structlog
 
-from threadshift.ration import Ration
+from threadshift.log_limiter import LogRateLimiter
 
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 RARE = 0.25                # of the queue, kept for kinds of which no line was held back lately
@@ -69,7 +69,7 @@
                  **always: Any):
         self.level = LEVELS[level]
         self.lines = Lines(stream or sys.stderr, most)
-        self.ration = Ration(time.monotonic_ns())
+        self.limiter = LogRateLimiter(time.monotonic_ns())
         render: Any = (structlog.processors.JSONRenderer() if form == "json"
                        else structlog.dev.ConsoleRenderer(colors=False))
         self.logger = structlog.wrap_logger(
@@ -85,22 +85,22 @@
         if not self.wanted(level):
             return
         now, kind = time.monotonic_ns(), f"{event} {fields['reason']}" if "reason" in fields else event
-        if self.ration.grant(now, kind):
-            known = self.ration.kinds.get(kind)
+        if self.limiter.allow(now, kind):
+            known = self.limiter.kinds.get(kind)
             if self.lines.room(1 - RARE if known and known.written > 1 else 1):
                 getattr(self.logger, level)(event, **fields)
             else:
-                self.ration.refused(now, kind)
+                self.limiter.suppress(now, kind)
         self.tick(now)
 
-    def tick(self, now: int, all_: bool = False) -> None:
+    def tick(self, now: int, is_last: bool = False) -> None:
         """Says what was not written, once it is time; whoever logs nothing for long calls it."""
-        if self.lines.room(1) and (told := self.ration.tell(now, all_)):
+        if self.lines.room(1) and (told := self.limiter.summary(now, is_last)):
             self.logger.warning("lines-held-back", kinds=told)
 
     def close(self) -> None:
         deadline = time.monotonic() + CLOSE_WAIT
         while not self.lines.room(1) and time.monotonic() < deadline:
             time.sleep(0.01)                # a slow reader is given the time to take the last words
-        self.tick(time.monotonic_ns(), all_=True)
+        self.tick(time.monotonic_ns(), is_last=True)
         self.lines.close()
--- a/threadshift/node/start.py
+++ b/threadshift/node/start.py
@@ -22,13 +22,13 @@
         return 2
     import gevent
 
-    from threadshift import collector
+    from threadshift import garbage_collection
     from threadshift.log import Log
     from threadshift.node.front import Node
     log = Log("json", "info", LOG_LINES, front_end=told.name)
     try:
         node = Node(told, environment, log)
-        collector.calm()
+        garbage_collection.freeze_startup_objects()
         gevent.signal_handler(signal.SIGTERM, node.end)
         gevent.signal_handler(signal.SIGINT, node.end)
         gevent.signal_handler(signal.SIGHUP, node.reload)
