--- a/threadshift/log_limiter.py
+++ b/threadshift/log_limiter.py
@@ -11,9 +11,9 @@
 
 from threadshift.interface import MS, SECOND
 
-LINES_PER_SECOND = 20              # of one kind; enough to see single calls, and a few per cent of a processor at most
+LINES_PER_SECOND = 20       # of one kind; enough to see single calls, and a few per cent of a processor at most
 SUMMARY_INTERVAL = 5 * SECOND
-MAX_KINDS = 256                    # kinds that are counted separately; further ones are counted together as "others"
+MAX_KINDS = 256             # kinds that are counted separately; further ones are counted together as "others"
 
 
 @dataclass(slots=True)
