--- a/benchmarks/experiments.py
+++ b/benchmarks/experiments.py
@@ -74,7 +74,7 @@
     told = (out / "trials-notes.md").read_text() if (out / "trials-notes.md").exists() else ""
     notes = {each[1]: told[each.end():].split("\n## ")[0] for each in re.finditer(r"^## (\w+)\n", told, re.M)}
     lines = ["# Experiments on emulated days", "",
-             "All figures are simulated: the real desk and decisions on a virtual clock (`docs/emulator.md`). "
+             "All figures are simulated: the real engine and decisions on a virtual clock (`docs/emulator.md`). "
              "Utility in time over asked: mean of runs, 95% bootstrap intervals; comparisons are paired by seed. "
              "Latencies from the first try to the completed answer. The oracle sees every worker's true state and is "
              "greedy.", "",
--- a/benchmarks/structures.py
+++ b/benchmarks/structures.py
@@ -3,7 +3,7 @@
     python benchmarks/structures.py [--rounds 7]
 
 Timers: every call sets one for its deadline, 2 s ahead, and is over 60 ms later. `heapq` leaves what is over until it
-comes to the top, as the desk does; the wheel takes it out at once. Ring look-ups: the first point clockwise of a
+comes to the top, as the engine does; the wheel takes it out at once. Ring look-ups: the first point clockwise of a
 drawn hash. Sketch: add a name and read its count, four rows of 4096.
 """
 import argparse
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -10,7 +10,7 @@
 from tests.live import Live
 from threadshift.audit.records import Seen, Unreadable, read
 from threadshift.audit.rules import SLACK, breaches
-from threadshift.engine.engine import Desk
+from threadshift.engine.engine import RequestEngine
 from threadshift.interface import MS, SECOND, Deployment, Outcome
 
 TOLD = Deployment((), drain_grace=SECOND, cold_share=0.2, cold_time=10 * SECOND, fall_multiple=2.0,
@@ -165,11 +165,11 @@
 
     def test_rule_2_a_broken_send_taken_for_one_that_never_ran(self):
         def lie(live):
-            true = Desk.ended
+            true = RequestEngine.ended
 
-            def ended(desk, held, now, number, outcome, *rest):
-                true(desk, held, now, number, Outcome.UNREACHABLE if outcome is Outcome.RESET else outcome, *rest)
-            live.front.desk.ended = ended.__get__(live.front.desk)
+            def ended(engine, held, now, number, outcome, *rest):
+                true(engine, held, now, number, Outcome.UNREACHABLE if outcome is Outcome.RESET else outcome, *rest)
+            live.front.engine.ended = ended.__get__(live.front.engine)
 
         def run(live, ask):
             ask.call("submit-x")
@@ -194,7 +194,7 @@
         cold = dict(cold_share=0.2, cold_time=20 * SECOND, fall_multiple=2.0, fall_time=SECOND)
 
         def careless(live):
-            live.front.desk.dispatcher.cold_time = 0
+            live.front.engine.dispatcher.cold_time = 0
 
         def run(live, ask):
             calls = [gevent.spawn(ask.call, "f", 1500, 200) for _ in range(30)]
@@ -206,8 +206,8 @@
         window = dict(load_window=5 * SECOND, load_free=1, load_ratio=0.1)
 
         def greedy(live):
-            live.front.desk.dispatcher.load_free = 1e9
-            live.front.desk.dispatcher.load_limit = live.front.desk.dispatcher.most_loads = 1e9
+            live.front.engine.dispatcher.load_free = 1e9
+            live.front.engine.dispatcher.load_limit = live.front.engine.dispatcher.most_loads = 1e9
 
         def run(live, ask):
             gevent.joinall([gevent.spawn(ask.call, f"f{n}") for n in range(12)])
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -158,10 +158,10 @@
     def drain_unread(self, it):
         """The drain lies in the socket of the stream; the loop has not turned since."""
         it.coordinator.say(event(2, instance("s-0", it.workers[0].address, "Terminating")))
-        self.assertTrue(it.node.desk.dispatcher.workers["s-0"].ready)
+        self.assertTrue(it.node.engine.dispatcher.workers["s-0"].ready)
 
     def assert_not_sent(self, it):
-        self.assertFalse(it.node.desk.dispatcher.workers["s-0"].ready)
+        self.assertFalse(it.node.engine.dispatcher.workers["s-0"].ready)
         self.assertEqual(it.workers[0].codes(INVOKE) + it.workers[0].codes(HOLD), [])
 
     def test_is_read_before_what_an_answer_brings(self):
@@ -184,19 +184,19 @@
     def test_is_read_before_the_timer_decides(self):
         with Platform() as it:
             ready = []
-            it.node.desk.due = lambda: 0
-            it.node.desk.tick = lambda now: ready.append(it.node.desk.dispatcher.workers["s-0"].ready)
+            it.node.engine.due = lambda: 0
+            it.node.engine.tick = lambda now: ready.append(it.node.engine.dispatcher.workers["s-0"].ready)
             self.drain_unread(it)
             it.node.beat(time.monotonic_ns(), 0)
             self.assertFalse(any(ready[-1:]))
-            del it.node.desk.due, it.node.desk.tick
+            del it.node.engine.due, it.node.engine.tick
 
     def settling(self, it):
         """How sends stood, each time that unread news was waited for: the list is filled as that happens."""
         seen, settle = [], it.node.settle
 
         def noted():
-            seen.extend(sent.outcome for held in it.node.desk.held.values() for sent in held.sends)
+            seen.extend(sent.outcome for held in it.node.engine.held.values() for sent in held.sends)
             settle()
         it.node.settle = noted
         return seen
@@ -233,16 +233,16 @@
     def test_news_of_the_feed_that_lies_unread_is_read_before_anything_is_sent(self):
         with Live(workers=1) as live:
             for act in (live.front.settle, live.front.api.read_updates):
-                until(lambda: live.front.desk.dispatcher.workers["w0"].ready)
+                until(lambda: live.front.engine.dispatcher.workers["w0"].ready)
                 live.list("w0", live.workers["w0"].address)
                 changed = dict(live.feed.workers["w0"], state="draining")
                 until(lambda: live.front.feed.generation == live.feed.generation)
                 live.feed.generation += 1
                 for peer in live.feed.peers:
                     peer.sock.sendall(encode("changes", generation=live.feed.generation, workers=[changed]))
-                self.assertTrue(live.front.desk.dispatcher.workers["w0"].ready)
+                self.assertTrue(live.front.engine.dispatcher.workers["w0"].ready)
                 act()
-                self.assertFalse(live.front.desk.dispatcher.workers["w0"].ready)
+                self.assertFalse(live.front.engine.dispatcher.workers["w0"].ready)
                 live.feed.obey(["state", "w0", "ready"])
 
     def test_calls_ask_for_it(self):
@@ -269,20 +269,20 @@
         with Platform() as it:
             it.coordinator.say(event(2, instance("s-7", "nowhere", weight="heavy"),
                                      instance("s-0", it.workers[0].address, "Terminating")))
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
             self.assertEqual(it.log.of("event-unreadable")[0]["entries"], 1)
             self.assertEqual(it.call()[0], 503)
 
     def test_nor_does_what_is_wrong_with_the_drain_s_own_entry(self):
         with Platform() as it:
             it.coordinator.say(event(2, instance("s-0", "nowhere", "Terminating", weight=None, zone=7)))
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
 
     def test_a_worker_of_a_full_list_whose_entry_is_bad_stays_as_it_was(self):
         with Platform([serve, serve]) as it:
             it.coordinator.say(event(2, instance("s-0", "nowhere"), full=True))
-            until(lambda: not it.node.desk.dispatcher.workers["s-1"].ready)
-            self.assertTrue(it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-1"].ready)
+            self.assertTrue(it.node.engine.dispatcher.workers["s-0"].ready)
             self.assertEqual(it.call()[0], 200)
 
 
@@ -290,7 +290,7 @@
     """Events that a front end must not pass over."""
 
     def drained(self, it):
-        until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+        until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
 
     def reload(self, it, known, coordinator):
         with tempfile.NamedTemporaryFile("w") as file:
@@ -319,7 +319,7 @@
             self.reload(it, {"index": 3, "updates": [
                 event(1, instance("s-0", address), full=True), event(2, instance("s-0", address, weight=2.0)),
                 event(3, instance("s-0", address, "Terminating"))]}, it.coordinator)
-            self.assertFalse(it.node.desk.dispatcher.workers["s-0"].ready)
+            self.assertFalse(it.node.engine.dispatcher.workers["s-0"].ready)
 
     def test_where_an_event_is_missing_the_stream_is_asked_again_once(self):
         with Platform() as it:
@@ -329,7 +329,7 @@
             self.drained(it)
             self.assertEqual(it.coordinator.asked[1:], [1])
             it.coordinator.say(event(5, instance("s-0", address)))      # there is no fourth
-            until(lambda: it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: it.node.engine.dispatcher.workers["s-0"].ready)
             self.assertEqual(it.coordinator.asked[2:], [3])
 
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -6,7 +6,7 @@
 from tests.helpers import deployment, ready
 from threadshift.choice import NEVER_RAN, Dispatcher
 from threadshift.engine import previous_process
-from threadshift.engine.engine import Answer, Call, Desk, Final
+from threadshift.engine.engine import Answer, Call, Final, RequestEngine
 from threadshift.interface import (
     MS, SECOND, Copy, Deployment, Effect, Listing, NamespaceType, Outcome, State)
 
@@ -14,10 +14,10 @@
 
 
 class Fleet:
-    """The ports of a desk, written down: what was sent, cancelled, ordered and answered, with the time."""
+    """The ports of an engine, written down: what was sent, cancelled, ordered and answered, with the time."""
 
     def __init__(self, at_once=()):
-        self.desk, self.log, self.answers, self.overs = None, [], {}, set()
+        self.engine, self.log, self.answers, self.overs = None, [], {}, set()
         self.at_once = list(at_once)        # outcomes that the next sends end with at once
         self.asked = []
         self.moot = False
@@ -25,22 +25,22 @@
         self.gone_unread = set()            # whose client has left, and nobody has heard
 
     def send(self, worker, held, number):
-        self.log.append(("send", self.desk.now, held.ivk, worker, held.settled))
+        self.log.append(("send", self.engine.now, held.ivk, worker, held.settled))
         return self.at_once.pop(0) if self.at_once else None
 
     def cancel(self, worker, held, number, tell):
-        self.log.append(("cancel", self.desk.now, held.ivk, worker, tell))
+        self.log.append(("cancel", self.engine.now, held.ivk, worker, tell))
         return Outcome.MOOT if self.moot else Outcome.CANCELLED
 
     def withdraw(self, worker, held, number):
         if (worker, held.ivk) in self.waiting:
-            self.log.append(("withdrawn", self.desk.now, held.ivk, worker, held.settled))
+            self.log.append(("withdrawn", self.engine.now, held.ivk, worker, held.settled))
             return True
         return False
 
     def hold(self, worker, order):
         self.asked.append(order)
-        self.log.append(("hold", self.desk.now, order.fn, worker, False))
+        self.log.append(("hold", self.engine.now, order.fn, worker, False))
 
     def ask(self, worker, question):
         self.asked.append(question)
@@ -58,9 +58,9 @@
         return [entry[3] for entry in self.log if entry[0] == "send" and entry[2] == ivk]
 
 
-def desk(workers=4, at_once=(), **changes):
+def engine(workers=4, at_once=(), **changes):
     fleet = Fleet(at_once)
-    it = fleet.desk = Desk(Dispatcher(1, deployment(**changes), 0), fleet, fleet)
+    it = fleet.engine = RequestEngine(Dispatcher(1, deployment(**changes), 0), fleet, fleet)
     it.roster(0, [ready(f"w{n}") for n in range(workers)], full=True)
     return it, fleet
 
@@ -71,7 +71,7 @@
 
 class Answers(unittest.TestCase):
     def test_the_first_completed_answer_is_handed_on_once(self):
-        it, fleet = desk()
+        it, fleet = engine()
         held = it.take(0, "a", ask())
         held.returned(10 * MS, 0, Outcome.COMPLETED, body=b"x")
         held.returned(11 * MS, 0, Outcome.COMPLETED, body=b"y")
@@ -88,7 +88,7 @@
             (Effect.DEDUPLICATED, [Outcome.MOOT] * 4, Final.REJECTED, False),
         )
         for effect, outcomes, final, ran in cases:
-            it, fleet = desk(at_once=outcomes)
+            it, fleet = engine(at_once=outcomes)
             held = it.take(0, "a", ask(effect))
             self.assertEqual([each.final for each in fleet.answers["a"]], [final], (effect, outcomes))
             self.assertEqual(held.answer.may_have_run, ran, (effect, outcomes))
@@ -96,7 +96,7 @@
 
     def test_time_up_answers_in_time_and_ends_every_send(self):
         for may_cancel in (True, False):
-            it, fleet = desk(may_cancel=may_cancel)
+            it, fleet = engine(may_cancel=may_cancel)
             held = it.take(0, "a", ask(Effect.ONCE_ONLY, left=300 * MS))
             while it.due() <= 300 * MS:
                 it.tick(it.due())
@@ -107,21 +107,21 @@
             self.assertEqual(len(fleet.answers["a"]), 1)
 
     def test_what_comes_after_a_standstill_is_too_late(self):
-        it, fleet = desk()
+        it, fleet = engine()
         held = it.take(0, "a", ask(left=300 * MS))
         held.returned(SECOND, 0, Outcome.COMPLETED)
         it.tick(SECOND)
         self.assertEqual([each.final for each in fleet.answers["a"]], [Final.REJECTED])
 
     def test_what_we_held_up_ourselves_is_not_the_workers(self):
-        it, fleet = desk()
+        it, fleet = engine()
         held = it.take(0, "a", ask())
         held.returned(2 * SECOND, 0, Outcome.COMPLETED, copy=Copy.FOUND, waited=10 * MS)
         worker = it.dispatcher.workers[held.sends[0].worker]
         self.assertEqual((held.sends[0].waited, worker.pace < 0.05), (10 * MS, True))
 
     def test_a_client_that_quits_is_owed_nothing(self):
-        it, fleet = desk()
+        it, fleet = engine()
         held = it.take(0, "a", ask())
         held.left(5 * MS)
         held.left(6 * MS)
@@ -130,14 +130,14 @@
 
     def test_a_cancelled_send_that_never_left_is_told_apart(self):
         for moot in (True, False):
-            it, fleet = desk(workers=1)
+            it, fleet = engine(workers=1)
             fleet.moot = moot
             held = it.take(0, "a", ask())
             it.carry(0, it.dispatcher.steps(it.dispatcher.close, held.act, None))
             self.assertEqual(held.sends[0].outcome in NEVER_RAN, moot)
 
     def test_an_order_and_a_question_that_nobody_answers_end(self):
-        it, fleet = desk(loads_on_miss=False, may_probe=True, front_ends=100)
+        it, fleet = engine(loads_on_miss=False, may_probe=True, front_ends=100)
         it.dispatcher.pressed = 1.0
         for worker in it.dispatcher.fleet:      # two copies believed to stand, so an answer could move the call
             worker.warm |= {"f": 3 * SECOND, "g": 3 * SECOND}
@@ -155,7 +155,7 @@
         self.assertEqual(len(fleet.log), before)
 
     def test_a_clock_that_goes_back_counts_as_standing(self):
-        it, fleet = desk()
+        it, fleet = engine()
         it.take(5 * SECOND, "a", ask())
         held = it.take(SECOND, "b", ask())
         self.assertEqual((held.taken, held.deadline), (5 * SECOND, 5 * SECOND + LATE))
@@ -176,11 +176,11 @@
 
 
 class Play:
-    """Plays a list of events on a desk and keeps the promises in view."""
+    """Plays a list of events on an engine and keeps the promises in view."""
 
     def __init__(self, test, may_cancel, may_twice):
         self.test, self.may_twice = test, may_twice
-        self.it, self.fleet = desk(workers=5, may_cancel=may_cancel, may_duplicate=may_twice, max_sends=4)
+        self.it, self.fleet = engine(workers=5, may_cancel=may_cancel, may_duplicate=may_twice, max_sends=4)
         self.now, self.calls, self.jumped, self.unready = 0, [], 0, {}
 
     def play(self, events):
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -47,7 +47,7 @@
                 refused = [job.value for job in jobs if job.value.status in (429, 503)]
                 self.assertTrue(refused)
                 self.assertTrue(all("retry-after" in each.headers for each in refused))
-                until(lambda: not live.front.desk.owed)
+                until(lambda: not live.front.engine.owed)
             self.assertEqual(live.front.api.places.all, 0)
             told = live.log.of("turned-away")
             self.assertTrue(any(each["reason"].startswith("too-many") and each["tenants"].get("a") for each in told))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -101,7 +101,7 @@
             busy = live.client()
             busy.ask("GET", "/v1/status")
             held = gevent.spawn(live.call, "f", b"held", work_hint="400")
-            until(lambda: live.front.desk.owed)
+            until(lambda: live.front.engine.owed)
             began = time.monotonic()
             live.front.end()
             until(lambda: live.front.api.closing)
@@ -118,7 +118,7 @@
             for worker in live.workers.values():
                 worker.obey(["hang", "9s"])
             held = gevent.spawn(live.call, "submit-x")
-            until(lambda: live.front.desk.owed)
+            until(lambda: live.front.engine.owed)
             began = time.monotonic()
             live.front.end()
             live.running.join(5)
@@ -175,7 +175,7 @@
         """Found by a hunt: read first, it went to a worker that the roster had long told of as draining."""
         with Live() as live:
             live.call("f")
-            home = next(name for name, worker in live.front.desk.dispatcher.workers.items() if worker.warm)
+            home = next(name for name, worker in live.front.engine.dispatcher.workers.items() if worker.warm)
             drains = replace(live.front.registry.known[home].entry, state=State.DRAINING)
             sent = live.front.send
             to = []
@@ -190,14 +190,14 @@
         with Live() as live:
             live.call("f")
             drains = replace(live.front.registry.known["w0"].entry, state=State.DRAINING)
-            states, ended = [], live.front.desk.ended
+            states, ended = [], live.front.engine.ended
 
             def hear(*words, **more):
                 states.append(live.front.registry.state(live.front.registry.known["w0"]))
                 ended(*words, **more)
-            live.front.desk.ended = hear
+            live.front.engine.ended = hear
             job = gevent.spawn(live.call, "f", work_hint="100")
-            until(lambda: live.front.desk.owed)
+            until(lambda: live.front.engine.owed)
             live.front.api.looks.unread = lambda now: gevent.spawn(live.front.listed, [drains], False) and 200 * MS
             job.join()
             self.assertEqual(states, [State.DRAINING])
@@ -288,7 +288,7 @@
     def test_a_miss_brings_a_load_order_and_the_call_goes_on(self):
         with Live(loads_on_miss=False, fleet="    loads-on-miss no\n") as live:
             reply = live.call("f")
-            self.assertEqual((reply.status, live.front.desk.counts["miss"], live.front.desk.counts["orders"]),
+            self.assertEqual((reply.status, live.front.engine.counts["miss"], live.front.engine.counts["orders"]),
                              (200, 1, 1))
 
 
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""The five rules over histories: recorded ones, and ones drawn with troubles together that drive the real desk and
+"""The five rules over histories: recorded ones, and ones drawn with troubles together that drive the real engine and
 decisions. What a port breaks on the way to the outside must be named: that rule, and no other."""
 import json
 import random
@@ -168,7 +168,7 @@
 
     def test_rule_4_a_cold_worker_pushed_over(self):
         def push(it, front):
-            front.desk.dispatcher.cold_time = 0
+            front.engine.dispatcher.cold_time = 0
             whom = front.link
             young = [name for name in it.zones if name != "w0"]
 
@@ -185,7 +185,7 @@
             def act(what, worker, *rest):
                 if what == "hold":
                     for _ in range(12):
-                        Port.hold(front, worker, Extra(front.desk, worker, rest[0].fn))
+                        Port.hold(front, worker, Extra(front.engine, worker, rest[0].fn))
             return act
         self.both(5, DAY.replace("fleet {", "fleet {\n    loads-on-miss no"), order)
 
--- a/tests/test_invoke.py
+++ b/tests/test_invoke.py
@@ -85,9 +85,9 @@
         self.assertEqual(self.live.log.of("fault"), [])
 
     def test_a_request_smuggled_behind_a_bad_one_is_not_served(self):
-        before = self.live.front.desk.counts["taken"]
+        before = self.live.front.engine.counts["taken"]
         self.live.raw(f"{POST}Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n".encode() + request())
-        self.assertEqual(self.live.front.desk.counts["taken"], before)
+        self.assertEqual(self.live.front.engine.counts["taken"], before)
 
     def test_pipelined_requests_are_answered_in_order(self):
         self.live.call("slowly")
@@ -103,12 +103,12 @@
         self.assertEqual(statuses(got), [200] * 10 + [400])
 
     def test_a_client_that_quits_is_told_to_the_module(self):
-        before = self.live.front.desk.counts["left"]
+        before = self.live.front.engine.counts["left"]
         with socket.create_connection(("127.0.0.1", self.live.port)) as sock:
             sock.sendall(request(work_hint=400))
-            until(lambda: self.live.front.desk.owed)
-        until(lambda: self.live.front.desk.counts["left"] == before + 1)
-        self.assertEqual(self.live.front.desk.owed, 0)
+            until(lambda: self.live.front.engine.owed)
+        until(lambda: self.live.front.engine.counts["left"] == before + 1)
+        self.assertEqual(self.live.front.engine.owed, 0)
 
     def test_idle_connections_end_and_many_do_no_harm(self):
         socks = [socket.create_connection(("127.0.0.1", self.live.port)) for _ in range(300)]
@@ -144,7 +144,7 @@
             where = client.ask("POST", "/v1/functions/submit-x/calls",
                                {"Prefer": "respond-async", "Time-Left": "400"}).headers["location"]
             self.assertEqual(client.ask("GET", where, {"Prefer": "wait=60"}).status, 202)
-            until(lambda: not live.front.desk.owed)
+            until(lambda: not live.front.engine.owed)
             reply = client.ask("GET", where)
             self.assertEqual((reply.status, reply.headers["final"]), (504, "aborted"))
             self.assertTrue(json.loads(reply.body)["may-have-run"])
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -245,7 +245,7 @@
                 elif frame["kind"] == "ping":
                     sock.sendall(encode("pong"))
         reply, worker, live = ends("submit-x", script)
-        self.assertEqual((reply.status, reply.body, live.front.desk.counts["answered completed"]), (200, b"ok", 1))
+        self.assertEqual((reply.status, reply.body, live.front.engine.counts["answered completed"]), (200, b"ok", 1))
 
     def test_what_waited_for_the_link_does_not_go_to_another_life_of_the_worker(self):
         """It was sent to a warm worker, and would all arrive at once at a cold one, past its budget (rule 4), or at
@@ -299,7 +299,7 @@
         running = gevent.spawn(live.front.run)
         live.running = running
         until(lambda: live.front.links)
-        until(lambda: live.front.desk.dispatcher.fleet)
+        until(lambda: live.front.engine.dispatcher.fleet)
         begun.append(time.monotonic_ns())
         self.assertEqual(live.call("submit-x", time_left="900").status, 200)
         left, at = seen[0]
@@ -314,7 +314,7 @@
         live.list("w0", worker.address)
         with live:
             until(lambda: live.front.links and live.front.links["w0"].up)
-            live.front.desk.dispatcher.load_limit = 99.0
+            live.front.engine.dispatcher.load_limit = 99.0
             calls = [gevent.spawn(live.call, f"f{n}", b"x" * 4_000_000, time_left="2000") for n in range(8)]
             outbox = live.front.links["w0"].outbox
             until(lambda: outbox.unwritten)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -113,7 +113,7 @@
         with Platform([silent]) as it:
             self.assertEqual(it.call(type_="submit", left="80")[0], 502)
             until(lambda: it.workers[0].codes(GIVE_UP))
-            until(lambda: not it.node.desk.held)
+            until(lambda: not it.node.engine.held)
             self.assertFalse(it.node.links["s-0"].ways)
 
     def test_an_answer_that_crosses_its_end_is_not_the_next_sends(self):
@@ -333,7 +333,7 @@
             self.assertEqual(it.coordinator.asked[1:], [1])
             it.coordinator.say(event(2, instance("s-8", other.address)))
             it.coordinator.say(event(3, instance("s-9", other.address, "Terminating")))
-            until(lambda: not it.node.desk.dispatcher.workers["s-9"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-9"].ready)
             self.assertNotIn("s-8", it.node.links)
 
     def test_a_new_worker_at_the_address_of_one_that_is_gone(self):
@@ -367,7 +367,7 @@
             file.write(json.dumps(configuration(coordinator=str(other.address))))
             file.flush()
             it.node.reload()
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
             self.assertEqual(other.asked, [1])
 
 
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -11,7 +11,7 @@
 from tests.test_engine import Fleet
 from threadshift.choice import Dispatcher
 from threadshift.conf.settings import Malformed
-from threadshift.engine.engine import Call, Desk, Final
+from threadshift.engine.engine import Call, Final, RequestEngine
 from threadshift.frames.codec import INVOKE
 from threadshift.interface import MS, SECOND, Copy, Effect, Outcome
 from threadshift.invoke.admission import Admission
@@ -67,13 +67,13 @@
         Descriptors(it.sockets).clients(40)
         leaving = Leaving(max(each.action_timeout for each in types))
         fleet, now, calls = Fleet(), SECOND, []
-        desk = fleet.desk = Desk(Dispatcher(1, it.deployment, now), fleet, fleet, it.load_order)
-        desk.roster(now, [ready(f"w{n}", since=now if n == 3 else 0) for n in range(4)], full=True)
+        engine = fleet.engine = RequestEngine(Dispatcher(1, it.deployment, now), fleet, fleet, it.load_order)
+        engine.roster(now, [ready(f"w{n}", since=now if n == 3 else 0) for n in range(4)], full=True)
         for what, pick, outcome in events:
             out = [(held, n) for held in calls for n, sent in enumerate(held.sends) if sent.outcome is None]
             if what == "take":
                 type_ = types[pick % len(types)]
-                calls.append(desk.take(now, f"c{len(calls)}", Call(
+                calls.append(engine.take(now, f"c{len(calls)}", Call(
                     type_.name, f"f{pick % 4}", type_.action_timeout * (1 + pick % 3) // 3,
                     tenant=it.deployment.tenants[pick % len(it.deployment.tenants)].name if it.deployment.tenants
                     else "", work=pick * MS)))
@@ -83,11 +83,11 @@
             elif what == "leave" and calls:
                 calls[pick % len(calls)].left(now)
             else:
-                now = self.wait(desk, now, now + pick * 10 * MS)
+                now = self.wait(engine, now, now + pick * 10 * MS)
         leaving.begin(now)
-        desk.hasten(now, leaving.answered)
-        now = self.wait(desk, now, leaving.answered)
-        self.assertEqual((desk.owed, desk.counts["overdue"]), (0, 0))
+        engine.hasten(now, leaving.answered)
+        now = self.wait(engine, now, leaving.answered)
+        self.assertEqual((engine.owed, engine.counts["overdue"]), (0, 0))
         for held in calls:
             answers = fleet.answers.get(held.ivk, [])
             self.assertEqual(len(answers), 0 if held.gone else 1)
@@ -99,10 +99,10 @@
                 self.assertFalse(ran and answers and answers[0].final is Final.REJECTED)
             self.assertLessEqual(len(held.sends), it.deployment.max_sends)
 
-    def wait(self, desk, now, until):
-        while desk.due() <= until:
-            now = max(now, desk.due())
-            desk.tick(now)
+    def wait(self, engine, now, until):
+        while engine.due() <= until:
+            now = max(now, engine.due())
+            engine.tick(now)
         return until
 
     def test_what_is_bad_is_one_line_that_names_it(self):
@@ -146,13 +146,13 @@
 
     def test_a_tenants_calls_are_its_own_and_not_nobodys(self):
         with self.played() as it:
-            taken, take = [], it.node.desk.dispatcher.take
+            taken, take = [], it.node.engine.dispatcher.take
 
             def note(*words, **facts):
                 act = take(*words, **facts)
                 taken.append((facts["tenant"], act.spare))
                 return act
-            it.node.desk.dispatcher.take = note
+            it.node.engine.dispatcher.take = note
             it.call(HTTP_X_TEAM="one")
             it.call(id_="00000000000000a2")
             self.assertEqual(taken, [("one", False), ("", True)])
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -22,7 +22,7 @@
 from tests.live import free_port, until
 from tests.platform import (
     SETTINGS, Client, Coordinator, Platform, Worker, begin, configuration, event, instance, params, request, serve)
-from tests.test_engine import ask, desk
+from tests.test_engine import ask, engine
 from threadshift.conf.values import Address
 from threadshift.coordinator import freshness
 from threadshift.fastcgi import room
@@ -85,7 +85,7 @@
     busy = [it.client() for _ in range(it.node.door.most())]
     for n, each in enumerate(busy):
         each.ask(id_=f"{n:016x}", left=left)
-    until(lambda: it.node.desk.owed == len(busy))
+    until(lambda: it.node.engine.owed == len(busy))
 
 
 def attempt(id_, time_left, body=b""):
@@ -104,7 +104,7 @@
                 until(lambda: it.workers[0].codes(INVOKE))
                 it.node.end()
                 self.assertEqual((client.answer() or [None])[0], wanted)
-                self.assertFalse(it.node.desk.counts["overdue"])
+                self.assertFalse(it.node.engine.counts["overdue"])
 
     def test_one_taken_after_the_word_too(self):
         with Platform([silent]) as it:
@@ -136,7 +136,7 @@
             next(iter(it.node.door.connections)).sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 16)
             client.ask()
             until(lambda: any(each.outbox.size for each in it.node.door.connections))
-            self.assertEqual(it.node.desk.owed, 0)
+            self.assertEqual(it.node.engine.owed, 0)
             it.node.end()
             closing(it)
             status, _, body = client.answer() or (None, None, b"")
@@ -196,7 +196,7 @@
     def test_a_send_that_has_not_left_does_not_once_its_client_is_gone(self):
         # Where cancels are not allowed, it left as soon as its connection came up.
         for may_cancel in (True, False):
-            it, fleet = desk(workers=1, may_cancel=may_cancel)
+            it, fleet = engine(workers=1, may_cancel=may_cancel)
             held = it.take(0, "a", ask(Effect.ONCE_ONLY))
             fleet.waiting.add(("w0", "a"))
             held.left(MS)
@@ -214,7 +214,7 @@
             client.ask(id_=A)
             until(lambda: only.queue)
             client.abort()
-            until(lambda: it.node.desk.counts["left"])
+            until(lambda: it.node.engine.counts["left"])
             come.set()
             until(lambda: only.up)
         self.assertEqual(it.call(id_=B)[0], 200)
@@ -230,12 +230,12 @@
                 come.set()
                 it.node.settled = 0         # no standstill was seen within the last second
                 stand_still()
-                until(lambda: it.node.desk.counts["left"])
+                until(lambda: it.node.engine.counts["left"])
             self.assertEqual(it.call(id_=B)[0], 200)
             self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [B])
 
     def test_a_close_that_lies_unread_stops_the_next_send(self):
-        it, fleet = desk(workers=2, at_once=[Outcome.FULL])
+        it, fleet = engine(workers=2, at_once=[Outcome.FULL])
         fleet.at_once.clear()
         held = it.take(0, "a", ask())
         fleet.gone_unread.add("a")
@@ -276,7 +276,7 @@
             until(lambda: next(iter(it.node.door.connections)).offences == 4)
             client.abort()
             since = time.monotonic_ns()
-            until(lambda: it.node.desk.counts["left"])
+            until(lambda: it.node.engine.counts["left"])
             self.assertLess(time.monotonic_ns() - since, 400 * MS)
 
     def test_requests_given_up_early_do_not_add_up_to_a_broken_connection(self):
@@ -317,7 +317,7 @@
         peer.close()
 
     def test_a_repeat_that_waits_past_the_memory_of_the_first_send_does_not_leave(self):
-        it, fleet = desk(workers=2)             # the memory span of the tests' types is 2 s
+        it, fleet = engine(workers=2)             # the memory span of the tests' types is 2 s
         held = it.take(0, "a", ask(Effect.DEDUPLICATED, left=4 * SECOND))
         fleet.waiting |= {("w0", "a"), ("w1", "a")}
         held.returned(1900 * MS, 0, Outcome.RESET)
@@ -396,11 +396,11 @@
         with Platform() as it:
             def fails(*words, **facts):
                 raise KeyError("planted")
-            it.node.desk.ended, ended = fails, it.node.desk.ended
+            it.node.engine.ended, ended = fails, it.node.engine.ended
             client = it.client()
             client.ask(type_="submit", left="300")
             until(lambda: it.log.of("fault"))
-            it.node.desk.ended = ended
+            it.node.engine.ended = ended
             self.assertIn(client.answer()[0], (502, 503))
             self.assertEqual(it.call(id_=B)[0], 200)
 
@@ -414,7 +414,7 @@
             until(lambda: it.log.of("fault"))
             it.node.coordinator.on_update = apply
             it.coordinator.say(event(3, instance("s-0", it.workers[0].address, "Terminating")))
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
 
     def test_a_move_while_a_dial_is_out_and_two_at_once(self):
         with Platform() as it:
@@ -432,7 +432,7 @@
             until(lambda: it.node.coordinator.sock is None)
             it.node.coordinator.move(others[0].address)
             it.node.coordinator.move(others[1].address)
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
             self.assertEqual((others[0].asked, others[1].asked), ([], [1]))
             for each in [hole, *fillers]:
                 each.close()
@@ -443,7 +443,7 @@
             it.coordinator.say(event(2, instance("s-0", address, "Gone"), instance("s-9", address)))
             until(lambda: it.node.links.get("s-9") and it.node.links["s-9"].up)
             self.assertEqual(it.call()[0], 200)
-            self.assertEqual([each.name for each in it.node.desk.dispatcher.fleet], ["s-9"])
+            self.assertEqual([each.name for each in it.node.engine.dispatcher.fleet], ["s-9"])
 
     def test_after_a_silence_less_is_waited_for_until_the_stream_speaks(self):
         # Two silent connections in a row took 4.2 s; word counts as told after four.
@@ -459,14 +459,14 @@
             it.coordinator.dumb = False
             until(lambda: waits() == 0.4)
             it.coordinator.say(event(2, instance("s-0", it.workers[0].address, "Terminating")))
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
 
     def test_a_worker_that_starts_twice_within_two_seconds_is_cold_anew(self):
         with Platform() as it:
             def start(number, at):
                 it.coordinator.say(event(number, instance("s-0", it.workers[0].address, startedAtMs=at)))
                 until(lambda: it.node.coordinator.sequence.last == number)
-                return it.node.desk.dispatcher.workers["s-0"].since
+                return it.node.engine.dispatcher.workers["s-0"].since
             now = time.time_ns() // MS
             first, second = start(2, now - 1500), start(3, now - 300)
             self.assertAlmostEqual(second - first, 1200 * MS, delta=100 * MS)
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -74,7 +74,7 @@
 
     def test_nothing_of_it_is_written(self):
         with Platform() as it:
-            held = Held(it.node.desk, "00000000000000d1", Call("check", "00000000000000f1", 0), 0, deadline=1)
+            held = Held(it.node.engine, "00000000000000d1", Call("check", "00000000000000f1", 0), 0, deadline=1)
             link = it.node.links["s-0"]
             with mock.patch.dict(it.node.links, {"s-0": mock.Mock()}):
                 self.assertEqual(it.node.send("s-0", held, 0), Outcome.MOOT)     # whatever the link looks at
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -130,7 +130,7 @@
         self.platform.coordinator.events = [listed]
         self.enterContext(self.platform)
         self.node = self.platform.node
-        until(lambda: len(self.node.desk.dispatcher.fleet) == self.WORKERS)
+        until(lambda: len(self.node.engine.dispatcher.fleet) == self.WORKERS)
 
     def entry(self, number, state="Ready"):
         return instance(f"s-{number}", self.worker.address, state)
@@ -143,7 +143,7 @@
 
     def test_a_question_waits_for_its_dial(self):
         link = next(iter(self.node.links.values()))
-        self.assertIsNone(link.ask(Asked(self.node.desk, link.worker)))
+        self.assertIsNone(link.ask(Asked(self.node.engine, link.worker)))
         self.assertEqual(len(link.queue), 1)
         until(lambda: len(self.worker.codes(ASK)) == 1)
 
@@ -161,13 +161,13 @@
         new = range(self.WORKERS, self.WORKERS + 3 * JOIN_BATCH)
         update = parse_update(event(2, self.entry(0, "Terminating"), *map(self.entry, new)))
         self.node.on_list_update(update)
-        ready = {worker.name for worker in self.node.desk.dispatcher.fleet}
+        ready = {worker.name for worker in self.node.engine.dispatcher.fleet}
         self.assertEqual(len(ready), self.WORKERS - 1)
         self.assertNotIn("s-0", ready)
         last = new[-1]      # drains before its turn has come
         self.node.on_list_update(parse_update(event(3, self.entry(last, "Terminating"))))
         until(lambda: not self.node.joining)
-        ready = {worker.name for worker in self.node.desk.dispatcher.fleet}
+        ready = {worker.name for worker in self.node.engine.dispatcher.fleet}
         self.assertEqual(len(ready), self.WORKERS - 1 + len(new) - 1)
         self.assertNotIn(f"s-{last}", ready)
 
@@ -177,7 +177,7 @@
         gone = f"s-{new[-1]}"
         self.node.change([self.node.registry.ends(gone, State.GONE)])    # as where a list lacks it at last
         until(lambda: not self.node.joining)
-        self.assertNotIn(gone, {worker.name for worker in self.node.desk.dispatcher.fleet})
+        self.assertNotIn(gone, {worker.name for worker in self.node.engine.dispatcher.fleet})
 
     def test_connections_are_counted_as_they_come_and_go(self):
         for number in range(12):
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -219,7 +219,7 @@
     def test_the_oracle_sees_dead_workers_and_copies(self):
         it = Emulation(read_text(DAY, seed=1), 1, POLICIES["oracle"])
         it.run()
-        oracle = it.fronts["front-0"].desk.dispatcher
+        oracle = it.fronts["front-0"].engine.dispatcher
         self.assertIs(oracle.network, it.network)
         worker = oracle.fleet[0]
         it.network.die(worker.name)
--- a/threadshift/audit/__init__.py
+++ b/threadshift/audit/__init__.py
@@ -1,1 +1,1 @@
-"""The five rules, checked from what was recorded at the sockets; knows nothing of desk or policy."""
+"""The five rules, checked from what was recorded at the sockets; knows nothing of engine or policy."""
--- a/threadshift/cli/days.py
+++ b/threadshift/cli/days.py
@@ -60,7 +60,7 @@
 @SEED
 @KEEP
 def emulate(day: str, seed: int, folder: str | None) -> None:
-    """Emulates a DAY file on a virtual clock, with the real desk and decisions, and audits it."""
+    """Emulates a DAY file on a virtual clock, with the real engine and decisions, and audits it."""
     from pathlib import Path
 
     from threadshift.audit.report import judge
--- a/threadshift/emulator/__init__.py
+++ b/threadshift/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Days on a virtual clock: the real desk and decisions against modelled workers, store, network and clients."""
+"""Days on a virtual clock: the real engine and decisions against modelled workers, store, network and clients."""
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -1,4 +1,4 @@
-"""A front end in the emulator: the real desk, decisions, worker registry and admission behind modelled connections.
+"""A front end in the emulator: the real engine, decisions, worker registry and admission behind modelled connections.
 
 Its processor is one server, first come first served: what arrives while it is busy waits, and how long is the lag by
 which admission refuses at the door.
@@ -16,7 +16,7 @@
 from threadshift.choice import Dispatcher
 from threadshift.days.day import Day
 from threadshift.engine import previous_process
-from threadshift.engine.engine import Asked, Call, Desk, Held
+from threadshift.engine.engine import Asked, Call, Held, RequestEngine
 from threadshift.emulator.clock import Clock
 from threadshift.emulator.network import Network
 from threadshift.emulator.worker import Job, ModelWorker
@@ -46,7 +46,7 @@
         if hasattr(dispatcher, "see"):
             dispatcher.see(network)         # an oracle
         previous_process.assume(dispatcher, told, clock.now)
-        self.desk = Desk(dispatcher, self, self, day.told.bounds.load_order)
+        self.engine = RequestEngine(dispatcher, self, self, day.told.bounds.load_order)
         self.registry = WorkerRegistry(told.drain_grace)
         self.tell, self.refuse = answered, refuse
         self.admission = Admission(min(each.target_latency for each in told.types), weights(told.tenants))
@@ -70,11 +70,11 @@
     def tick(self) -> None:
         if not self.alive or self.backlog is not None:
             return
-        if self.desk.due() <= self.clock.now:
-            self.desk.tick(self.clock.now)
+        if self.engine.due() <= self.clock.now:
+            self.engine.tick(self.clock.now)
         self.apply_listings(self.registry.tick(self.clock.now))
         # The live timer comes every tick; nothing happens here in between, so the next due one will do.
-        due = max(self.clock.now + self.day.told.deployment.tick, self.desk.due())
+        due = max(self.clock.now + self.day.told.deployment.tick, self.engine.due())
         if self.registry.empty_since is not None:
             due = min(due, self.clock.now + self.registry.grace // 2)
         self.clock.at(due, self.tick)
@@ -128,7 +128,7 @@
             return
         call = call._replace(left=call.left - self.held_up)
         self.serial += 1
-        self.desk.take(self.clock.now, f"{self.name}-{self.serial}", call, client)
+        self.engine.take(self.clock.now, f"{self.name}-{self.serial}", call, client)
 
     def listed(self, entries: list[WorkerEntry], full: bool) -> None:
         self.apply_listings(self.registry.listed(self.clock.now, self.clock.now, entries, full))
@@ -138,7 +138,7 @@
 
     def apply_listings(self, listings: list) -> None:
         if listings:
-            self.desk.roster(self.clock.now, listings, full=False)
+            self.engine.roster(self.clock.now, listings, full=False)
 
     def drains(self, worker: str) -> None:
         self.apply_listings(self.registry.draining(worker))
@@ -181,7 +181,7 @@
             self.end_if_done()
 
     def end_if_done(self) -> None:
-        if self.closing and not self.desk.owed:
+        if self.closing and not self.engine.owed:
             self.end()
 
     def end(self) -> None:
@@ -230,7 +230,7 @@
     def over(self, held: Held) -> None:
         """Nothing is kept here."""
 
-    # The desk's port to workers.
+    # The engine's port to workers.
 
     def send(self, worker: str, held: Held, number: int) -> Outcome | None:
         it = self.link(worker)
--- a/threadshift/emulator/router.py
+++ b/threadshift/emulator/router.py
@@ -63,7 +63,7 @@
         front = self.front
         return Signs(
             listening=not front.closing, lag=int(front.admission.lag),
-            **fitness(front.desk.dispatcher, front.linked, now)._asdict(),
+            **fitness(front.engine.dispatcher, front.linked, now)._asdict(),
             asked_per_s=self.recent.per_second(now), refused=front.admission.part, service=self.recent.service(now),
             drain=self.drain.standing)
 
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -170,7 +170,7 @@
         note("killing", who=who)
         if who.startswith("front"):
             self.fronts[who].end()
-            for held in self.fronts[who].desk.held.values():
+            for held in self.fronts[who].engine.held.values():
                 if not held.settled:
                     held.client[0]("broke", mark=held.client[1], problem="reset")
         else:
@@ -259,7 +259,7 @@
         front.hear(OTHER, self.leave, front, mark)
 
     def leave(self, front: ModelFront, mark: str) -> None:
-        held = next((each for each in front.desk.held.values() if each.client and each.client[1] == mark), None)
+        held = next((each for each in front.engine.held.values() if each.client and each.client[1] == mark), None)
         if held is not None:
             held.left(self.clock.now)
 
--- a/threadshift/engine/engine.py
+++ b/threadshift/engine/engine.py
@@ -1,10 +1,11 @@
 """Drives one Dispatcher without sockets, clocks or greenlets: calls in, steps out to ports.
 
-Make a Desk(dispatcher, workers, clients). take() gives a Held, the caller's handle; its returned() and left() tell
-what became of it. held() and told() bring answers to load orders and questions. tick() is wanted when due() has come.
+Make a RequestEngine(dispatcher, workers, clients). take() gives a Held, the caller's handle; its returned() and
+left() tell what became of it. held() and told() bring answers to load orders and questions. tick() is wanted when
+due() has come.
 Every call takes `now`, whole ns of a clock that does not go back; a `now` before the last one counts as the last one.
 
-What the desk adds to the decisions is only what the bench's wire did for them: the first completed answer is handed
+What the engine adds to the decisions is only what the bench's wire did for them: the first completed answer is handed
 on and is final; a send with no outcome at the end of its activation's time ends as a time-out; a cancelled send ends
 at once; an order or a question that nobody answers ends as a time-out. The same calls bring the same steps.
 """
@@ -73,7 +74,7 @@
 class Held:
     """The handle of one activation taken."""
 
-    desk: Desk
+    engine: RequestEngine
     ivk: str
     call: Call
     taken: int
@@ -89,11 +90,11 @@
                  copy: Copy = Copy.UNTOLD, report: Report | None = None, waited: int | None = None) -> None:
         """A send ended. What comes for a send that has ended before is counted and dropped. `waited` is what the
         worker took, where the port can tell that from what we took ourselves."""
-        self.desk.ended(self, now, number, outcome, body, error, copy, report, waited)
+        self.engine.ended(self, now, number, outcome, body, error, copy, report, waited)
 
     def left(self, now: int) -> None:
         """The client is gone; no answer is owed."""
-        self.desk.quit(self, now)
+        self.engine.quit(self, now)
 
     def time_left(self, now: int) -> int:
         return self.deadline - now
@@ -107,13 +108,13 @@
 class Asked:
     """A load order (fn set) or a question for a report, on its way to a worker."""
 
-    desk: Desk
+    engine: RequestEngine
     worker: str
     fn: str = ""
     over: bool = False
 
     def answered(self, now: int, outcome: Outcome, *, copies: int = 0, report: Report | None = None) -> None:
-        self.desk.replied(self, now, outcome, copies, report)
+        self.engine.replied(self, now, outcome, copies, report)
 
 
 class Leaving(NamedTuple):
@@ -141,7 +142,7 @@
     def over(self, held: Held) -> None: ...
 
 
-class Desk:
+class RequestEngine:
     """The only owner of a Dispatcher."""
 
     def __init__(self, dispatcher: Dispatcher, workers: Workers, clients: Clients, order_wait: int = 10 * SECOND):
--- a/threadshift/fastcgi/connection.py
+++ b/threadshift/fastcgi/connection.py
@@ -43,7 +43,7 @@
 
 
 class Request:
-    """One request under way: being read, then held by the desk."""
+    """One request under way: being read, then held by the engine."""
 
     __slots__ = ("connection", "number", "keep", "began", "params", "body", "told", "held")
 
--- a/threadshift/fastcgi/door.py
+++ b/threadshift/fastcgi/door.py
@@ -13,7 +13,7 @@
 from gevent import socket
 from gevent.pool import Group
 
-from threadshift.engine.engine import Desk, Held
+from threadshift.engine.engine import Held, RequestEngine
 from threadshift.fastcgi import codec, requests, room
 from threadshift.fastcgi.codec import BEGIN, Records, NotFastCGI
 from threadshift.fastcgi.connection import MOST_OPEN, READ, WRITE, Connection, Request
@@ -43,7 +43,7 @@
 
 
 class Door:
-    """The listener and all connections; the desk's port to clients."""
+    """The listener and all connections; the engine's port to clients."""
 
     def __init__(self, most: Callable[[], int], activations: int, types: dict[str, NamespaceType], advice: int,
                  admission: Admission, front_end: FrontEnd, note: Callable[..., None], chance: Callable[[], float]):
@@ -55,7 +55,7 @@
         self.postponed = PostponedRequests(self, self.greenlets.spawn)
         self.closing = False
         self.due = self.in_vain = 0
-        self.desk: Desk
+        self.engine: RequestEngine
 
     def accept(self, sock: socket.socket) -> None:
         for client in arriving(sock, self.note):
@@ -138,7 +138,7 @@
         unread = max(unread, self.looks.unread(time.monotonic_ns()))
         if unread < STALL and not self.front_end.list_is_stale() and not self.front_end.update_unread():
             self.let_in(request, asked, unread)
-        elif len(self.postponed) + len(self.desk.held) >= self.activations:
+        elif len(self.postponed) + len(self.engine.held) >= self.activations:
             self.refuse(request, FULL, asked.ivk)
         else:
             self.postponed.add(request, asked, unread)
@@ -156,7 +156,7 @@
         self.refuse(request, LATE, asked.ivk)
 
     def take_postponed(self, request: Request, asked: requests.Asked, unread: int) -> None:
-        """A request that has waited long enough: refused, or the desk's from here on."""
+        """A request that has waited long enough: refused, or the engine's from here on."""
         try:
             self.let_in(request, asked, unread)
         except Unfit as problem:
@@ -166,14 +166,14 @@
             self.refuse(request, FAULT)
 
     def let_in(self, request: Request, asked: requests.Asked, unread: int) -> None:
-        """Refused, or the desk's from here on. Raises Unfit."""
-        if asked.ivk in self.desk.held:
+        """Refused, or the engine's from here on. Raises Unfit."""
+        if asked.ivk in self.engine.held:
             raise Unfit(409, "a request with this id is open")
         call = asked.call._replace(left=asked.call.left - unread)
-        if self.closing or call.left <= 0 or len(self.desk.held) >= self.activations:
+        if self.closing or call.left <= 0 or len(self.engine.held) >= self.activations:
             self.refuse(request, CLOSING if self.closing else LATE if call.left <= 0 else FULL, asked.ivk)
             return
-        request.held = self.desk.take(time.monotonic_ns(), asked.ivk, call, request)
+        request.held = self.engine.take(time.monotonic_ns(), asked.ivk, call, request)
 
     def refuse(self, request: Request, reason: str, id_: str = "") -> None:
         """Not taken: nothing ran, so trying again is harmless."""
@@ -187,7 +187,7 @@
     def busy(self, reason: str) -> bytes:
         return requests.busy(reason, int(self.advice * (1 - self.chance() / 2)))
 
-    # The desk's port.
+    # The engine's port.
 
     def left_unread(self, held: Held) -> bool:
         connection = held.client.connection
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -113,7 +113,7 @@
         if owner.dials_ahead():
             self.dial()
 
-    # What the desk's port asks for.
+    # What the engine's port asks for.
 
     def invoke(self, held: Any, number: int, left: int) -> Outcome | None:
         id_ = bytes.fromhex(held.ivk)
--- a/threadshift/gateway/batching.py
+++ b/threadshift/gateway/batching.py
@@ -1,4 +1,4 @@
-"""The batches of one front end: its queue and its shelf between the invoke API, the desk and the record.
+"""The batches of one front end: its queue and its shelf between the invoke API, the engine and the record.
 
 Nothing here decides. Whatever has to be kept before an act goes through one writer, which writes all that waits at
 once and then does what waited for it, in order; it writes on a thread, so that no call waits for an fsync."""
@@ -18,7 +18,7 @@
 from threadshift.batches.shelf import Kept, Shelf, record
 from threadshift.choice import NEVER_RAN
 from threadshift.conf.installation import Installation
-from threadshift.engine.engine import Answer, Call, Desk, Final, Held
+from threadshift.engine.engine import Answer, Call, Final, RequestEngine, Held
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
@@ -55,7 +55,7 @@
     told: Installation
     chance: Callable[[], float]
     api: Invoke
-    desk: Desk
+    engine: RequestEngine
     deferrals: InMemory
     links: dict[str, Any]
 
@@ -201,7 +201,7 @@
             name = f"{it.ivk}~{it.tries}" if it.tries else it.ivk
             # taken may be answered before take() returns
             self.held.pop(it.ivk, None)
-            held = self.front.desk.take(now, name, call._replace(left=it.ends - now, again=False), it)
+            held = self.front.engine.take(now, name, call._replace(left=it.ends - now, again=False), it)
             if it.out and not held.settled:
                 self.held[it.ivk] = held
 
--- a/threadshift/gateway/fleet.py
+++ b/threadshift/gateway/fleet.py
@@ -1,4 +1,4 @@
-"""The workers of one front end: who they are, a link to each, the desk's port to them, and the timer's beat.
+"""The workers of one front end: who they are, a link to each, the engine's port to them, and the timer's beat.
 
 Nothing here decides. Links belong to worker ids, never to addresses. A subclass makes links of its own protocol.
 """
@@ -12,7 +12,7 @@
 import gevent
 
 from threadshift.conf.values import Address
-from threadshift.engine.engine import Asked, Desk, Held
+from threadshift.engine.engine import Asked, Held, RequestEngine
 from threadshift.interface import MS, SECOND, Listing, Outcome, State
 from threadshift.invoke.admission import PERIOD, Admission
 from threadshift.invoke.looks import SETTLE, STALL, Looks
@@ -41,9 +41,9 @@
 
 
 class Fleet:
-    """Carries the desk's steps to links, and word of workers to the desk."""
+    """Carries the engine's steps to links, and word of workers to the engine."""
 
-    desk: Desk
+    engine: RequestEngine
     looks: Looks
     admission: Admission
 
@@ -64,7 +64,7 @@
     def note(self, event: str, **fields: Any) -> None:
         self.log.note(event, **fields)
 
-    # The desk's port to workers.
+    # The engine's port to workers.
 
     def send(self, worker: str, held: Held, number: int) -> Outcome | None:
         link = self.links.get(worker)
@@ -120,11 +120,11 @@
         if late >= STALL:
             self.stalls += 1
             self.longest_stall = max(self.longest_stall, late)
-            self.note("stalled", level="warning", late_ms=late // MS, owed=self.desk.owed)
+            self.note("stalled", level="warning", late_ms=late // MS, owed=self.engine.owed)
             # Time alone may send again: not before the roster's word that came meanwhile is read.
             gevent.sleep(SETTLE / SECOND)
             now = time.monotonic_ns()
-        due = self.desk.due() <= now
+        due = self.engine.due() <= now
         if due and self.update_unread():
             self.read_updates()
             now = time.monotonic_ns()
@@ -132,7 +132,7 @@
             self.measured = now
             self.admission.measured(now, late)
         if due:
-            self.desk.tick(now)
+            self.engine.tick(now)
         self.change(self.registry.tick(now))
         if self.joining:
             self.join_workers()
@@ -210,7 +210,7 @@
     def apply_listings(self, listings: list[Listing]) -> None:
         """Hands what changed to the decisions."""
         if listings:
-            self.desk.roster(time.monotonic_ns(), listings, full=False)
+            self.engine.roster(time.monotonic_ns(), listings, full=False)
 
     def take_back(self, listings: list[Listing]) -> None:
         """Ends what waits to leave for workers to which nothing more may go."""
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -1,4 +1,4 @@
-"""One front end process: listeners, links, roster and the one timer around a desk.
+"""One front end process: listeners, links, roster and the one timer around an engine.
 
 Nothing here decides. run() returns once the front end was told to end and has drained, or its time for that is up.
 """
@@ -23,7 +23,7 @@
 from threadshift.conf.reading import Mistake
 from threadshift.conf.values import Address
 from threadshift.engine import previous_process
-from threadshift.engine.engine import Desk
+from threadshift.engine.engine import RequestEngine
 from threadshift.errors import ThreadshiftError
 from threadshift.gateway.admin import Admin
 from threadshift.gateway.fleet import Fleet
@@ -53,7 +53,7 @@
 
 
 class FrontEnd(Fleet):
-    """Carries steps to links and answers to the desk; owns every greenlet of the process."""
+    """Carries steps to links and answers to the engine; owns every greenlet of the process."""
 
     def __init__(self, told: Installation, index: int, log: Log, seed: int | None = None, disk: Any = None,
                  version: str = "", ready: Callable[[], None] = lambda: None):
@@ -75,7 +75,7 @@
         self.looks, self.api.read_updates = self.api.looks, self.read_updates
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
         previous_process.assume(dispatcher, told.deployment, now)
-        self.desk = self.api.desk = Desk(dispatcher, self, self.api, bounds.load_order)
+        self.engine = self.api.engine = RequestEngine(dispatcher, self, self.api, bounds.load_order)
         self.listeners: list[socket.socket] = []
         self.connections = Group()
         self.operators = Group()
@@ -255,7 +255,7 @@
 
     def drain(self) -> None:
         """No new calls; what is held gets its answers; then the end, within the stated time."""
-        self.note("draining", owed=self.desk.owed, connections=len(self.connections))
+        self.note("draining", owed=self.engine.owed, connections=len(self.connections))
         if self.hall is not None:
             # Routes first: what still arrives by them is answered until routers have converged.
             self.hall.leave(time.monotonic_ns())
@@ -266,7 +266,7 @@
         if self.together is not None:
             self.together.leave()
         until = time.monotonic_ns() + self.told.bounds.drain
-        self.keep_time(lambda: not self.desk.owed or time.monotonic_ns() >= until)
+        self.keep_time(lambda: not self.engine.owed or time.monotonic_ns() >= until)
         gevent.sleep(2 * self.told.deployment.tick / SECOND)     # the last answers leave their connections
         if self.together is not None:
             gevent.sleep(self.together.leaving / SECOND)
@@ -280,8 +280,8 @@
         self.greenlets.kill()
         self.api.looks.stop()
         self.api.tell_turned_away(time.monotonic_ns(), all_=True)
-        self.note("ended", owed=self.desk.owed, turned_away=self.api.tally.totals(),
-                  **{key.replace(" ", "_"): n for key, n in self.desk.counts.items()})
+        self.note("ended", owed=self.engine.owed, turned_away=self.api.tally.totals(),
+                  **{key.replace(" ", "_"): n for key, n in self.engine.counts.items()})
 
     def reload(self) -> None:
         """Reads the file again; takes over what may change while running, and says what may not."""
@@ -301,11 +301,11 @@
     def status(self) -> dict[str, Any]:
         """What this front end knows of itself, for GET /v1/status."""
         now = time.monotonic_ns()
-        believed = self.desk.dispatcher.workers
+        believed = self.engine.dispatcher.workers
         return {
             "front-end": self.name, "pid": os.getpid(), "up-s": round((now - self.started) / SECOND, 3),
-            "closing": self.api.closing, "owed": self.desk.owed, "held": len(self.desk.held),
-            "connections": len(self.connections), "counts": dict(sorted(self.desk.counts.items())),
+            "closing": self.api.closing, "owed": self.engine.owed, "held": len(self.engine.held),
+            "connections": len(self.connections), "counts": dict(sorted(self.engine.counts.items())),
             "refused-at-door": self.admission.refused, "refused-part": round(self.admission.part, 3),
             "turned-away": self.api.tally.totals(),
             "lag-ms": round(self.admission.lag / MS, 3), "stalls": self.stalls,
--- a/threadshift/gateway/hall.py
+++ b/threadshift/gateway/hall.py
@@ -23,7 +23,7 @@
     """The front end whose service is announced, as far as its signs go."""
 
     told: Any
-    desk: Any
+    engine: Any
     links: dict[str, Any]
     listeners: list[Any]
     admission: Any
@@ -82,7 +82,7 @@
     def signs(self, now: int) -> Signs:
         """What this front end knows of itself."""
         front = self.front
-        fleet = fitness(front.desk.dispatcher, lambda name: name in front.links and front.links[name].up, now)
+        fleet = fitness(front.engine.dispatcher, lambda name: name in front.links and front.links[name].up, now)
         return Signs(
             listening=all(sock.fileno() >= 0 for sock in front.listeners), lag=int(front.admission.lag),
             roster_age=now - front.roster_said if front.roster_lost else 0, **fleet._asdict(),
--- a/threadshift/gateway/rolling.py
+++ b/threadshift/gateway/rolling.py
@@ -95,12 +95,12 @@
         heard = self.carrier.member.age(now()) is not None
         sums = {type_: [*row[:5], list(row[5])] for type_, row in self.sums.items()}
         turned = sum(count for kind, count in self.front.api.tally.totals().items() if not kind.startswith(FINALS))
-        sums[DOOR] = [turned + self.front.desk.counts["taken"], turned, 0, 0, 0, [0] * BUCKETS]
+        sums[DOOR] = [turned + self.front.engine.counts["taken"], turned, 0, 0, 0, [0] * BUCKETS]
         return {"version": self.version, "life": self.carrier.life, "failed": self.versions.failed(),
                 "up": time.monotonic_ns() - self.started if heard else 0,
                 "can": self.can.get(it.id, "?") if it is not None else "",
                 "sums": sums,
-                "loads": self.front.desk.counts["orders"] + self.front.desk.counts["cold"]}
+                "loads": self.front.engine.counts["orders"] + self.front.engine.counts["cold"]}
 
     @staticmethod
     def read(told: dict[str, Any] | None) -> Report | None:
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -1,4 +1,4 @@
-"""The invoke API: exchanges to calls on the desk, final answers back to who waits for them."""
+"""The invoke API: exchanges to calls on the engine, final answers back to who waits for them."""
 from __future__ import annotations
 
 import json
@@ -11,7 +11,7 @@
 import gevent
 
 from threadshift.conf.installation import Installation
-from threadshift.engine.engine import Answer, Call, Desk, Final, Held
+from threadshift.engine.engine import Answer, Call, Final, RequestEngine, Held
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
 from threadshift.invoke.admission import Admission
@@ -67,7 +67,7 @@
 
 
 class Invoke:
-    """Answers exchanges; the desk's port to clients."""
+    """Answers exchanges; the engine's port to clients."""
 
     def __init__(self, told: Installation, name: str, base: str, deferrals: Deferrals, admission: Admission,
                  log: Log, status: Callable[[], dict[str, Any]], weight: Mapping[str, float]):
@@ -81,7 +81,7 @@
         self.status_at, self.status_told = 0, b""
         self.looks = Looks()
         self.read_updates: Callable[[], None] = lambda: None    # lets news of the roster that has arrived be read
-        self.desk: Desk
+        self.engine: RequestEngine
         self.batching: Batches | None = None
         self.recent: Counts
         boot = f"{time.time_ns() // MS:x}"
@@ -195,7 +195,7 @@
             self.take_deferred(exchange, call)
             return
         exchange.held = True        # taken may be answered before take() returns
-        exchange.held = self.desk.take(time.monotonic_ns(), self.number(), call, exchange)
+        exchange.held = self.engine.take(time.monotonic_ns(), self.number(), call, exchange)
 
     def turned_away(self, status: int, kind: str, detail: str, tenant: str) -> Problem:
         self.tally.note(time.monotonic_ns(), kind, self.places.who(tenant))
@@ -205,7 +205,7 @@
         ivk = self.number()
         it = self.deferrals.add(ivk, call.tenant)
         exchange.respond(requests.accepted(ivk, self.base))
-        self.desk.take(time.monotonic_ns(), ivk, call, it)
+        self.engine.take(time.monotonic_ns(), ivk, call, it)
 
     def collect(self, exchange: Exchange, ivk: str) -> None:
         it = self.deferrals.find(ivk)
@@ -241,7 +241,7 @@
         for line in self.tally.tell(now, all_):
             self.log.note("turned-away", level="warning", **line)
 
-    # The desk's port.
+    # The engine's port.
 
     def left_unread(self, held: Held) -> bool:
         return False        # who has closed one direction may still read; a close of both is read as soon as it comes
@@ -265,19 +265,19 @@
 
     def over(self, held: Held) -> None:
         if held.gone and not (self.batching is not None and self.batching.owns(held)):
-            self.recent.note(self.desk.now, held)
+            self.recent.note(self.engine.now, held)
             self.tell(held, Answer(Final.ABORTED, "client-left"))
 
     def tell(self, held: Held, answer: Answer) -> None:
         """The one event of a final answer; completed in time is the usual, and told only where all is."""
-        usual = answer.final is Final.COMPLETED and held.desk.now - held.taken <= held.act.kind.target
+        usual = answer.final is Final.COMPLETED and held.engine.now - held.taken <= held.act.kind.target
         level = "debug" if usual else "info"
         if not self.log.wanted(level):
             return
         self.log.note(
             "final", level=level, activation=held.ivk, function=held.call.function, type=held.call.type,
             tenant=held.call.tenant, final="left" if held.gone else answer.final.value, reason=answer.reason,
-            took_ms=round((held.desk.now - held.taken) / MS, 3), left_ms=held.time_left(held.desk.now) // MS,
+            took_ms=round((held.engine.now - held.taken) / MS, 3), left_ms=held.time_left(held.engine.now) // MS,
             may_have_run=answer.may_have_run,
             sends=[{"worker": sent.worker, "after_ms": round((sent.at - held.taken) / MS, 3),
                     "waited_ms": round(sent.waited / MS, 3), "copy": sent.copy.value,
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -89,7 +89,7 @@
         self.stopped = False
         self.greenlet = gevent.spawn(self.run)
 
-    # What the desk's port asks for.
+    # What the engine's port asks for.
 
     def invoke(self, held: Any, number: int, left: int) -> Outcome | None:
         return self.put((held, number), "invoke", invoke_fields(held, left))
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -1,4 +1,4 @@
-"""One front end on the platform: door, links to workers, the coordinator's stream and the one timer around a desk.
+"""One front end on the platform: door, links to workers, the coordinator's stream and the one timer around an engine.
 
 Nothing here decides. run() returns once it was told to end and has left in order.
 """
@@ -19,7 +19,7 @@
 from threadshift.coordinator.events import ListUpdate
 from threadshift.coordinator.stream import CoordinatorStream
 from threadshift.engine import previous_process
-from threadshift.engine.engine import Desk
+from threadshift.engine.engine import RequestEngine
 from threadshift.fastcgi.door import Door
 from threadshift.frames import pool
 from threadshift.frames.link import Link
@@ -42,7 +42,7 @@
 
 
 class Node(Fleet):
-    """Carries steps to links and answers to the desk; owns every greenlet of the process."""
+    """Carries steps to links and answers to the engine; owns every greenlet of the process."""
 
     def __init__(self, told: Placement, environment: Mapping[str, str], log: Log):
         # Starts are told by one clock.
@@ -64,7 +64,7 @@
         self.looks = self.door.looks
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
         previous_process.assume(dispatcher, told.deployment, now)
-        self.desk = self.door.desk = Desk(dispatcher, self, self.door, told.load_order)
+        self.engine = self.door.engine = RequestEngine(dispatcher, self, self.door, told.load_order)
         self.coordinator = CoordinatorStream(told.coordinator, self.on_list_update, self.on_coordinator_lost,
                                              self.note, self.chance)
         self.leaving = Leaving(max(each.action_timeout for each in types.values()))
@@ -78,7 +78,7 @@
 
     @property
     def ready_workers(self) -> int:
-        return len(self.desk.dispatcher.fleet)
+        return len(self.engine.dispatcher.fleet)
 
     def link(self, it: WorkerEntry) -> Link:
         return Link(it.worker, it.address, self.bounds, self, self.chance, self.bits)
@@ -152,7 +152,7 @@
     def ready(self) -> bool:
         # A list that is late or empty is waited for, not for ever: refused for it, a whole fleet would never start.
         return self.listening is not None and not self.leaving.since and not self.list_is_stale() and (
-            bool(self.desk.dispatcher.fleet) or time.monotonic_ns() >= self.ready_by)
+            bool(self.engine.dispatcher.fleet) or time.monotonic_ns() >= self.ready_by)
 
     # Signals.
 
@@ -161,7 +161,7 @@
         now = time.monotonic_ns()
         if not self.leaving.since:
             self.leaving.begin(now)
-            self.desk.hasten(now, self.leaving.answered)
+            self.engine.hasten(now, self.leaving.answered)
 
     def reload(self) -> None:
         """Told of another configuration; from a signal. What is bad leaves the old one in force."""
@@ -193,7 +193,7 @@
                   last_event=self.coordinator.sequence.last, prepared_ms=self.prepared_in // MS)
         self.keep_time(lambda: self.stage() not in (Stage.STAYING, Stage.SERVING))
         self.door.closing = True        # the listener stays: who still comes is refused in words, not by a reset
-        self.note("draining", owed=self.desk.owed, connections=len(self.door.connections))
+        self.note("draining", owed=self.engine.owed, connections=len(self.door.connections))
         self.keep_time(lambda: self.stage() is Stage.DONE)
         self.door.end(sock)
         self.stop_all()
@@ -215,12 +215,12 @@
         self.prepared_in = time.monotonic_ns() - since
 
     def stage(self) -> Stage:
-        return self.leaving.stage(time.monotonic_ns(), self.desk.owed + self.door.under_way)
+        return self.leaving.stage(time.monotonic_ns(), self.engine.owed + self.door.under_way)
 
     def keep_time(self, over: Callable[[], bool]) -> None:
         """The one timer: every tick, what is due."""
         told = 0
-        for now, late in ticks(TICK, over, self.desk.due):
+        for now, late in ticks(TICK, over, self.engine.due):
             now = self.beat(now, late)
             self.door.tick(now)
             if now - told >= TELL:
@@ -229,9 +229,9 @@
 
     def state(self) -> dict[str, Any]:
         """How it goes, for one line of the log."""
-        dispatcher, now = self.desk.dispatcher, time.monotonic_ns()
+        dispatcher, now = self.engine.dispatcher, time.monotonic_ns()
         workers = dispatcher.workers.values()
-        return {"owed": self.desk.owed, "held": len(self.desk.held), "connections": len(self.door.connections),
+        return {"owed": self.engine.owed, "held": len(self.engine.held), "connections": len(self.door.connections),
                 "flying": len(dispatcher.flying), "links": len(self.links),
                 "up": sum(link.up for link in self.connected),
                 "worker_connections": self.dialled, "dialled_in_all": self.dialled_in_all,
@@ -239,4 +239,4 @@
                 "functions": len(dispatcher.functions), "roster_lost": self.roster_lost,
                 "lag_ms": round(self.admission.lag / MS, 1), "part": round(self.admission.part, 3),
                 "stalls": self.stalls, "longest_stall_ms": self.longest_stall // MS,
-                "turned_away": self.door.tally.totals(), "counts": dict(self.desk.counts)}
+                "turned_away": self.door.tally.totals(), "counts": dict(self.engine.counts)}
--- a/threadshift/trials/policies.py
+++ b/threadshift/trials/policies.py
@@ -1,4 +1,4 @@
-"""Baselines behind the desk's interface, for experiments only. Each replaces the choice of a worker and nothing else:
+"""Baselines behind the engine's interface, for experiments only. Each replaces the choice of a worker and no more:
 effects, drains, cold budgets and load windows are guarded as ever, so what differs is where calls go.
 
 None of them suspends, asks for reports, parks calls or orders copies on its own account. The oracle sees the true
