--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -302,7 +302,7 @@
                 answer = client.ask("POST", "/v1/functions/check-a/calls", {
                     "Prefer": "respond-async", "Batch": "eve"}, b'{"mark":"m","work_ms":300}')
                 ivk = answer.headers["activation"]
-                until(lambda: batching.held)
+                until(lambda: batching.pending)
                 disk.order("full")
                 until(lambda: batching.failed)
                 self.assertEqual(client.ask("GET", f"/v1/calls/{ivk}").status, 202)
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -196,7 +196,7 @@
         seen, settle = [], it.node.settle
 
         def noted():
-            seen.extend(sent.outcome for held in it.node.engine.held.values() for sent in held.sends)
+            seen.extend(sent.outcome for pending in it.node.engine.requests.values() for sent in pending.sends)
             settle()
         it.node.settle = noted
         return seen
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -6,7 +6,7 @@
 from tests.helpers import deployment, ready
 from threadshift.choice import NEVER_RAN, Dispatcher
 from threadshift.engine import previous_process
-from threadshift.engine.engine import Answer, Call, Final, RequestEngine
+from threadshift.engine.engine import Answer, Call, FinalKind, RequestEngine
 from threadshift.interface import (
     MS, SECOND, Copy, Deployment, Effect, Listing, NamespaceType, Outcome, State)
 
@@ -24,17 +24,17 @@
         self.waiting = set()                # (worker, ivk) of sends that have not left
         self.gone_unread = set()            # whose client has left, and nobody has heard
 
-    def send(self, worker, held, number):
-        self.log.append(("send", self.engine.now, held.ivk, worker, held.settled))
+    def send(self, worker, pending, number):
+        self.log.append(("send", self.engine.now, pending.ivk, worker, pending.settled))
         return self.at_once.pop(0) if self.at_once else None
 
-    def cancel(self, worker, held, number, tell):
-        self.log.append(("cancel", self.engine.now, held.ivk, worker, tell))
+    def cancel(self, worker, pending, number, tell):
+        self.log.append(("cancel", self.engine.now, pending.ivk, worker, tell))
         return Outcome.MOOT if self.moot else Outcome.CANCELLED
 
-    def withdraw(self, worker, held, number):
-        if (worker, held.ivk) in self.waiting:
-            self.log.append(("withdrawn", self.engine.now, held.ivk, worker, held.settled))
+    def withdraw(self, worker, pending, number):
+        if (worker, pending.ivk) in self.waiting:
+            self.log.append(("withdrawn", self.engine.now, pending.ivk, worker, pending.settled))
             return True
         return False
 
@@ -45,14 +45,14 @@
     def ask(self, worker, question):
         self.asked.append(question)
 
-    def left_unread(self, held):
-        return held.ivk in self.gone_unread
+    def left_unread(self, pending):
+        return pending.ivk in self.gone_unread
 
-    def answered(self, held):
-        self.answers.setdefault(held.ivk, []).append(held.answer)
+    def answered(self, pending):
+        self.answers.setdefault(pending.ivk, []).append(pending.answer)
 
-    def over(self, held):
-        self.overs.add(held.ivk)
+    def over(self, pending):
+        self.overs.add(pending.ivk)
 
     def sends(self, ivk="a"):
         return [entry[3] for entry in self.log if entry[0] == "send" and entry[2] == ivk]
@@ -72,78 +72,78 @@
 class Answers(unittest.TestCase):
     def test_the_first_completed_answer_is_handed_on_once(self):
         it, fleet = engine()
-        held = it.take(0, "a", ask())
-        held.returned(10 * MS, 0, Outcome.COMPLETED, body=b"x")
-        held.returned(11 * MS, 0, Outcome.COMPLETED, body=b"y")
-        self.assertEqual(fleet.answers, {"a": [Answer(Final.COMPLETED, "completed", b"x")]})
-        self.assertEqual((it.counts["late"], it.owed, it.held, fleet.overs), (1, 0, {}, {"a"}))
+        pending = it.take(0, "a", ask())
+        pending.returned(10 * MS, 0, Outcome.COMPLETED, body=b"x")
+        pending.returned(11 * MS, 0, Outcome.COMPLETED, body=b"y")
+        self.assertEqual(fleet.answers, {"a": [Answer(FinalKind.COMPLETED, "completed", b"x")]})
+        self.assertEqual((it.counts["late"], it.owed, it.requests, fleet.overs), (1, 0, {}, {"a"}))
 
     def test_final_answers_by_effect_and_how_the_sends_ended(self):
         # effect, outcomes of the sends, the answer, whether it may have run; the third repeat is over budget
         cases = (
-            (Effect.ONCE_ONLY, [Outcome.RESET], Final.ABORTED, True),
-            (Effect.ONCE_ONLY, [Outcome.UNREACHABLE] * 4, Final.REJECTED, False),
-            (Effect.ONCE_ONLY, [Outcome.UNREACHABLE, Outcome.RESET], Final.ABORTED, True),
-            (Effect.REPEATABLE, [Outcome.RESET] * 3, Final.REJECTED, True),
-            (Effect.DEDUPLICATED, [Outcome.MOOT] * 4, Final.REJECTED, False),
+            (Effect.ONCE_ONLY, [Outcome.RESET], FinalKind.ABORTED, True),
+            (Effect.ONCE_ONLY, [Outcome.UNREACHABLE] * 4, FinalKind.REJECTED, False),
+            (Effect.ONCE_ONLY, [Outcome.UNREACHABLE, Outcome.RESET], FinalKind.ABORTED, True),
+            (Effect.REPEATABLE, [Outcome.RESET] * 3, FinalKind.REJECTED, True),
+            (Effect.DEDUPLICATED, [Outcome.MOOT] * 4, FinalKind.REJECTED, False),
         )
         for effect, outcomes, final, ran in cases:
             it, fleet = engine(at_once=outcomes)
-            held = it.take(0, "a", ask(effect))
+            pending = it.take(0, "a", ask(effect))
             self.assertEqual([each.final for each in fleet.answers["a"]], [final], (effect, outcomes))
-            self.assertEqual(held.answer.may_have_run, ran, (effect, outcomes))
+            self.assertEqual(pending.answer.may_have_run, ran, (effect, outcomes))
             self.assertEqual(len(fleet.sends()), len(outcomes), (effect, outcomes))
 
     def test_time_up_answers_in_time_and_ends_every_send(self):
         for may_cancel in (True, False):
             it, fleet = engine(may_cancel=may_cancel)
-            held = it.take(0, "a", ask(Effect.ONCE_ONLY, left=300 * MS))
+            pending = it.take(0, "a", ask(Effect.ONCE_ONLY, left=300 * MS))
             while it.due() <= 300 * MS:
                 it.tick(it.due())
-            self.assertEqual([each.final for each in fleet.answers["a"]], [Final.ABORTED])
-            self.assertLess(held.answered_at, held.deadline)
-            self.assertEqual((it.held, it.owed, it.counts["overdue"]), ({}, 0, 0))
-            held.returned(400 * MS, 0, Outcome.COMPLETED)
+            self.assertEqual([each.final for each in fleet.answers["a"]], [FinalKind.ABORTED])
+            self.assertLess(pending.answered_at, pending.deadline)
+            self.assertEqual((it.requests, it.owed, it.counts["overdue"]), ({}, 0, 0))
+            pending.returned(400 * MS, 0, Outcome.COMPLETED)
             self.assertEqual(len(fleet.answers["a"]), 1)
 
     def test_what_comes_after_a_standstill_is_too_late(self):
         it, fleet = engine()
-        held = it.take(0, "a", ask(left=300 * MS))
-        held.returned(SECOND, 0, Outcome.COMPLETED)
+        pending = it.take(0, "a", ask(left=300 * MS))
+        pending.returned(SECOND, 0, Outcome.COMPLETED)
         it.tick(SECOND)
-        self.assertEqual([each.final for each in fleet.answers["a"]], [Final.REJECTED])
+        self.assertEqual([each.final for each in fleet.answers["a"]], [FinalKind.REJECTED])
 
     def test_what_we_held_up_ourselves_is_not_the_workers(self):
         it, fleet = engine()
-        held = it.take(0, "a", ask())
-        held.returned(2 * SECOND, 0, Outcome.COMPLETED, copy=Copy.FOUND, waited=10 * MS)
-        worker = it.dispatcher.workers[held.sends[0].worker]
-        self.assertEqual((held.sends[0].waited, worker.pace < 0.05), (10 * MS, True))
+        pending = it.take(0, "a", ask())
+        pending.returned(2 * SECOND, 0, Outcome.COMPLETED, copy=Copy.FOUND, waited=10 * MS)
+        worker = it.dispatcher.workers[pending.sends[0].worker]
+        self.assertEqual((pending.sends[0].waited, worker.pace < 0.05), (10 * MS, True))
 
     def test_a_client_that_quits_is_owed_nothing(self):
         it, fleet = engine()
-        held = it.take(0, "a", ask())
-        held.left(5 * MS)
-        held.left(6 * MS)
-        held.returned(7 * MS, 0, Outcome.COMPLETED)
-        self.assertEqual((fleet.answers, it.owed, it.held, fleet.overs), ({}, 0, {}, {"a"}))
+        pending = it.take(0, "a", ask())
+        pending.left(5 * MS)
+        pending.left(6 * MS)
+        pending.returned(7 * MS, 0, Outcome.COMPLETED)
+        self.assertEqual((fleet.answers, it.owed, it.requests, fleet.overs), ({}, 0, {}, {"a"}))
 
     def test_a_cancelled_send_that_never_left_is_told_apart(self):
         for moot in (True, False):
             it, fleet = engine(workers=1)
             fleet.moot = moot
-            held = it.take(0, "a", ask())
-            it.carry(0, it.dispatcher.steps(it.dispatcher.close, held.act, None))
-            self.assertEqual(held.sends[0].outcome in NEVER_RAN, moot)
+            pending = it.take(0, "a", ask())
+            it.carry(0, it.dispatcher.steps(it.dispatcher.close, pending.act, None))
+            self.assertEqual(pending.sends[0].outcome in NEVER_RAN, moot)
 
     def test_an_order_and_a_question_that_nobody_answers_end(self):
         it, fleet = engine(loads_on_miss=False, may_probe=True, front_ends=100)
         it.dispatcher.pressed = 1.0
         for worker in it.dispatcher.fleet:      # two copies believed to stand, so an answer could move the call
             worker.warm |= {"f": 3 * SECOND, "g": 3 * SECOND}
-        held, now = it.take(SECOND, "a", ask()), SECOND
+        pending, now = it.take(SECOND, "a", ask()), SECOND
         fleet.asked[0].answered(now, Outcome.COMPLETED)
-        held.returned(now, 0, Outcome.MISS)
+        pending.returned(now, 0, Outcome.MISS)
         it.take(now, "b", Call("repeatable", "g", LATE))
         self.assertEqual([asked.fn for asked in fleet.asked[1:]], ["f", ""])
         while now < 11 * SECOND:
@@ -157,8 +157,8 @@
     def test_a_clock_that_goes_back_counts_as_standing(self):
         it, fleet = engine()
         it.take(5 * SECOND, "a", ask())
-        held = it.take(SECOND, "b", ask())
-        self.assertEqual((held.taken, held.deadline), (5 * SECOND, 5 * SECOND + LATE))
+        pending = it.take(SECOND, "b", ask())
+        self.assertEqual((pending.taken, pending.deadline), (5 * SECOND, 5 * SECOND + LATE))
 
 
 EFFECTS = st.sampled_from(list(Effect))
@@ -199,7 +199,8 @@
         self.calls.append(self.it.take(self.now, ivk, Call(effect.value, f"f{left % 3}", left * MS)))
 
     def out(self, pick):
-        sends = [(held, n) for held in self.calls for n, sent in enumerate(held.sends) if sent.outcome is None]
+        sends = [(pending, n) for pending in self.calls for n, sent in enumerate(pending.sends)
+                 if sent.outcome is None]
         return sends[pick % len(sends)] if sends else None
 
     def end(self, pick, outcome, copy):
@@ -207,10 +208,10 @@
             found[0].returned(self.now, found[1], outcome, copy=copy)
 
     def again(self, pick, outcome):
-        ended = [(held, n) for held in self.calls for n, sent in enumerate(held.sends) if sent.outcome]
+        ended = [(pending, n) for pending in self.calls for n, sent in enumerate(pending.sends) if sent.outcome]
         if ended:
-            held, number = ended[pick % len(ended)]
-            held.returned(self.now, number, outcome)
+            pending, number = ended[pick % len(ended)]
+            pending.returned(self.now, number, outcome)
 
     def left(self, pick):
         if self.calls:
@@ -246,20 +247,20 @@
 
     def verdict(self):
         test = self.test
-        test.assertEqual((self.it.held, self.it.owed, self.it.counts["overdue"] * (not self.jumped)), ({}, 0, 0))
-        for held in self.calls:
-            answers = self.fleet.answers.get(held.ivk, [])
-            test.assertEqual(len(answers), 0 if held.gone else 1, held.ivk)
-            test.assertIn(held.ivk, self.fleet.overs)
+        test.assertEqual((self.it.requests, self.it.owed, self.it.counts["overdue"] * (not self.jumped)), ({}, 0, 0))
+        for pending in self.calls:
+            answers = self.fleet.answers.get(pending.ivk, [])
+            test.assertEqual(len(answers), 0 if pending.gone else 1, pending.ivk)
+            test.assertIn(pending.ivk, self.fleet.overs)
             if answers and not self.jumped:
-                test.assertLessEqual(held.answered_at, held.deadline)
-            entries = [entry for entry in self.fleet.log if entry[0] == "send" and entry[2] == held.ivk]
+                test.assertLessEqual(pending.answered_at, pending.deadline)
+            entries = [entry for entry in self.fleet.log if entry[0] == "send" and entry[2] == pending.ivk]
             test.assertFalse(any(entry[4] for entry in entries), "sent after its answer")
             risky = 0
-            for sent in held.sends:
-                test.assertFalse(risky and held.call.type == Effect.ONCE_ONLY.value, "once-only sent twice")
+            for sent in pending.sends:
+                test.assertFalse(risky and pending.call.type == Effect.ONCE_ONLY.value, "once-only sent twice")
                 risky += sent.outcome not in NEVER_RAN
-            if answers and answers[0].final is Final.REJECTED and held.call.type == Effect.ONCE_ONLY.value:
+            if answers and answers[0].final is FinalKind.REJECTED and pending.call.type == Effect.ONCE_ONLY.value:
                 test.assertFalse(risky, "once-only rejected though it may have run")
 
 
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -5,7 +5,7 @@
 
 from tests.helpers import TYPES
 from tests.platform import begin, params, request
-from threadshift.engine.engine import Answer, Final
+from threadshift.engine.engine import Answer, FinalKind
 from threadshift.fastcgi import codec, requests, room
 from threadshift.fastcgi.codec import BEGIN, PARAMS, STDIN, Records, NotFastCGI, pair, pairs, record, stream
 from threadshift.fastcgi.requests import Unfit
@@ -97,11 +97,12 @@
                          {b"HTTP_X_ITEM": "\xff"})
 
     def test_finals_as_they_go_out(self):
-        self.assertEqual(requests.final(Answer(Final.COMPLETED, "completed", b"\x00b"))[-3:], b"\n\x00b")
-        self.assertIn(b"Status: 503", requests.final(Answer(Final.REJECTED, "no-room", come_back=250 * MS)))
-        self.assertIn(b"X-Wait-Ms: 250\r\n", requests.final(Answer(Final.REJECTED, "no-room", come_back=250 * MS)))
-        self.assertNotIn(b"X-Wait-Ms", requests.final(Answer(Final.REJECTED, "no-room")))
-        self.assertIn(b"Status: 502", requests.final(Answer(Final.ABORTED, "time-up")))
+        self.assertEqual(requests.final(Answer(FinalKind.COMPLETED, "completed", b"\x00b"))[-3:], b"\n\x00b")
+        self.assertIn(b"Status: 503", requests.final(Answer(FinalKind.REJECTED, "no-room", come_back=250 * MS)))
+        self.assertIn(
+            b"X-Wait-Ms: 250\r\n", requests.final(Answer(FinalKind.REJECTED, "no-room", come_back=250 * MS)))
+        self.assertNotIn(b"X-Wait-Ms", requests.final(Answer(FinalKind.REJECTED, "no-room")))
+        self.assertIn(b"Status: 502", requests.final(Answer(FinalKind.ABORTED, "time-up")))
 
     def test_helpers_say_what_the_codec_reads(self):
         kinds = [kind for kind, _, _ in Records().feed(request())]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -179,7 +179,7 @@
             drains = replace(live.front.registry.known[home].entry, state=State.DRAINING)
             sent = live.front.send
             to = []
-            live.front.send = lambda worker, held, number: to.append(worker) or sent(worker, held, number)
+            live.front.send = lambda worker, pending, number: to.append(worker) or sent(worker, pending, number)
             # The word lies unread behind the call: it is heard by the next greenlet to run.
             live.front.api.looks.unread = lambda now: gevent.spawn(live.front.listed, [drains], False) and 200 * MS
             self.assertEqual(live.call("f").status, 200)
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -11,7 +11,7 @@
 from threadshift.audit.report import judge
 from threadshift.audit.rules import breaches
 from threadshift.days.day import KINDS, read_text
-from threadshift.engine.engine import Asked
+from threadshift.engine.engine import PendingWorkerQuery
 from threadshift.emulator.front import ModelFront
 from threadshift.emulator.run import Emulation
 from threadshift.interface import Effect, State
@@ -26,10 +26,10 @@
 
     sabotage = None
 
-    def send(self, worker, held, number):
-        outcome = super().send(worker, held, number)
+    def send(self, worker, pending, number):
+        outcome = super().send(worker, pending, number)
         if self.sabotage and outcome is None:
-            self.sabotage("send", worker, held, number)
+            self.sabotage("send", worker, pending, number)
         return outcome
 
     def hold(self, worker, order):
@@ -39,7 +39,7 @@
         return outcome
 
 
-class Extra(Asked):
+class Extra(PendingWorkerQuery):
     """An order that nobody gave; its answer is dropped."""
 
     def answered(self, *_, **__):
@@ -76,13 +76,13 @@
 
 def again(it, front, effect, where):
     """Sends each call of an effect a second time, to the first worker for which `where` holds."""
-    def act(what, worker, held, number=0):
-        if what != "send" or held.act.kind.effect is not effect or len(held.sends) > 1:
+    def act(what, worker, pending, number=0):
+        if what != "send" or pending.act.kind.effect is not effect or len(pending.sends) > 1:
             return
         other = next((name for name in it.zones if name in front.links and where(name, worker)), None)
         if other is not None:
             true = front.out.get(other, {}).copy()
-            ModelFront.send(front, other, held, 99)
+            ModelFront.send(front, other, pending, 99)
             front.out[other] = true             # what the second one answers is nobody's
     return act
 
@@ -125,16 +125,16 @@
     def test_rule_1_a_port_that_answers_twice(self):
         def twice(it, front):
             tell = front.tell
-            front.tell = lambda held: (tell(held), it.clock.after(0, it.received, held, held.client))
+            front.tell = lambda pending: (tell(pending), it.clock.after(0, it.received, pending, pending.client))
         self.both(1, DAY.replace("retries 1", "retries 0"), twice)
 
     def test_rule_1_a_port_that_answers_too_late_or_never(self):
         def late(it, front):
-            front.tell = lambda held: it.clock.after(2_500_000_000, it.received, held, held.client)
+            front.tell = lambda pending: it.clock.after(2_500_000_000, it.received, pending, pending.client)
         self.both(1, DAY.replace("retries 1", "retries 0"), late)
 
         def never(it, front):
-            front.tell = lambda held: None
+            front.tell = lambda pending: None
         self.both(1, DAY, never)
 
     def test_rule_2_a_once_only_call_sent_again(self):
@@ -151,9 +151,9 @@
         def later(it, front):
             resend = again(it, front, Effect.DEDUPLICATED, lambda one, other: one == other)
 
-            def act(what, worker, held, number=0):
-                if what == "send" and not held.act.fn.name.endswith("0"):
-                    it.clock.after(400_000_000, lambda: held.settled or resend(what, worker, held, number))
+            def act(what, worker, pending, number=0):
+                if what == "send" and not pending.act.fn.name.endswith("0"):
+                    it.clock.after(400_000_000, lambda: pending.settled or resend(what, worker, pending, number))
             return act
         self.both(2, text + "trouble hang at 2s for 8s workers 6\n", later)
 
--- a/tests/test_invoke.py
+++ b/tests/test_invoke.py
@@ -7,7 +7,7 @@
 from gevent import socket
 
 from tests.live import Live, until
-from threadshift.engine.engine import Answer, Final
+from threadshift.engine.engine import Answer, FinalKind
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.admission import PERIOD, Admission
 from threadshift.invoke.deferred import RECORD, InMemory
@@ -165,7 +165,7 @@
         calls = [it.add(f"c{n}") for n in range(5)]
         for n, each in enumerate(calls):
             self.assertTrue(it.room())
-            it.finish(n * SECOND, each, Answer(Final.COMPLETED, "completed", b"x" * 30))
+            it.finish(n * SECOND, each, Answer(FinalKind.COMPLETED, "completed", b"x" * 30))
             each.collected = n == 1
         # The fourth passed the size: the collected one went first; the fifth took the oldest.
         self.assertEqual([it.find(f"c{n}") is not None for n in range(5)], [False, False, True, True, True])
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -113,7 +113,7 @@
         with Platform([silent]) as it:
             self.assertEqual(it.call(type_="submit", left="80")[0], 502)
             until(lambda: it.workers[0].codes(GIVE_UP))
-            until(lambda: not it.node.engine.held)
+            until(lambda: not it.node.engine.requests)
             self.assertFalse(it.node.links["s-0"].ways)
 
     def test_an_answer_that_crosses_its_end_is_not_the_next_sends(self):
@@ -127,11 +127,11 @@
         with Platform([script]) as it:
             link, ends = it.node.links["s-0"], []
             call = Of(type="submit", function="00000000000000f1", body=b"x", mark="")
-            held = Of(ivk=A, call=call, returned=lambda now, number, outcome, **_: ends.append((number, outcome)),
+            pending = Of(ivk=A, call=call, returned=lambda now, number, outcome, **_: ends.append((number, outcome)),
                       time_left=lambda now: SECOND)
-            self.assertIsNone(link.invoke(held, 0, SECOND))
+            self.assertIsNone(link.invoke(pending, 0, SECOND))
             until(lambda: len(ends) == 1)
-            self.assertIsNone(link.invoke(held, 1, SECOND))
+            self.assertIsNone(link.invoke(pending, 1, SECOND))
             until(lambda: len(ends) == 2)
             self.assertEqual([outcome.value for _, outcome in ends], ["full", "completed"])
 
@@ -298,10 +298,11 @@
             first = link.connections[0].sock.getsockname()
             next(sock for sock in it.workers[0].open if sock.getpeername() == first).shutdown(2)
             call = Of(type="submit", function="00000000000000f1", body=b"x", mark="")
-            held = Of(ivk=A, call=call, returned=lambda now, number, outcome, **_: None, time_left=lambda now: SECOND)
-            self.assertIsNone(link.invoke(held, 0, SECOND))
+            pending = Of(ivk=A, call=call, returned=lambda now, number, outcome, **_: None,
+                         time_left=lambda now: SECOND)
+            self.assertIsNone(link.invoke(pending, 0, SECOND))
             self.assertTrue(link.busy)
-            self.assertEqual(link.cancel(held, 0, True).value, "cancelled")
+            self.assertEqual(link.cancel(pending, 0, True).value, "cancelled")
             self.assertFalse(link.busy)
             until(lambda: it.workers[0].codes(GIVE_UP))
 
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -11,7 +11,7 @@
 from tests.test_engine import Fleet
 from threadshift.choice import Dispatcher
 from threadshift.conf.settings import Malformed
-from threadshift.engine.engine import Call, Final, RequestEngine
+from threadshift.engine.engine import Call, FinalKind, RequestEngine
 from threadshift.frames.codec import INVOKE
 from threadshift.interface import MS, SECOND, Copy, Effect, Outcome
 from threadshift.invoke.admission import Admission
@@ -70,7 +70,7 @@
         engine = fleet.engine = RequestEngine(Dispatcher(1, it.deployment, now), fleet, fleet, it.load_order)
         engine.roster(now, [ready(f"w{n}", since=now if n == 3 else 0) for n in range(4)], full=True)
         for what, pick, outcome in events:
-            out = [(held, n) for held in calls for n, sent in enumerate(held.sends) if sent.outcome is None]
+            out = [(pending, n) for pending in calls for n, sent in enumerate(pending.sends) if sent.outcome is None]
             if what == "take":
                 type_ = types[pick % len(types)]
                 calls.append(engine.take(now, f"c{len(calls)}", Call(
@@ -78,8 +78,8 @@
                     tenant=it.deployment.tenants[pick % len(it.deployment.tenants)].name if it.deployment.tenants
                     else "", work=pick * MS)))
             elif what == "end" and out:
-                held, number = out[pick % len(out)]
-                held.returned(now, number, outcome, copy=Copy.FOUND)
+                pending, number = out[pick % len(out)]
+                pending.returned(now, number, outcome, copy=Copy.FOUND)
             elif what == "leave" and calls:
                 calls[pick % len(calls)].left(now)
             else:
@@ -88,16 +88,16 @@
         engine.hasten(now, leaving.answered)
         now = self.wait(engine, now, leaving.answered)
         self.assertEqual((engine.owed, engine.counts["overdue"]), (0, 0))
-        for held in calls:
-            answers = fleet.answers.get(held.ivk, [])
-            self.assertEqual(len(answers), 0 if held.gone else 1)
-            self.assertLessEqual(held.answered_at, leaving.answered)
-            ran = [sent for sent in held.sends if sent.outcome not in (
+        for pending in calls:
+            answers = fleet.answers.get(pending.ivk, [])
+            self.assertEqual(len(answers), 0 if pending.gone else 1)
+            self.assertLessEqual(pending.answered_at, leaving.answered)
+            ran = [sent for sent in pending.sends if sent.outcome not in (
                 Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT, Outcome.MISS)]
-            if held.act.kind.effect is Effect.ONCE_ONLY:
+            if pending.act.kind.effect is Effect.ONCE_ONLY:
                 self.assertLessEqual(len(ran), 1)
-                self.assertFalse(ran and answers and answers[0].final is Final.REJECTED)
-            self.assertLessEqual(len(held.sends), it.deployment.max_sends)
+                self.assertFalse(ran and answers and answers[0].final is FinalKind.REJECTED)
+            self.assertLessEqual(len(pending.sends), it.deployment.max_sends)
 
     def wait(self, engine, now, until):
         while engine.due() <= until:
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -197,11 +197,11 @@
         # Where cancels are not allowed, it left as soon as its connection came up.
         for may_cancel in (True, False):
             it, fleet = engine(workers=1, may_cancel=may_cancel)
-            held = it.take(0, "a", ask(Effect.ONCE_ONLY))
+            pending = it.take(0, "a", ask(Effect.ONCE_ONLY))
             fleet.waiting.add(("w0", "a"))
-            held.left(MS)
+            pending.left(MS)
             self.assertEqual([entry[0] for entry in fleet.log][-1], "cancel" if may_cancel else "withdrawn")
-            self.assertFalse(may_cancel and it.held and not held.gone)
+            self.assertFalse(may_cancel and it.requests and not pending.gone)
 
     def test_so_on_a_connection_that_comes_up_late(self):
         for cancel in (True, False):
@@ -237,10 +237,10 @@
     def test_a_close_that_lies_unread_stops_the_next_send(self):
         it, fleet = engine(workers=2, at_once=[Outcome.FULL])
         fleet.at_once.clear()
-        held = it.take(0, "a", ask())
+        pending = it.take(0, "a", ask())
         fleet.gone_unread.add("a")
-        held.returned(MS, 0, Outcome.FULL)
-        self.assertEqual((len(fleet.sends()), held.gone, it.owed, it.held), (1, True, 0, {}))
+        pending.returned(MS, 0, Outcome.FULL)
+        self.assertEqual((len(fleet.sends()), pending.gone, it.owed, it.requests), (1, True, 0, {}))
 
     def test_an_abort_behind_a_request_that_lay_unread_stops_its_first_send(self):
         # The wait for what lies unread was the reader's own, so that it could not read what it waited for.
@@ -318,14 +318,14 @@
 
     def test_a_repeat_that_waits_past_the_memory_of_the_first_send_does_not_leave(self):
         it, fleet = engine(workers=2)             # the memory span of the tests' types is 2 s
-        held = it.take(0, "a", ask(Effect.DEDUPLICATED, left=4 * SECOND))
+        pending = it.take(0, "a", ask(Effect.DEDUPLICATED, left=4 * SECOND))
         fleet.waiting |= {("w0", "a"), ("w1", "a")}
-        held.returned(1900 * MS, 0, Outcome.RESET)
+        pending.returned(1900 * MS, 0, Outcome.RESET)
         self.assertEqual(len(fleet.sends()), 2)
         while it.due() < 2100 * MS:
             it.tick(it.due())
         self.assertEqual([(entry[0], entry[1] <= 2 * SECOND) for entry in fleet.log][-1], ("withdrawn", True))
-        self.assertEqual(held.sends[1].outcome, Outcome.MOOT)
+        self.assertEqual(pending.sends[1].outcome, Outcome.MOOT)
 
     def test_a_send_that_waited_for_its_connection_tells_the_time_that_is_left_then(self):
         with Platform() as it:
@@ -358,8 +358,8 @@
             only.connections[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             deadline = time.monotonic_ns() + 900 * MS
             for number in (1, 2, 3, 4):
-                held = attempt(f"{number:016x}", lambda now: deadline - now, bytes(16 << 10))
-                self.assertIsNone(only.invoke(held, 0, held.time_left(time.monotonic_ns())))
+                pending = attempt(f"{number:016x}", lambda now: deadline - now, bytes(16 << 10))
+                self.assertIsNone(only.invoke(pending, 0, pending.time_left(time.monotonic_ns())))
             self.assertGreaterEqual(len(only.connections[0].outbox.unwritten), 2)
             until(lambda: time.monotonic_ns() > deadline - 500 * MS)
             reads.set()
@@ -372,9 +372,9 @@
             only = it.node.links["s-0"]
             connection = only.connections[0]
             left = [900 * MS, 300 * MS]
-            held = attempt(A, lambda now: left[0])
+            pending = attempt(A, lambda now: left[0])
             with mock.patch.object(connection, "write"):
-                only.invoke(held, 0, left.pop(0))
+                only.invoke(pending, 0, left.pop(0))
             until(lambda: len(only.connections) == 2)
             only.broke(connection, "reset")
             until(lambda: it.workers[0].codes(INVOKE))
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from threadshift.engine.engine import Answer, Final
+from threadshift.engine.engine import Answer, FinalKind
 from threadshift.interface import MS, SECOND, Tenant
 from threadshift.invoke.admission import MOST, PERIOD, Admission
 from threadshift.invoke.deferred import InMemory
@@ -89,7 +89,7 @@
     def test_who_keeps_most_loses_its_answers_first(self):
         it = InMemory(100, 10_000, 60 * SECOND, WEIGHT)
         for n, tenant in enumerate(["a"] + ["c"] * 20):
-            it.finish(n, it.add(f"c{n}", tenant), Answer(Final.COMPLETED, "completed", b"x" * 100))
+            it.finish(n, it.add(f"c{n}", tenant), Answer(FinalKind.COMPLETED, "completed", b"x" * 100))
         self.assertIsNotNone(it.find("c0"))
         self.assertIsNone(it.find("c1"))
 
@@ -106,7 +106,7 @@
         it = InMemory(10, 100_000, 60 * SECOND)
         taken = 0
         while taken < 10_000:
-            it.finish(taken, it.add(f"c{taken}"), Answer(Final.REJECTED, "no-room"))
+            it.finish(taken, it.add(f"c{taken}"), Answer(FinalKind.REJECTED, "no-room"))
             taken += 1
         self.assertLess(len(it.calls), 200)
 
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -12,7 +12,7 @@
 from tests.live import until
 from tests.platform import Coordinator, Platform, Worker, configuration, event, instance
 from tests.processes import FrontEndProcess
-from threadshift.engine.engine import Call, Held
+from threadshift.engine.engine import Call, PendingRequest
 from threadshift.frames.codec import INVOKE
 from threadshift.frames.link import request_now
 from threadshift.interface import MS, SECOND, Outcome
@@ -74,12 +74,13 @@
 
     def test_nothing_of_it_is_written(self):
         with Platform() as it:
-            held = Held(it.node.engine, "00000000000000d1", Call("check", "00000000000000f1", 0), 0, deadline=1)
+            pending = PendingRequest(
+                it.node.engine, "00000000000000d1", Call("check", "00000000000000f1", 0), 0, deadline=1)
             link = it.node.links["s-0"]
             with mock.patch.dict(it.node.links, {"s-0": mock.Mock()}):
-                self.assertEqual(it.node.send("s-0", held, 0), Outcome.MOOT)     # whatever the link looks at
-            id_ = bytes.fromhex(held.ivk)
-            self.assertEqual(link.place(id_, (held, 0), request_now(id_, held)), Outcome.MOOT)
+                self.assertEqual(it.node.send("s-0", pending, 0), Outcome.MOOT)     # whatever the link looks at
+            id_ = bytes.fromhex(pending.ivk)
+            self.assertEqual(link.place(id_, (pending, 0), request_now(id_, pending)), Outcome.MOOT)
             self.assertEqual(it.call()[0], 200)
             self.assertEqual(len(it.workers[0].codes(INVOKE)), 1)
 
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -20,7 +20,7 @@
 from threadshift.choice import FAR_REACH, Dispatcher
 from threadshift.coordinator.events import parse_update
 from threadshift.coordinator.stream import Response
-from threadshift.engine.engine import Asked
+from threadshift.engine.engine import PendingWorkerQuery
 from threadshift.frames.codec import ASK, FROM_WORKER, FULL, HOLD, INVOKE, encode
 from threadshift.gateway.fleet import JOIN_BATCH
 from threadshift.interface import MS, SECOND, Deployment, Effect, Listing, NamespaceType, State
@@ -143,7 +143,7 @@
 
     def test_a_question_waits_for_its_dial(self):
         link = next(iter(self.node.links.values()))
-        self.assertIsNone(link.ask(Asked(self.node.engine, link.worker)))
+        self.assertIsNone(link.ask(PendingWorkerQuery(self.node.engine, link.worker)))
         self.assertEqual(len(link.queue), 1)
         until(lambda: len(self.worker.codes(ASK)) == 1)
 
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -16,7 +16,7 @@
 from threadshift.choice import Dispatcher
 from threadshift.days.day import Day
 from threadshift.engine import previous_process
-from threadshift.engine.engine import Asked, Call, Held, RequestEngine
+from threadshift.engine.engine import PendingWorkerQuery, Call, PendingRequest, RequestEngine
 from threadshift.emulator.clock import Clock
 from threadshift.emulator.network import Network
 from threadshift.emulator.worker import Job, ModelWorker
@@ -37,7 +37,8 @@
     """One life of a front end; a restart makes a new one."""
 
     def __init__(self, clock: Clock, day: Day, name: str, zone: str, network: Network, seed: int,
-                 answered: Callable[[Held], None], refuse: Callable[[Any], None], policy: Policy = Dispatcher):
+                 answered: Callable[[PendingRequest], None], refuse: Callable[[Any], None],
+                 policy: Policy = Dispatcher):
         self.clock, self.day, self.name, self.zone, self.network = clock, day, name, zone, network
         chance = random.Random(f"{seed} {name} {clock.now}")
         self.chance = chance.random
@@ -217,32 +218,32 @@
         it = self.network.workers.get(worker)
         return it if it is not None and self.links.get(worker) == it.started else None
 
-    def answered(self, held: Held) -> None:
+    def answered(self, pending: PendingRequest) -> None:
         if self.hall is not None:
-            self.hall.recent.note(self.clock.now, held)
-        self.tell(held)
+            self.hall.recent.note(self.clock.now, pending)
+        self.tell(pending)
         if self.closing:
             self.clock.after(0, self.end_if_done)
 
-    def left_unread(self, held: Held) -> bool:
+    def left_unread(self, pending: PendingRequest) -> bool:
         return False        # word of it is heard in the order in which it came
 
-    def over(self, held: Held) -> None:
+    def over(self, pending: PendingRequest) -> None:
         """Nothing is kept here."""
 
     # The engine's port to workers.
 
-    def send(self, worker: str, held: Held, number: int) -> Outcome | None:
+    def send(self, worker: str, pending: PendingRequest, number: int) -> Outcome | None:
         it = self.link(worker)
         if it is None:
             return Outcome.UNREACHABLE
-        key = (held, number)
+        key = (pending, number)
         self.out.setdefault(worker, {})[key] = None
-        mark, work = held.call.mark.split(" ")
-        job = Job(self.name, mark, held.call.function, held.act.kind.effect.value, int(work), held.deadline,
+        mark, work = pending.call.mark.split(" ")
+        job = Job(self.name, mark, pending.call.function, pending.act.kind.effect.value, int(work), pending.deadline,
                   lambda outcome, copy, report: self.network.back(self, it, self.replied, worker, key, outcome, copy,
                                                                   report))
-        self.network.forth(self, it, it.invoke, job, held.call.work, max(1, held.call.lanes))
+        self.network.forth(self, it, it.invoke, job, pending.call.work, max(1, pending.call.lanes))
         return None
 
     def replied(self, worker: str, key: tuple, outcome: Outcome | None, copy: Copy, report: Report | None) -> None:
@@ -251,8 +252,8 @@
             return
         if self.out.get(worker, {}).pop(key, key) is not None:
             return
-        held, number = key
-        held.returned(self.clock.now, number, outcome, copy=copy, report=report)
+        pending, number = key
+        pending.returned(self.clock.now, number, outcome, copy=copy, report=report)
 
     def broke(self, worker: str) -> None:
         """The connection to a worker broke: all that waits there may have run."""
@@ -263,22 +264,22 @@
             self.clock.at(self.redials.setdefault(worker, Redial(self.chance)).broke(self.clock.now), self.dial,
                           worker, True)
         for key in waiting:
-            if isinstance(key, Asked):
+            if isinstance(key, PendingWorkerQuery):
                 key.answered(self.clock.now, Outcome.RESET)
             else:
                 key[0].returned(self.clock.now, key[1], Outcome.RESET)
 
-    def cancel(self, worker: str, held: Held, number: int, tell: bool) -> Outcome:
-        self.out.get(worker, {}).pop((held, number), None)
+    def cancel(self, worker: str, pending: PendingRequest, number: int, tell: bool) -> Outcome:
+        self.out.get(worker, {}).pop((pending, number), None)
         it = self.link(worker)
         if tell and it is not None:
-            self.network.forth(self, it, it.cancel, self.name, held.call.mark.split(" ")[0])
+            self.network.forth(self, it, it.cancel, self.name, pending.call.mark.split(" ")[0])
         return Outcome.CANCELLED
 
-    def withdraw(self, worker: str, held: Held, number: int) -> bool:
+    def withdraw(self, worker: str, pending: PendingRequest, number: int) -> bool:
         return False        # a modelled connection takes everything at once
 
-    def hold(self, worker: str, order: Asked) -> Outcome | None:
+    def hold(self, worker: str, order: PendingWorkerQuery) -> Outcome | None:
         it = self.link(worker)
         if it is None:
             return Outcome.UNREACHABLE
@@ -287,11 +288,11 @@
             self, it, self.held, worker, order, outcome, copies))
         return None
 
-    def held(self, worker: str, order: Asked, outcome: Outcome, copies: int) -> None:
+    def held(self, worker: str, order: PendingWorkerQuery, outcome: Outcome, copies: int) -> None:
         self.out.get(worker, {}).pop(order, None)
         order.answered(self.clock.now, outcome, copies=copies)
 
-    def ask(self, worker: str, question: Asked) -> Outcome | None:
+    def ask(self, worker: str, question: PendingWorkerQuery) -> Outcome | None:
         it = self.link(worker)
         self.asks += 1
         if it is None:
@@ -300,7 +301,7 @@
         self.network.forth(self, it, self.network.back, self, it, self.reported, worker, question)
         return None
 
-    def reported(self, worker: str, question: Asked) -> None:
+    def reported(self, worker: str, question: PendingWorkerQuery) -> None:
         self.out.get(worker, {}).pop(question, None)
         it = self.network.workers.get(worker)
         question.answered(self.clock.now, Outcome.COMPLETED if it else Outcome.RESET,
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -12,7 +12,7 @@
 from threadshift.days.day import Day
 from threadshift.days.orders import Order, names, orders
 from threadshift.days.traffic import ANY, Try, follower, tries
-from threadshift.engine.engine import Call, Final, Held
+from threadshift.engine.engine import Call, FinalKind, PendingRequest
 from threadshift.emulator.clock import Clock
 from threadshift.choice import Dispatcher
 from threadshift.emulator.front import CALL, ModelFront, Policy
@@ -170,9 +170,9 @@
         note("killing", who=who)
         if who.startswith("front"):
             self.fronts[who].end()
-            for held in self.fronts[who].engine.held.values():
-                if not held.settled:
-                    held.client[0]("broke", mark=held.client[1], problem="reset")
+            for pending in self.fronts[who].engine.requests.values():
+                if not pending.settled:
+                    pending.client[0]("broke", mark=pending.client[1], problem="reset")
         else:
             self.network.die(who)
         note("killed", who=who)
@@ -259,31 +259,33 @@
         front.hear(OTHER, self.leave, front, mark)
 
     def leave(self, front: ModelFront, mark: str) -> None:
-        held = next((each for each in front.engine.held.values() if each.client and each.client[1] == mark), None)
-        if held is not None:
-            held.left(self.clock.now)
+        pending = next((each for each in front.engine.requests.values()
+                        if each.client and each.client[1] == mark), None)
+        if pending is not None:
+            pending.left(self.clock.now)
 
-    def answered(self, held: Held) -> None:
-        self.clock.after(self.network.delay(), self.received, held, held.client)
+    def answered(self, pending: PendingRequest) -> None:
+        self.clock.after(self.network.delay(), self.received, pending, pending.client)
 
     def refused(self, client: tuple) -> None:
         """At the door, as its time was up before it was read."""
         note, mark, it, number, n = client
         self.ended.add(mark)
-        note("answer", mark=mark, final=Final.REJECTED.value, status=503, may_have_run=False,
+        note("answer", mark=mark, final=FinalKind.REJECTED.value, status=503, may_have_run=False,
              served_by=f"front-{n}")
         self.again(it, number, note, True)
 
-    def received(self, held: Held, client: tuple) -> None:
+    def received(self, pending: PendingRequest, client: tuple) -> None:
         note, mark, it, number, n = client
         self.ended.add(mark)
-        answer = held.answer
+        answer = pending.answer
         assert answer is not None
-        note("answer", mark=mark, final=answer.final.value, status=200 if answer.final is Final.COMPLETED else 503,
+        note("answer", mark=mark, final=answer.final.value,
+             status=200 if answer.final is FinalKind.COMPLETED else 503,
              may_have_run=answer.may_have_run, served_by=f"front-{n}")
-        self.again(it, number, note, answer.final is Final.REJECTED
-                   or answer.final is Final.ABORTED and it.type.effect is Effect.REPEATABLE)
-        if answer.final is Final.COMPLETED and it.chain:
+        self.again(it, number, note, answer.final is FinalKind.REJECTED
+                   or answer.final is FinalKind.ABORTED and it.type.effect is Effect.REPEATABLE)
+        if answer.final is FinalKind.COMPLETED and it.chain:
             self.clock.after(0, self.ask, follower(it), 0, note)
 
     def again(self, it: Try, number: int, note: Callable[..., None], wanted: bool) -> None:
--- a/threadshift/engine/engine.py
+++ b/threadshift/engine/engine.py
@@ -25,7 +25,7 @@
 ASK_WAIT = SECOND          # a question that nobody answered so long is lost; far above any answer on a network
 
 
-class Final(Enum):
+class FinalKind(Enum):
     """The three final answers."""
 
     COMPLETED = "completed"
@@ -36,7 +36,7 @@
 class Answer(NamedTuple):
     """A final answer. `reason` is one word for logs and clients."""
 
-    final: Final
+    final: FinalKind
     reason: str
     body: bytes = b""
     error: str = ""              # the function's own error, by name; the call completed all the same
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Sent:
+class SendRecord:
     """One send as it left: where to, when, and how it ended."""
 
     worker: str
@@ -71,7 +71,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class PendingRequest:
     """The handle of one activation taken."""
 
     engine: RequestEngine
@@ -80,7 +80,7 @@
     taken: int
     deadline: int
     act: Activation = field(init=False)
-    sends: list[Sent] = field(default_factory=list)
+    sends: list[SendRecord] = field(default_factory=list)
     answer: Answer | None = None
     answered_at: int = 0
     gone: bool = False           # its client quit first
@@ -105,7 +105,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
+class PendingWorkerQuery:
     """A load order (fn set) or a question for a report, on its way to a worker."""
 
     engine: RequestEngine
@@ -117,29 +117,30 @@
         self.engine.replied(self, now, outcome, copies, report)
 
 
-class Leaving(NamedTuple):
+class SendDeadline(NamedTuple):
     """A send that has to leave by a time, or not at all."""
 
-    held: Held
+    pending: PendingRequest
     number: int
 
 
 class Workers(Protocol):
     """What carries steps to workers. An outcome handed back at once means that nothing will follow."""
 
-    def send(self, worker: str, held: Held, number: int) -> Outcome | None: ...
-    def cancel(self, worker: str, held: Held, number: int, tell: bool) -> Outcome: ...
-    def withdraw(self, worker: str, held: Held, number: int) -> bool: ...   # True where it never left, and will not
-    def hold(self, worker: str, order: Asked) -> Outcome | None: ...
-    def ask(self, worker: str, question: Asked) -> Outcome | None: ...
+    def send(self, worker: str, pending: PendingRequest, number: int) -> Outcome | None: ...
+    def cancel(self, worker: str, pending: PendingRequest, number: int, tell: bool) -> Outcome: ...
+    # True where it never left, and will not
+    def withdraw(self, worker: str, pending: PendingRequest, number: int) -> bool: ...
+    def hold(self, worker: str, order: PendingWorkerQuery) -> Outcome | None: ...
+    def ask(self, worker: str, question: PendingWorkerQuery) -> Outcome | None: ...
 
 
 class Clients(Protocol):
     """What takes final answers to clients, and hears when nothing more can come for a handle."""
 
-    def left_unread(self, held: Held) -> bool: ...     # whether word that it is gone lies unread
-    def answered(self, held: Held) -> None: ...
-    def over(self, held: Held) -> None: ...
+    def left_unread(self, pending: PendingRequest) -> bool: ...     # whether word that it is gone lies unread
+    def answered(self, pending: PendingRequest) -> None: ...
+    def over(self, pending: PendingRequest) -> None: ...
 
 
 class RequestEngine:
@@ -148,9 +149,10 @@
     def __init__(self, dispatcher: Dispatcher, workers: Workers, clients: Clients, order_wait: int = 10 * SECOND):
         self.dispatcher, self.workers, self.clients, self.order_wait = dispatcher, workers, clients, order_wait
         self.now = 0
-        self.held: dict[str, Held] = {}         # answer owed, or sends out
+        self.requests: dict[str, PendingRequest] = {}         # answer owed, or sends out
         self.owed = 0                           # of them, without their final answer
-        self.times: list[tuple[int, int, Held | Asked | Leaving]] = []      # (due, serial, what ends then)
+        # (due, serial, what ends then)
+        self.times: list[tuple[int, int, PendingRequest | PendingWorkerQuery | SendDeadline]] = []
         self.serial = count().__next__
         self.todo: deque[Step] = deque()
         self.busy = False
@@ -159,29 +161,29 @@
 
     # What comes in.
 
-    def take(self, now: int, ivk: str, call: Call, client: Any = None) -> Held:
+    def take(self, now: int, ivk: str, call: Call, client: Any = None) -> PendingRequest:
         """A call is taken: from here on it is owed one final answer. Its type must be known."""
         now = self.clock(now)
         if self.last is not None:
             call = call._replace(left=min(call.left, self.last - now))
-        held = Held(self, ivk, call, now, now + max(0, call.left), client=client)
-        held.act = self.dispatcher.take(
+        pending = PendingRequest(self, ivk, call, now, now + max(0, call.left), client=client)
+        pending.act = self.dispatcher.take(
             now, ivk, call.type, call.function, call.left, tenant=call.tenant, work=call.work, lanes=call.lanes,
             load_time=call.load_time, again=call.again)
-        self.held[ivk] = held
+        self.requests[ivk] = pending
         self.owed += 1
         self.counts["taken"] += 1
-        heapq.heappush(self.times, (held.deadline, self.serial(), held))
-        self.carry(now, held.act.start(now))
-        return held
+        heapq.heappush(self.times, (pending.deadline, self.serial(), pending))
+        self.carry(now, pending.act.start(now))
+        return pending
 
     def hasten(self, now: int, last: int) -> None:
         """This front end is to end: all that is owed, and all taken from here on, is answered by `last`."""
         self.last = last
-        for held in self.held.values():
-            if held.deadline > last:
-                held.deadline = last
-                heapq.heappush(self.times, (last, self.serial(), held))
+        for pending in self.requests.values():
+            if pending.deadline > last:
+                pending.deadline = last
+                heapq.heappush(self.times, (last, self.serial(), pending))
         self.dispatcher.hasten(last)
 
     def roster(self, now: int, listings: list[Listing], full: bool) -> None:
@@ -199,41 +201,43 @@
         self.carry(now, self.dispatcher.tick(now))
         while self.times and self.times[0][0] <= now:
             _, _, what = heapq.heappop(self.times)
-            if isinstance(what, Held):
+            if isinstance(what, PendingRequest):
                 self.time_up(what, now)
-            elif isinstance(what, Leaving):
+            elif isinstance(what, SendDeadline):
                 self.take_back(*what, now)
             elif not what.over:
                 what.answered(now, Outcome.TIMEOUT)
 
     # What handles pass on.
 
-    def ended(self, held: Held, now: int, number: int, outcome: Outcome, body: bytes = b"", error: str = "",
-              copy: Copy = Copy.UNTOLD, report: Report | None = None, waited: int | None = None) -> None:
-        now, sent = self.clock(now), held.sends[number]
+    def ended(self, pending: PendingRequest, now: int, number: int, outcome: Outcome, body: bytes = b"",
+              error: str = "", copy: Copy = Copy.UNTOLD, report: Report | None = None,
+              waited: int | None = None) -> None:
+        now, sent = self.clock(now), pending.sends[number]
         if sent.outcome is not None:
             self.counts["late"] += 1
             return
         sent.outcome, sent.copy = outcome, copy
         sent.waited = now - sent.at if waited is None else min(waited, now - sent.at)
         self.counts[outcome.value] += 1
-        final = outcome is Outcome.COMPLETED and not held.settled and now <= held.deadline
+        final = outcome is Outcome.COMPLETED and not pending.settled and now <= pending.deadline
         if final:
-            self.finish(held, now, Answer(Final.COMPLETED, "completed", body, error))
-        self.carry(now, held.act.returned(now, number, outcome, sent.waited, copy=copy, final=final,
+            self.finish(pending, now, Answer(FinalKind.COMPLETED, "completed", body, error))
+        self.carry(now, pending.act.returned(now, number, outcome, sent.waited, copy=copy, final=final,
                                           report=report))
-        self.let_go(held)
+        self.let_go(pending)
 
-    def quit(self, held: Held, now: int) -> None:
-        if held.settled:
+    def quit(self, pending: PendingRequest, now: int) -> None:
+        if pending.settled:
             return
-        now, held.gone = self.clock(now), True
+        now, pending.gone = self.clock(now), True
         self.owed -= 1
         self.counts["left"] += 1
-        self.carry(now, held.act.left(now))
-        self.let_go(held)
+        self.carry(now, pending.act.left(now))
+        self.let_go(pending)
 
-    def replied(self, asked: Asked, now: int, outcome: Outcome, copies: int, report: Report | None) -> None:
+    def replied(self, asked: PendingWorkerQuery, now: int, outcome: Outcome, copies: int,
+                report: Report | None) -> None:
         if asked.over:
             return
         now, asked.over = self.clock(now), True
@@ -255,79 +259,79 @@
             self.busy = False
 
     def step(self, step: Step, now: int) -> None:
-        held = self.held.get(step.act.ivk) if step.act else None
-        if step.do is Do.SEND and held:
-            number = len(held.sends)
-            held.sends.append(Sent(step.worker, now))
+        pending = self.requests.get(step.act.ivk) if step.act else None
+        if step.do is Do.SEND and pending:
+            number = len(pending.sends)
+            pending.sends.append(SendRecord(step.worker, now))
             self.counts["sends"] += 1
-            if not held.settled and self.clients.left_unread(held):
-                self.quit(held, now)
+            if not pending.settled and self.clients.left_unread(pending):
+                self.quit(pending, now)
             # Nothing leaves for an activation that has its answer, whatever order the steps came in.
-            outcome = Outcome.MOOT if held.settled else self.workers.send(step.worker, held, number)
+            outcome = Outcome.MOOT if pending.settled else self.workers.send(step.worker, pending, number)
             if outcome is not None:
-                self.ended(held, now, number, outcome)
+                self.ended(pending, now, number, outcome)
             elif step.amount:
-                heapq.heappush(self.times, (now + step.amount, self.serial(), Leaving(held, number)))
-        elif step.do is Do.CANCEL and held:
-            self.call_off(held, now, step.amount, tell=True)
-        elif step.do in (Do.REJECT, Do.ABORT) and held:
-            if not held.settled:
-                self.finish(held, now, refusal(held, step, now))
-            self.let_go(held)
+                heapq.heappush(self.times, (now + step.amount, self.serial(), SendDeadline(pending, number)))
+        elif step.do is Do.CANCEL and pending:
+            self.call_off(pending, now, step.amount, tell=True)
+        elif step.do in (Do.REJECT, Do.ABORT) and pending:
+            if not pending.settled:
+                self.finish(pending, now, refusal(pending, step, now))
+            self.let_go(pending)
         elif step.do is Do.HOLD:
-            self.put(Asked(self, step.worker, step.fn), now, self.order_wait, self.workers.hold)
+            self.put(PendingWorkerQuery(self, step.worker, step.fn), now, self.order_wait, self.workers.hold)
         elif step.do is Do.ASK:
-            self.put(Asked(self, step.worker), now, ASK_WAIT, self.workers.ask)
+            self.put(PendingWorkerQuery(self, step.worker), now, ASK_WAIT, self.workers.ask)
 
-    def put(self, asked: Asked, now: int, wait: int, port: Any) -> None:
+    def put(self, asked: PendingWorkerQuery, now: int, wait: int, port: Any) -> None:
         self.counts["orders" if asked.fn else "questions"] += 1
         heapq.heappush(self.times, (now + wait, self.serial(), asked))
         outcome = port(asked.worker, asked)
         if outcome is not None:
             self.replied(asked, now, outcome, 0, None)
 
-    def call_off(self, held: Held, now: int, number: int, tell: bool) -> None:
+    def call_off(self, pending: PendingRequest, now: int, number: int, tell: bool) -> None:
         """Ends a send that has no outcome; one still in our own buffer never ran."""
-        sent = held.sends[number]
+        sent = pending.sends[number]
         if sent.outcome is None:
-            outcome = self.workers.cancel(sent.worker, held, number, tell)
-            self.ended(held, now, number, outcome if tell or outcome is Outcome.MOOT else Outcome.TIMEOUT)
+            outcome = self.workers.cancel(sent.worker, pending, number, tell)
+            self.ended(pending, now, number, outcome if tell or outcome is Outcome.MOOT else Outcome.TIMEOUT)
 
-    def take_back(self, held: Held, number: int, now: int) -> None:
+    def take_back(self, pending: PendingRequest, number: int, now: int) -> None:
         """Ends a send of which nothing has left."""
-        sent = held.sends[number]
-        if sent.outcome is None and self.workers.withdraw(sent.worker, held, number):
-            self.ended(held, now, number, Outcome.MOOT)
+        sent = pending.sends[number]
+        if sent.outcome is None and self.workers.withdraw(sent.worker, pending, number):
+            self.ended(pending, now, number, Outcome.MOOT)
 
-    def time_up(self, held: Held, now: int) -> None:
-        for number, sent in enumerate(held.sends):
+    def time_up(self, pending: PendingRequest, now: int) -> None:
+        for number, sent in enumerate(pending.sends):
             if sent.outcome is None:
-                self.call_off(held, now, number, tell=False)
-        if not held.settled:
+                self.call_off(pending, now, number, tell=False)
+        if not pending.settled:
             # The dispatcher answers two ticks earlier; this stands against a fault there, loudly in the counts.
             self.counts["overdue"] += 1
-            self.finish(held, now, Answer(Final.ABORTED, "overdue", may_have_run=may_have_run(held)))
-            self.carry(now, held.act.left(now))
-        self.let_go(held)
+            self.finish(pending, now, Answer(FinalKind.ABORTED, "overdue", may_have_run=may_have_run(pending)))
+            self.carry(now, pending.act.left(now))
+        self.let_go(pending)
 
-    def finish(self, held: Held, now: int, answer: Answer) -> None:
+    def finish(self, pending: PendingRequest, now: int, answer: Answer) -> None:
         """The one place where a client is answered."""
-        held.answer, held.answered_at = answer, now
+        pending.answer, pending.answered_at = answer, now
         self.owed -= 1
         self.counts[f"answered {answer.final.value}"] += 1
-        self.clients.answered(held)
+        self.clients.answered(pending)
 
-    def let_go(self, held: Held) -> None:
+    def let_go(self, pending: PendingRequest) -> None:
         # What still waits to leave does not, whether or not cancels are allowed: its client is answered, or gone.
-        for number in range(len(held.sends) if held.settled else 0):
-            self.take_back(held, number, self.now)
-        if held.settled and held.act.over and held.ivk in self.held:
-            del self.held[held.ivk]
-            self.clients.over(held)
+        for number in range(len(pending.sends) if pending.settled else 0):
+            self.take_back(pending, number, self.now)
+        if pending.settled and pending.act.over and pending.ivk in self.requests:
+            del self.requests[pending.ivk]
+            self.clients.over(pending)
             # Left as a ring, each call would wait for the collector, which then stands still for tens of ms.
-            held.client = None
-            held.act.sends.clear()
-            held.act.risky.clear()
+            pending.client = None
+            pending.act.sends.clear()
+            pending.act.risky.clear()
 
     # Small things.
 
@@ -336,29 +340,29 @@
         return self.now
 
     @staticmethod
-    def past(what: Held | Asked | Leaving) -> bool:
-        if isinstance(what, Leaving):
-            return what.held.sends[what.number].outcome is not None
-        return what.over if isinstance(what, Asked) else what.settled and what.act.over
+    def past(what: PendingRequest | PendingWorkerQuery | SendDeadline) -> bool:
+        if isinstance(what, SendDeadline):
+            return what.pending.sends[what.number].outcome is not None
+        return what.over if isinstance(what, PendingWorkerQuery) else what.settled and what.act.over
 
 
-def may_have_run(held: Held) -> bool:
+def may_have_run(pending: PendingRequest) -> bool:
     """Whether any of its sends may have run, by how they ended so far."""
-    return any(sent.outcome not in NEVER_RAN for sent in held.sends)
+    return any(sent.outcome not in NEVER_RAN for sent in pending.sends)
 
 
-def refusal(held: Held, step: Step, now: int) -> Answer:
+def refusal(pending: PendingRequest, step: Step, now: int) -> Answer:
     """A rejection or an abort with its reason, by what was seen last."""
-    last = held.sends[-1].outcome if held.sends else None
-    if held.act.due <= now:
+    last = pending.sends[-1].outcome if pending.sends else None
+    if pending.act.due <= now:
         reason = "time-up"
-    elif held.sends:
+    elif pending.sends:
         reason = f"last-send-{last.value.replace(' ', '-')}" if last else "send-under-way"
     else:
-        reason = "over-share" if held.act.spare else "no-room"
-    ran = may_have_run(held)
+        reason = "over-share" if pending.act.spare else "no-room"
+    ran = may_have_run(pending)
     if step.do is Do.ABORT:
-        return Answer(Final.ABORTED, reason, may_have_run=ran)
+        return Answer(FinalKind.ABORTED, reason, may_have_run=ran)
     # A repeatable call may be tried again although it ran; the client is told both.
-    return Answer(Final.REJECTED, reason, come_back=step.amount,
-                  may_have_run=ran and held.act.kind.effect is not Effect.ONCE_ONLY)
+    return Answer(FinalKind.REJECTED, reason, come_back=step.amount,
+                  may_have_run=ran and pending.act.kind.effect is not Effect.ONCE_ONLY)
--- a/threadshift/fastcgi/connection.py
+++ b/threadshift/fastcgi/connection.py
@@ -13,7 +13,7 @@
 import gevent
 from gevent import socket
 
-from threadshift.engine.engine import Held
+from threadshift.engine.engine import PendingRequest
 from threadshift.fastcgi import codec, requests, room
 from threadshift.fastcgi.codec import ABORT, BEGIN, GET_VALUES, PARAMS, STDIN, Records, NotFastCGI
 from threadshift.fastcgi.requests import LONGEST_BODY, LONGEST_PARAMS, Unfit
@@ -45,13 +45,13 @@
 class Request:
     """One request under way: being read, then held by the engine."""
 
-    __slots__ = ("connection", "number", "keep", "began", "params", "body", "told", "held")
+    __slots__ = ("connection", "number", "keep", "began", "params", "body", "told", "pending")
 
     def __init__(self, connection: Connection, number: int, keep: bool, began: int):
         self.connection, self.number, self.keep, self.began = connection, number, keep, began
         self.params, self.body = b"", b""
         self.told: dict[bytes, str] | None = None       # its parameters, once they are whole
-        self.held: Any = None                           # the activation; True while it is being taken
+        self.pending: Any = None                           # the activation; True while it is being taken
 
     def respond(self, content: bytes, status: int = codec.COMPLETE) -> None:
         self.connection.respond(self, content, status)
@@ -106,14 +106,14 @@
     def give_up_all(self) -> None:
         """The client is gone, or is to go: nothing is owed to it any more."""
         gone, self.open = list(self.open.values()), {}
-        if ids := [request.held.ivk for request in gone if isinstance(request.held, Held)]:
+        if ids := [request.pending.ivk for request in gone if isinstance(request.pending, PendingRequest)]:
             self.door.note("client-gone", requests=len(ids), ids=ids[:IDS_TOLD])
         for request in gone:
             self.let_go(request)
 
     def let_go(self, request: Request) -> None:
-        if isinstance(request.held, Held) and not request.held.settled:
-            request.held.left(time.monotonic_ns())
+        if isinstance(request.pending, PendingRequest) and not request.pending.settled:
+            request.pending.left(time.monotonic_ns())
 
     def hear(self, kind: int, number: int, content: bytes) -> None:
         """One record. Raises NotFastCGI."""
@@ -177,7 +177,7 @@
     def stdin(self, request: Request, content: bytes) -> None:
         if request.told is None:
             raise NotFastCGI("a body before the end of the parameters")
-        if request.held is not None:
+        if request.pending is not None:
             raise NotFastCGI("a body after its end")
         if content:
             request.body += content
@@ -227,7 +227,7 @@
     def look(self, now: int) -> None:
         """A limit has passed, or may have: what is overdue ends."""
         self.limit = now + room.FIRST
-        for request in [each for each in self.open.values() if each.held is None]:
+        for request in [each for each in self.open.values() if each.pending is None]:
             if now - request.began >= room.REQUEST:
                 self.unfit(request, Unfit(400, "the request did not end in time"))
             else:
--- a/threadshift/fastcgi/door.py
+++ b/threadshift/fastcgi/door.py
@@ -13,7 +13,7 @@
 from gevent import socket
 from gevent.pool import Group
 
-from threadshift.engine.engine import Held, RequestEngine
+from threadshift.engine.engine import PendingRequest, RequestEngine
 from threadshift.fastcgi import codec, requests, room
 from threadshift.fastcgi.codec import BEGIN, Records, NotFastCGI
 from threadshift.fastcgi.connection import MOST_OPEN, READ, WRITE, Connection, Request
@@ -36,10 +36,10 @@
 CROWDED = "too-many-connections"
 
 
-def attempts_of(held: Held) -> list[str]:
+def attempts_of(pending: PendingRequest) -> list[str]:
     """The attempts of a request for its line in the log: worker, ms after the request was taken, outcome."""
-    return [f"{sent.worker} +{(sent.at - held.taken) // MS} {sent.outcome.value if sent.outcome else 'open'}"
-            for sent in held.sends]
+    return [f"{sent.worker} +{(sent.at - pending.taken) // MS} {sent.outcome.value if sent.outcome else 'open'}"
+            for sent in pending.sends]
 
 
 class Door:
@@ -125,7 +125,7 @@
         told = request.told
         assert told is not None
         if told.get(b"SCRIPT_NAME") == requests.ALIVE:
-            request.held = True
+            request.pending = True
             request.respond(requests.DONE if self.front_end.ready() else self.busy("not-ready"))
             return
         # First, as what is refused must cost as little as can be: at the limit all else is work for nothing.
@@ -133,12 +133,12 @@
             self.refuse(request, OVERLOADED)
             return
         asked = requests.read(told, request.body, self.types)
-        request.held, request.told, request.body = True, {}, b""
+        request.pending, request.told, request.body = True, {}, b""
         # It may have lain unread since the event loop looked last: its client's time ran all the while.
         unread = max(unread, self.looks.unread(time.monotonic_ns()))
         if unread < STALL and not self.front_end.list_is_stale() and not self.front_end.update_unread():
             self.let_in(request, asked, unread)
-        elif len(self.postponed) + len(self.engine.held) >= self.activations:
+        elif len(self.postponed) + len(self.engine.requests) >= self.activations:
             self.refuse(request, FULL, asked.ivk)
         else:
             self.postponed.add(request, asked, unread)
@@ -167,13 +167,13 @@
 
     def let_in(self, request: Request, asked: requests.Asked, unread: int) -> None:
         """Refused, or the engine's from here on. Raises Unfit."""
-        if asked.ivk in self.engine.held:
+        if asked.ivk in self.engine.requests:
             raise Unfit(409, "a request with this id is open")
         call = asked.call._replace(left=asked.call.left - unread)
-        if self.closing or call.left <= 0 or len(self.engine.held) >= self.activations:
+        if self.closing or call.left <= 0 or len(self.engine.requests) >= self.activations:
             self.refuse(request, CLOSING if self.closing else LATE if call.left <= 0 else FULL, asked.ivk)
             return
-        request.held = self.engine.take(time.monotonic_ns(), asked.ivk, call, request)
+        request.pending = self.engine.take(time.monotonic_ns(), asked.ivk, call, request)
 
     def refuse(self, request: Request, reason: str, id_: str = "") -> None:
         """Not taken: nothing ran, so trying again is harmless."""
@@ -181,7 +181,7 @@
         self.tally.note(now, reason)
         if id_:
             self.note("request-refused", reason=reason, id=id_, read_ms=(now - request.began) // MS)
-        request.held = True
+        request.pending = True
         request.respond(self.busy(reason))
 
     def busy(self, reason: str) -> bytes:
@@ -189,22 +189,22 @@
 
     # The engine's port.
 
-    def left_unread(self, held: Held) -> bool:
-        connection = held.client.connection
+    def left_unread(self, pending: PendingRequest) -> bool:
+        connection = pending.client.connection
         return connection.sock.fileno() < 0 or shows(connection.sock, select.POLLRDHUP)
 
-    def answered(self, held: Held) -> None:
-        answer = held.answer
+    def answered(self, pending: PendingRequest) -> None:
+        answer = pending.answer
         assert answer is not None
         if answer.reason != "completed":
-            self.tally.note(held.answered_at, f"{answer.final.value}-{answer.reason}")
-        if answer.reason != "completed" or len(held.sends) > 1:
-            self.note("request-ended", reason=answer.reason, id=held.ivk, type=held.call.type,
-                      answer=answer.final.value, after_ms=(held.answered_at - held.taken) // MS,
-                      left_ms=held.time_left(held.answered_at) // MS, attempts=attempts_of(held))
-        held.client.respond(requests.final(answer))
-
-    def over(self, held: Held) -> None:
+            self.tally.note(pending.answered_at, f"{answer.final.value}-{answer.reason}")
+        if answer.reason != "completed" or len(pending.sends) > 1:
+            self.note("request-ended", reason=answer.reason, id=pending.ivk, type=pending.call.type,
+                      answer=answer.final.value, after_ms=(pending.answered_at - pending.taken) // MS,
+                      left_ms=pending.time_left(pending.answered_at) // MS, attempts=attempts_of(pending))
+        pending.client.respond(requests.final(answer))
+
+    def over(self, pending: PendingRequest) -> None:
         """Nothing is kept beyond the handle."""
 
     # Time.
--- a/threadshift/fastcgi/requests.py
+++ b/threadshift/fastcgi/requests.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from threadshift.engine.engine import Answer, Call, Final
+from threadshift.engine.engine import Answer, Call, FinalKind
 from threadshift.errors import ThreadshiftError
 from threadshift.fastcgi.codec import NotFastCGI, pairs
 from threadshift.interface import MS, SECOND, NamespaceType
@@ -139,8 +139,8 @@
 
 def final(answer: Answer) -> bytes:
     """A final answer as it goes out."""
-    if answer.final is Final.COMPLETED:
+    if answer.final is FinalKind.COMPLETED:
         return DONE + answer.body
-    if answer.final is Final.REJECTED:
+    if answer.final is FinalKind.REJECTED:
         return busy(answer.reason, answer.come_back)
     return plain(b"502 Bad Gateway", answer.reason)
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -72,9 +72,9 @@
     return encode(HOLD, id_, f"key={asked.fn},n=1") if asked.fn else encode(ASK, id_)
 
 
-def request_now(id_: bytes, held: Any) -> bytes:
+def request_now(id_: bytes, pending: Any) -> bytes:
     """The frame of a send that has waited: it says how much time is left now."""
-    return request(id_, held.call, held.time_left(time.monotonic_ns()))
+    return request(id_, pending.call, pending.time_left(time.monotonic_ns()))
 
 
 class Connection(Outgoing):
@@ -82,7 +82,7 @@
 
     def __init__(self, sock: socket.socket, told: Told):
         super().__init__(sock, told.buffer, told.write)
-        self.waiting: dict[bytes, Any] = {}     # (held, number) of a send, or an Asked
+        self.waiting: dict[bytes, Any] = {}     # (pending, number) of a send, or an Asked
         self.used: dict[bytes, None] = {}
         self.proven = self.doubted = False
         self.heard = time.monotonic_ns()
@@ -115,9 +115,9 @@
 
     # What the engine's port asks for.
 
-    def invoke(self, held: Any, number: int, left: int) -> Outcome | None:
-        id_ = bytes.fromhex(held.ivk)
-        outcome = self.place(id_, (held, number), request(id_, held.call, left))
+    def invoke(self, pending: Any, number: int, left: int) -> Outcome | None:
+        id_ = bytes.fromhex(pending.ivk)
+        outcome = self.place(id_, (pending, number), request(id_, pending.call, left))
         if self.connections and pool.another(self.connections, self.dialler is not None, self.told.most,
                                              self.told.shared):
             self.dial()
@@ -191,11 +191,11 @@
             return True
         return shows(connection.sock, select.POLLRDHUP)
 
-    def cancel(self, held: Any, number: int, tell: bool) -> Outcome:
+    def cancel(self, pending: Any, number: int, tell: bool) -> Outcome:
         """Stops waiting for a send. MOOT where it never left. The worker is told in any case, or it works on."""
-        if self.withdraw(held, number):
+        if self.withdraw(pending, number):
             return Outcome.MOOT
-        connection, id_ = self.ways.pop((held.ivk, number), (None, b""))
+        connection, id_ = self.ways.pop((pending.ivk, number), (None, b""))
         if connection is None or connection.waiting.pop(id_, None) is None:
             return Outcome.CANCELLED
         left = connection.outbox.left.pop(id_, 0)
@@ -206,15 +206,15 @@
             self.end(connection)
         return Outcome.CANCELLED
 
-    def withdraw(self, held: Any, number: int) -> bool:
+    def withdraw(self, pending: Any, number: int) -> bool:
         """Takes back a send of which nothing has left, not even where it waits for a dial; False where it has."""
-        connection, id_ = self.ways.get((held.ivk, number), (None, b""))
+        connection, id_ = self.ways.get((pending.ivk, number), (None, b""))
         if not id_ or (self.queue.pop(id_, None) is None if connection is None
                        else not connection.outbox.withdraw(id_)):
             return False
         if connection is not None:
             del connection.waiting[id_]
-        del self.ways[held.ivk, number]
+        del self.ways[pending.ivk, number]
         return True
 
     def take_back(self) -> None:
@@ -353,10 +353,10 @@
         connection.proven = True
         left = connection.outbox.left.pop(it.id, now)
         if isinstance(what, tuple):
-            held, number = what
-            self.ways.pop((held.ivk, number), None)
+            pending, number = what
+            self.ways.pop((pending.ivk, number), None)
             # What we held it up ourselves is not the worker's, or at our own limit every worker would look slow.
-            held.returned(now, number, ENDS[it.code], body=it.body, copy=copy, report=load,
+            pending.returned(now, number, ENDS[it.code], body=it.body, copy=copy, report=load,
                           waited=max(0, now - since_ready() - left))
         elif what.fn:
             what.answered(now, ORDERS[it.code], copies=int(copies))
--- a/threadshift/gateway/batching.py
+++ b/threadshift/gateway/batching.py
@@ -18,7 +18,7 @@
 from threadshift.batches.shelf import Kept, Shelf, record
 from threadshift.choice import NEVER_RAN
 from threadshift.conf.installation import Installation
-from threadshift.engine.engine import Answer, Call, Final, RequestEngine, Held
+from threadshift.engine.engine import Answer, Call, FinalKind, RequestEngine, PendingRequest
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
@@ -71,7 +71,7 @@
         self.shelf = Shelf(folder / f"{front.name}.calls", disk)
         self.queue = Queue(max(1, front.told.bounds.activations // PART))
         self.calls: dict[str, tuple[Waiting, Call, Deferral]] = {}
-        self.held: dict[str, Held] = {}
+        self.pending: dict[str, PendingRequest] = {}
         self.writes: list[tuple[list[dict[str, Any]], Callable[[bool], None]]] = []
         self.wake = Event()
         self.failed = ""
@@ -136,7 +136,7 @@
             self.queue.add(it)
             if kept.may_have_run:
                 self.queue.end(it)
-                self.final(it, Answer(Final.ABORTED, "front-end-died", may_have_run=True))
+                self.final(it, Answer(FinalKind.ABORTED, "front-end-died", may_have_run=True))
         if self.shelf.calls:
             self.front.note("calls-recovered", calls=len(self.calls), in_doubt=len(self.writes))
 
@@ -158,7 +158,7 @@
 
         def kept(good: bool) -> None:
             if not good:
-                self.front.deferrals.finish(time.monotonic_ns(), deferral, Answer(Final.REJECTED, "not-kept"))
+                self.front.deferrals.finish(time.monotonic_ns(), deferral, Answer(FinalKind.REJECTED, "not-kept"))
                 self.front.deferrals.forget(deferral)
                 exchange.respond(requests.problem(Problem(503, "cannot-be-kept", Unkept.help)))
                 return
@@ -170,7 +170,8 @@
 
     def tick(self, now: int) -> None:
         for it in self.queue.ended(now):
-            self.final(it, Answer(Final.REJECTED, "cancelled") if it.parked else Answer(Final.REJECTED, "time-up"))
+            self.final(it, Answer(FinalKind.REJECTED, "cancelled") if it.parked
+                       else Answer(FinalKind.REJECTED, "time-up"))
         if not self.front.api.closing and (
                 self.carrier.member.age(clock()) is not None or now - self.started >= HEAR_FIRST):
             out = []
@@ -200,22 +201,22 @@
             _, call, _ = self.calls[it.ivk]
             name = f"{it.ivk}~{it.tries}" if it.tries else it.ivk
             # taken may be answered before take() returns
-            self.held.pop(it.ivk, None)
-            held = self.front.engine.take(now, name, call._replace(left=it.ends - now, again=False), it)
-            if it.out and not held.settled:
-                self.held[it.ivk] = held
+            self.pending.pop(it.ivk, None)
+            pending = self.front.engine.take(now, name, call._replace(left=it.ends - now, again=False), it)
+            if it.out and not pending.settled:
+                self.pending[it.ivk] = pending
 
-    def owns(self, held: Held) -> bool:
-        return isinstance(held.client, Waiting)
+    def owns(self, pending: PendingRequest) -> bool:
+        return isinstance(pending.client, Waiting)
 
-    def answered(self, held: Held) -> None:
+    def answered(self, pending: PendingRequest) -> None:
         """The decisions' final answer to a try."""
-        it, answer = held.client, held.answer
+        it, answer = pending.client, pending.answer
         assert answer is not None
-        self.held.pop(it.ivk, None)
+        self.pending.pop(it.ivk, None)
         now = time.monotonic_ns()
-        if self.queue.returned(it, now, answer.final is Final.COMPLETED, answer.final is Final.REJECTED,
-                               answer.reason, answer.come_back, now - held.taken):
+        if self.queue.returned(it, now, answer.final is FinalKind.COMPLETED, answer.final is FinalKind.REJECTED,
+                               answer.reason, answer.come_back, now - pending.taken):
             self.final(it, answer)
         else:
             self.back(it)
@@ -258,18 +259,18 @@
         if it.out and not self.take_back(it):
             return None
         self.queue.end(it)
-        answer = Answer(Final.REJECTED, "cancelled")
+        answer = Answer(FinalKind.REJECTED, "cancelled")
         self.final(it, answer)
         return answer
 
     def take_back(self, it: Waiting) -> bool:
         """Takes a call back from the decisions, where it provably never began."""
-        held = self.held.get(it.ivk)
-        if held is not None:
-            if any(sent.outcome not in NEVER_RAN for sent in held.sends):
+        pending = self.pending.get(it.ivk)
+        if pending is not None:
+            if any(sent.outcome not in NEVER_RAN for sent in pending.sends):
                 return False
-            self.held.pop(it.ivk)
-            held.left(time.monotonic_ns())
+            self.pending.pop(it.ivk)
+            pending.left(time.monotonic_ns())
             self.front.api.places.give(it.tenant)
         self.queue.taken_back(it)
         return True
@@ -295,7 +296,7 @@
                 self.keep([record("free", cancel=cancel.id)], lambda good: None)
                 self.front.note("batch-restored", cancel=cancel.id, batch=cancel.batch, calls=len(restored))
             for each in over:
-                self.final(each, Answer(Final.REJECTED, "cancelled"))
+                self.final(each, Answer(FinalKind.REJECTED, "cancelled"))
             if over:
                 self.front.note("batch-closed", cancel=cancel.id, batch=cancel.batch, calls=len(over))
 
@@ -423,4 +424,4 @@
 
 
 def answer_of(told: dict[str, Any]) -> Answer:
-    return Answer(Final(told["final"]), told["reason"], told["body"], told["error"], 0, told["may_have_run"])
+    return Answer(FinalKind(told["final"]), told["reason"], told["body"], told["error"], 0, told["may_have_run"])
--- a/threadshift/gateway/fleet.py
+++ b/threadshift/gateway/fleet.py
@@ -12,7 +12,7 @@
 import gevent
 
 from threadshift.conf.values import Address
-from threadshift.engine.engine import Asked, Held, RequestEngine
+from threadshift.engine.engine import PendingWorkerQuery, PendingRequest, RequestEngine
 from threadshift.interface import MS, SECOND, Listing, Outcome, State
 from threadshift.invoke.admission import PERIOD, Admission
 from threadshift.invoke.looks import SETTLE, STALL, Looks
@@ -31,11 +31,11 @@
 
     @property
     def busy(self) -> bool: ...
-    def invoke(self, held: Held, number: int, left: int) -> Outcome | None: ...
-    def cancel(self, held: Held, number: int, tell: bool) -> Outcome: ...
-    def withdraw(self, held: Held, number: int) -> bool: ...
-    def order(self, asked: Asked) -> Outcome | None: ...
-    def ask(self, asked: Asked) -> Outcome | None: ...
+    def invoke(self, pending: PendingRequest, number: int, left: int) -> Outcome | None: ...
+    def cancel(self, pending: PendingRequest, number: int, tell: bool) -> Outcome: ...
+    def withdraw(self, pending: PendingRequest, number: int) -> bool: ...
+    def order(self, asked: PendingWorkerQuery) -> Outcome | None: ...
+    def ask(self, asked: PendingWorkerQuery) -> Outcome | None: ...
     def take_back(self) -> None: ...
     def stop(self) -> None: ...
 
@@ -66,26 +66,26 @@
 
     # The engine's port to workers.
 
-    def send(self, worker: str, held: Held, number: int) -> Outcome | None:
+    def send(self, worker: str, pending: PendingRequest, number: int) -> Outcome | None:
         link = self.links.get(worker)
-        left = held.time_left(time.monotonic_ns())
+        left = pending.time_left(time.monotonic_ns())
         if left <= 0:
             return Outcome.MOOT         # the process stood still since this was decided
-        return Outcome.UNREACHABLE if link is None else link.invoke(held, number, left)
+        return Outcome.UNREACHABLE if link is None else link.invoke(pending, number, left)
 
-    def cancel(self, worker: str, held: Held, number: int, tell: bool) -> Outcome:
+    def cancel(self, worker: str, pending: PendingRequest, number: int, tell: bool) -> Outcome:
         link = self.links.get(worker)
-        return Outcome.CANCELLED if link is None else link.cancel(held, number, tell)
+        return Outcome.CANCELLED if link is None else link.cancel(pending, number, tell)
 
-    def withdraw(self, worker: str, held: Held, number: int) -> bool:
+    def withdraw(self, worker: str, pending: PendingRequest, number: int) -> bool:
         link = self.links.get(worker)
-        return link is not None and link.withdraw(held, number)
+        return link is not None and link.withdraw(pending, number)
 
-    def hold(self, worker: str, order: Asked) -> Outcome | None:
+    def hold(self, worker: str, order: PendingWorkerQuery) -> Outcome | None:
         link = self.links.get(worker)
         return Outcome.UNREACHABLE if link is None else link.order(order)
 
-    def ask(self, worker: str, question: Asked) -> Outcome | None:
+    def ask(self, worker: str, question: PendingWorkerQuery) -> Outcome | None:
         link = self.links.get(worker)
         return Outcome.UNREACHABLE if link is None else link.ask(question)
 
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -304,7 +304,7 @@
         believed = self.engine.dispatcher.workers
         return {
             "front-end": self.name, "pid": os.getpid(), "up-s": round((now - self.started) / SECOND, 3),
-            "closing": self.api.closing, "owed": self.engine.owed, "held": len(self.engine.held),
+            "closing": self.api.closing, "owed": self.engine.owed, "held": len(self.engine.requests),
             "connections": len(self.connections), "counts": dict(sorted(self.engine.counts.items())),
             "refused-at-door": self.admission.refused, "refused-part": round(self.admission.part, 3),
             "turned-away": self.api.tally.totals(),
--- a/threadshift/gateway/recent.py
+++ b/threadshift/gateway/recent.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 from threadshift.bgp.announce import Service
-from threadshift.engine.engine import Final, Held
+from threadshift.engine.engine import FinalKind, PendingRequest
 from threadshift.interface import SECOND, Outcome
 
 BUCKETS = 10               # seconds looked back on; shorter and few calls judge, longer and a fall is seen late
@@ -35,23 +35,23 @@
         self.utilities = utilities
         self.buckets: deque[tuple[int, dict[str, list[float]]]] = deque()
 
-    def note(self, now: int, held: Held) -> None:
+    def note(self, now: int, pending: PendingRequest) -> None:
         """One activation that ended: answered, or left by its client before its target latency was up."""
-        late = now - held.taken > held.act.kind.target
-        if held.gone and not late:
+        late = now - pending.taken > pending.act.kind.target
+        if pending.gone and not late:
             return
         second = now // SECOND
         if not self.buckets or self.buckets[-1][0] != second:
             self.buckets.append((second, {}))
             self.fade(second)
-        row = self.buckets[-1][1].setdefault(held.call.type, [0, 0.0, 0.0, 0, 0])
-        utility = self.utilities[held.call.type]
-        done = held.answer is not None and held.answer.final is Final.COMPLETED
+        row = self.buckets[-1][1].setdefault(pending.call.type, [0, 0.0, 0.0, 0, 0])
+        utility = self.utilities[pending.call.type]
+        done = pending.answer is not None and pending.answer.final is FinalKind.COMPLETED
         row[0] += 1
         row[1] += utility
         row[2] += utility * (done and not late)
         row[3] += done
-        row[4] += not done and all(sent.outcome in NEVER_CAME for sent in held.sends)
+        row[4] += not done and all(sent.outcome in NEVER_CAME for sent in pending.sends)
 
     def fade(self, second: int) -> None:
         while self.buckets and self.buckets[0][0] <= second - BUCKETS:
--- a/threadshift/gateway/rolling.py
+++ b/threadshift/gateway/rolling.py
@@ -19,7 +19,7 @@
 from threadshift.conf import installation, patch
 from threadshift.conf.peering import Peering
 from threadshift.conf.reading import Mistake, load
-from threadshift.engine.engine import Final, Held
+from threadshift.engine.engine import FinalKind, PendingRequest
 from threadshift.errors import ThreadshiftError
 from threadshift.gateway.batching import Front
 from threadshift.gateway.evicting import Evicting
@@ -74,18 +74,18 @@
 
     # Calls, as they end: passed on to who counted them before.
 
-    def note(self, now: int, held: Held) -> None:
-        self.counts.note(now, held)
-        if held.answer is None:
+    def note(self, now: int, pending: PendingRequest) -> None:
+        self.counts.note(now, pending)
+        if pending.answer is None:
             return
-        sums = self.sums.setdefault(held.call.type, [0, 0, 0, 0, 0, [0] * BUCKETS])
-        took = now - held.taken
+        sums = self.sums.setdefault(pending.call.type, [0, 0, 0, 0, 0, [0] * BUCKETS])
+        took = now - pending.taken
         sums[0] += 1
-        sums[1] += held.answer.final is Final.REJECTED
-        sums[2] += held.answer.final is Final.ABORTED
-        sums[3] += bool(held.answer.error)
-        if held.answer.final is Final.COMPLETED:
-            sums[4] += took > held.act.kind.target
+        sums[1] += pending.answer.final is FinalKind.REJECTED
+        sums[2] += pending.answer.final is FinalKind.ABORTED
+        sums[3] += bool(pending.answer.error)
+        if pending.answer.final is FinalKind.COMPLETED:
+            sums[4] += took > pending.act.kind.target
             sums[5][bucket(took)] += 1
 
     # What it tells of itself.
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -11,7 +11,7 @@
 import gevent
 
 from threadshift.conf.installation import Installation
-from threadshift.engine.engine import Answer, Call, Final, RequestEngine, Held
+from threadshift.engine.engine import Answer, Call, FinalKind, RequestEngine, PendingRequest
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
 from threadshift.invoke.admission import Admission
@@ -33,7 +33,7 @@
 
 def busy(status: int, kind: str, detail: str, pause: int = BUSY_PAUSE) -> Problem:
     """Not taken: a rejection at the door, which promises that nothing ran."""
-    return Problem(status, kind, detail, headers=[("Final", Final.REJECTED.value), *requests.retry_after(pause)])
+    return Problem(status, kind, detail, headers=[("Final", FinalKind.REJECTED.value), *requests.retry_after(pause)])
 
 
 def ready(response: Response) -> Response:
@@ -49,15 +49,15 @@
 class Counts(Protocol):
     """Who counts activations as they end."""
 
-    def note(self, now: int, held: Held) -> None: ...
+    def note(self, now: int, pending: PendingRequest) -> None: ...
 
 
 class Batches(Protocol):
     """Who keeps the calls of batches, where front ends hold anything in common."""
 
     def accept(self, exchange: Exchange, call: Call, batch: str) -> None: ...
-    def owns(self, held: Held) -> bool: ...
-    def answered(self, held: Held) -> None: ...
+    def owns(self, pending: PendingRequest) -> bool: ...
+    def answered(self, pending: PendingRequest) -> None: ...
     def handle(self, exchange: Exchange, act: Callable[[], dict[str, Any]]) -> None: ...
     def show(self, tenant: str, batch: str) -> dict[str, Any]: ...
     def cancel(self, tenant: str, batch: str) -> dict[str, Any]: ...
@@ -194,8 +194,8 @@
         if wish.deferred:
             self.take_deferred(exchange, call)
             return
-        exchange.held = True        # taken may be answered before take() returns
-        exchange.held = self.engine.take(time.monotonic_ns(), self.number(), call, exchange)
+        exchange.pending = True        # taken may be answered before take() returns
+        exchange.pending = self.engine.take(time.monotonic_ns(), self.number(), call, exchange)
 
     def turned_away(self, status: int, kind: str, detail: str, tenant: str) -> Problem:
         self.tally.note(time.monotonic_ns(), kind, self.places.who(tenant))
@@ -228,9 +228,9 @@
         """The client of an unanswered exchange is gone."""
         if exchange.waits is not None:
             exchange.waits.waiters.pop(exchange, None)
-        elif isinstance(exchange.held, Held) and not exchange.held.settled:
-            self.places.give(exchange.held.call.tenant)
-            exchange.held.left(time.monotonic_ns())
+        elif isinstance(exchange.pending, PendingRequest) and not exchange.pending.settled:
+            self.places.give(exchange.pending.call.tenant)
+            exchange.pending.left(time.monotonic_ns())
 
     def tick(self, now: int) -> None:
         for exchange, it in self.deferrals.tick(now):
@@ -243,42 +243,43 @@
 
     # The engine's port.
 
-    def left_unread(self, held: Held) -> bool:
+    def left_unread(self, pending: PendingRequest) -> bool:
         return False        # who has closed one direction may still read; a close of both is read as soon as it comes
 
-    def answered(self, held: Held) -> None:
-        answer = held.answer
+    def answered(self, pending: PendingRequest) -> None:
+        answer = pending.answer
         assert answer is not None
-        self.places.give(held.call.tenant)
-        if answer.final is not Final.COMPLETED:
-            self.tally.note(held.answered_at, f"{answer.final.value}-{answer.reason}",
-                            self.places.who(held.call.tenant))
-        self.recent.note(held.answered_at, held)
-        if isinstance(held.client, Deferral):
-            for exchange in self.deferrals.finish(held.answered_at, held.client, answer):
-                exchange.respond(requests.final(answer, held.ivk))
-        elif self.batching is not None and self.batching.owns(held):
-            self.batching.answered(held)
+        self.places.give(pending.call.tenant)
+        if answer.final is not FinalKind.COMPLETED:
+            self.tally.note(pending.answered_at, f"{answer.final.value}-{answer.reason}",
+                            self.places.who(pending.call.tenant))
+        self.recent.note(pending.answered_at, pending)
+        if isinstance(pending.client, Deferral):
+            for exchange in self.deferrals.finish(pending.answered_at, pending.client, answer):
+                exchange.respond(requests.final(answer, pending.ivk))
+        elif self.batching is not None and self.batching.owns(pending):
+            self.batching.answered(pending)
         else:
-            held.client.respond(requests.final(answer, held.ivk))
-        self.tell(held, answer)
+            pending.client.respond(requests.final(answer, pending.ivk))
+        self.tell(pending, answer)
 
-    def over(self, held: Held) -> None:
-        if held.gone and not (self.batching is not None and self.batching.owns(held)):
-            self.recent.note(self.engine.now, held)
-            self.tell(held, Answer(Final.ABORTED, "client-left"))
+    def over(self, pending: PendingRequest) -> None:
+        if pending.gone and not (self.batching is not None and self.batching.owns(pending)):
+            self.recent.note(self.engine.now, pending)
+            self.tell(pending, Answer(FinalKind.ABORTED, "client-left"))
 
-    def tell(self, held: Held, answer: Answer) -> None:
+    def tell(self, pending: PendingRequest, answer: Answer) -> None:
         """The one event of a final answer; completed in time is the usual, and told only where all is."""
-        usual = answer.final is Final.COMPLETED and held.engine.now - held.taken <= held.act.kind.target
+        usual = answer.final is FinalKind.COMPLETED and pending.engine.now - pending.taken <= pending.act.kind.target
         level = "debug" if usual else "info"
         if not self.log.wanted(level):
             return
         self.log.note(
-            "final", level=level, activation=held.ivk, function=held.call.function, type=held.call.type,
-            tenant=held.call.tenant, final="left" if held.gone else answer.final.value, reason=answer.reason,
-            took_ms=round((held.engine.now - held.taken) / MS, 3), left_ms=held.time_left(held.engine.now) // MS,
+            "final", level=level, activation=pending.ivk, function=pending.call.function, type=pending.call.type,
+            tenant=pending.call.tenant, final="left" if pending.gone else answer.final.value, reason=answer.reason,
+            took_ms=round((pending.engine.now - pending.taken) / MS, 3),
+            left_ms=pending.time_left(pending.engine.now) // MS,
             may_have_run=answer.may_have_run,
-            sends=[{"worker": sent.worker, "after_ms": round((sent.at - held.taken) / MS, 3),
+            sends=[{"worker": sent.worker, "after_ms": round((sent.at - pending.taken) / MS, 3),
                     "waited_ms": round(sent.waited / MS, 3), "copy": sent.copy.value,
-                    "outcome": sent.outcome.value if sent.outcome else "out"} for sent in held.sends])
+                    "outcome": sent.outcome.value if sent.outcome else "out"} for sent in pending.sends])
--- a/threadshift/invoke/http.py
+++ b/threadshift/invoke/http.py
@@ -42,9 +42,9 @@
 
 
 class Exchange:
-    """One request and its answer. `held` is the activation taken for it, if any."""
+    """One request and its answer. `pending` is the activation taken for it, if any."""
 
-    __slots__ = ("connection", "method", "path", "headers", "body", "keep_alive", "response", "held", "waits",
+    __slots__ = ("connection", "method", "path", "headers", "body", "keep_alive", "response", "pending", "waits",
                  "unread")
 
     def __init__(self, connection: Connection, method: str, path: str, headers: dict[str, str], body: bytes,
@@ -52,7 +52,7 @@
         self.connection, self.method, self.path, self.headers, self.body, self.keep_alive = (
             connection, method, path, headers, body, keep_alive)
         self.response: Response | None = None
-        self.held: Any = None
+        self.pending: Any = None
         self.unread = 0              # ns that it waited with its connection, before that was accepted
         self.waits: Any = None       # the deferred call whose answer it waits for
 
--- a/threadshift/invoke/requests.py
+++ b/threadshift/invoke/requests.py
@@ -14,7 +14,7 @@
 from urllib.parse import unquote
 
 from threadshift.conf.installation import FunctionClass, Installation
-from threadshift.engine.engine import Answer, Call, Final
+from threadshift.engine.engine import Answer, Call, FinalKind
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND, Effect, NamespaceType
 
@@ -163,12 +163,12 @@
 def final(answer: Answer, ivk: str) -> Response:
     """A final answer as a response: 200; 429 or 503; 504 or 502."""
     marks = [("Activation", ivk), ("Final", answer.final.value)]
-    if answer.final is Final.COMPLETED:
+    if answer.final is FinalKind.COMPLETED:
         error = [("Function-Error", answer.error[:200])] if answer.error.isascii() and answer.error else []
         return Response(200, [("Content-Type", "application/octet-stream"), *marks, *error], answer.body)
     if answer.reason == "cancelled":
         status, detail = 410, "cancelled; it did not run"
-    elif answer.final is Final.REJECTED:
+    elif answer.final is FinalKind.REJECTED:
         status = 429 if answer.reason == "over-share" else 503
         detail = "not done; trying again is harmless"
     else:
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -55,11 +55,11 @@
     def heard(self, worker: str, frame: Frame) -> None: ...
 
 
-def invoke_fields(held: Any, left: int) -> dict[str, Any]:
+def invoke_fields(pending: Any, left: int) -> dict[str, Any]:
     """What an invoke frame says of a call with so many ns left."""
-    call = held.call
-    fields = {"function": call.function, "type": call.type, "effect": held.act.kind.effect.value, "left": left,
-              "body": call.body, "lanes": call.lanes, "activation": held.ivk}
+    call = pending.call
+    fields = {"function": call.function, "type": call.type, "effect": pending.act.kind.effect.value, "left": left,
+              "body": call.body, "lanes": call.lanes, "activation": pending.ivk}
     if call.mark:
         fields["mark"] = call.mark
     if call.work:
@@ -80,7 +80,7 @@
         self.not_before = 0
         self.sock: socket.socket | None = None
         self.up = False
-        self.waiting: dict[int, Any] = {}       # (held, number) of an invoke, or an Asked
+        self.waiting: dict[int, Any] = {}       # (pending, number) of an invoke, or an Asked
         self.ids: dict[tuple, int] = {}         # the way back for cancels
         self.number = count(1).__next__
         self.heard = 0
@@ -91,8 +91,8 @@
 
     # What the engine's port asks for.
 
-    def invoke(self, held: Any, number: int, left: int) -> Outcome | None:
-        return self.put((held, number), "invoke", invoke_fields(held, left))
+    def invoke(self, pending: Any, number: int, left: int) -> Outcome | None:
+        return self.put((pending, number), "invoke", invoke_fields(pending, left))
 
     def order(self, asked: Any) -> Outcome | None:
         return self.put(asked, "hold", {"function": asked.fn, "copies": 1})
@@ -113,11 +113,11 @@
         self.wake.set()
         return None
 
-    def cancel(self, held: Any, number: int, tell: bool) -> Outcome:
+    def cancel(self, pending: Any, number: int, tell: bool) -> Outcome:
         """Stops waiting for a send. MOOT where it never left."""
-        if self.withdraw(held, number):
+        if self.withdraw(pending, number):
             return Outcome.MOOT
-        id_ = self.ids.pop((held.ivk, number), None)
+        id_ = self.ids.pop((pending.ivk, number), None)
         if id_ is None:
             return Outcome.CANCELLED
         self.waiting.pop(id_, None)
@@ -126,12 +126,12 @@
             self.wake.set()
         return Outcome.CANCELLED
 
-    def withdraw(self, held: Any, number: int) -> bool:
+    def withdraw(self, pending: Any, number: int) -> bool:
         """Takes back a send of which nothing has left; False where that is too late."""
-        id_ = self.ids.get((held.ivk, number))
+        id_ = self.ids.get((pending.ivk, number))
         if id_ is None or not self.outbox.withdraw(id_):
             return False
-        del self.ids[held.ivk, number]
+        del self.ids[pending.ivk, number]
         self.waiting.pop(id_, None)
         return True
 
@@ -310,7 +310,7 @@
         elif kind == "status":
             what.answered(now, Outcome.COMPLETED, report=load)
         else:
-            held, number = what
+            pending, number = what
             failed = bool(frame.get("load_failed"))
             copy = Copy.LOAD_FAILED if failed else COPIES.get(frame.get("copy", ""), Copy.UNTOLD)
             outcome = {"result": Outcome.COMPLETED, "error": Outcome.ERROR, "full": Outcome.FULL}.get(
@@ -319,7 +319,7 @@
             # What we held it up ourselves, before writing and since the answer lay ready, is not the worker's: at the
             # limit of our own processor every worker would look slow, be passed over, and cost yet longer walks.
             waited = max(0, now - since_ready() - left)
-            held.returned(now, number, outcome, waited=waited, body=frame.get("body", b""),
+            pending.returned(now, number, outcome, waited=waited, body=frame.get("body", b""),
                           error=error if isinstance(error, str) else "", copy=copy, report=load)
 
     def refuse(self, reason: str) -> None:
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -231,7 +231,8 @@
         """How it goes, for one line of the log."""
         dispatcher, now = self.engine.dispatcher, time.monotonic_ns()
         workers = dispatcher.workers.values()
-        return {"owed": self.engine.owed, "held": len(self.engine.held), "connections": len(self.door.connections),
+        return {"owed": self.engine.owed, "held": len(self.engine.requests),
+                "connections": len(self.door.connections),
                 "flying": len(dispatcher.flying), "links": len(self.links),
                 "up": sum(link.up for link in self.connected),
                 "worker_connections": self.dialled, "dialled_in_all": self.dialled_in_all,
