--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -25,16 +25,16 @@
         self.gone_unread = set()            # whose client has left, and nobody has heard
 
     def send(self, worker, pending, number):
-        self.log.append(("send", self.engine.now, pending.ivk, worker, pending.settled))
+        self.log.append(("send", self.engine.now, pending.id, worker, pending.is_settled))
         return self.at_once.pop(0) if self.at_once else None
 
     def cancel(self, worker, pending, number, tell):
-        self.log.append(("cancel", self.engine.now, pending.ivk, worker, tell))
+        self.log.append(("cancel", self.engine.now, pending.id, worker, tell))
         return Outcome.MOOT if self.moot else Outcome.CANCELLED
 
     def withdraw(self, worker, pending, number):
-        if (worker, pending.ivk) in self.waiting:
-            self.log.append(("withdrawn", self.engine.now, pending.ivk, worker, pending.settled))
+        if (worker, pending.id) in self.waiting:
+            self.log.append(("withdrawn", self.engine.now, pending.id, worker, pending.is_settled))
             return True
         return False
 
@@ -46,13 +46,13 @@
         self.asked.append(question)
 
     def left_unread(self, pending):
-        return pending.ivk in self.gone_unread
+        return pending.id in self.gone_unread
 
     def answered(self, pending):
-        self.answers.setdefault(pending.ivk, []).append(pending.answer)
+        self.answers.setdefault(pending.id, []).append(pending.answer)
 
     def over(self, pending):
-        self.overs.add(pending.ivk)
+        self.overs.add(pending.id)
 
     def sends(self, ivk="a"):
         return [entry[3] for entry in self.log if entry[0] == "send" and entry[2] == ivk]
@@ -73,8 +73,8 @@
     def test_the_first_completed_answer_is_handed_on_once(self):
         it, fleet = engine()
         pending = it.take(0, "a", ask())
-        pending.returned(10 * MS, 0, Outcome.COMPLETED, body=b"x")
-        pending.returned(11 * MS, 0, Outcome.COMPLETED, body=b"y")
+        pending.on_send_ended(10 * MS, 0, Outcome.COMPLETED, body=b"x")
+        pending.on_send_ended(11 * MS, 0, Outcome.COMPLETED, body=b"y")
         self.assertEqual(fleet.answers, {"a": [Answer(FinalKind.COMPLETED, "completed", b"x")]})
         self.assertEqual((it.counts["late"], it.owed, it.requests, fleet.overs), (1, 0, {}, {"a"}))
 
@@ -103,29 +103,29 @@
             self.assertEqual([each.final for each in fleet.answers["a"]], [FinalKind.ABORTED])
             self.assertLess(pending.answered_at, pending.deadline)
             self.assertEqual((it.requests, it.owed, it.counts["overdue"]), ({}, 0, 0))
-            pending.returned(400 * MS, 0, Outcome.COMPLETED)
+            pending.on_send_ended(400 * MS, 0, Outcome.COMPLETED)
             self.assertEqual(len(fleet.answers["a"]), 1)
 
     def test_what_comes_after_a_standstill_is_too_late(self):
         it, fleet = engine()
         pending = it.take(0, "a", ask(left=300 * MS))
-        pending.returned(SECOND, 0, Outcome.COMPLETED)
+        pending.on_send_ended(SECOND, 0, Outcome.COMPLETED)
         it.tick(SECOND)
         self.assertEqual([each.final for each in fleet.answers["a"]], [FinalKind.REJECTED])
 
     def test_what_we_held_up_ourselves_is_not_the_workers(self):
         it, fleet = engine()
         pending = it.take(0, "a", ask())
-        pending.returned(2 * SECOND, 0, Outcome.COMPLETED, copy=Copy.FOUND, waited=10 * MS)
+        pending.on_send_ended(2 * SECOND, 0, Outcome.COMPLETED, copy=Copy.FOUND, waited=10 * MS)
         worker = it.dispatcher.workers[pending.sends[0].worker]
         self.assertEqual((pending.sends[0].waited, worker.pace < 0.05), (10 * MS, True))
 
     def test_a_client_that_quits_is_owed_nothing(self):
         it, fleet = engine()
         pending = it.take(0, "a", ask())
-        pending.left(5 * MS)
-        pending.left(6 * MS)
-        pending.returned(7 * MS, 0, Outcome.COMPLETED)
+        pending.on_client_gone(5 * MS)
+        pending.on_client_gone(6 * MS)
+        pending.on_send_ended(7 * MS, 0, Outcome.COMPLETED)
         self.assertEqual((fleet.answers, it.owed, it.requests, fleet.overs), ({}, 0, {}, {"a"}))
 
     def test_a_cancelled_send_that_never_left_is_told_apart(self):
@@ -133,7 +133,7 @@
             it, fleet = engine(workers=1)
             fleet.moot = moot
             pending = it.take(0, "a", ask())
-            it.carry(0, it.dispatcher.steps(it.dispatcher.close, pending.act, None))
+            it.carry(0, it.dispatcher.steps(it.dispatcher.close, pending.activation, None))
             self.assertEqual(pending.sends[0].outcome in NEVER_RAN, moot)
 
     def test_an_order_and_a_question_that_nobody_answers_end(self):
@@ -143,7 +143,7 @@
             worker.warm |= {"f": 3 * SECOND, "g": 3 * SECOND}
         pending, now = it.take(SECOND, "a", ask()), SECOND
         fleet.asked[0].answered(now, Outcome.COMPLETED)
-        pending.returned(now, 0, Outcome.MISS)
+        pending.on_send_ended(now, 0, Outcome.MISS)
         it.take(now, "b", Call("repeatable", "g", LATE))
         self.assertEqual([asked.fn for asked in fleet.asked[1:]], ["f", ""])
         while now < 11 * SECOND:
@@ -158,7 +158,7 @@
         it, fleet = engine()
         it.take(5 * SECOND, "a", ask())
         pending = it.take(SECOND, "b", ask())
-        self.assertEqual((pending.taken, pending.deadline), (5 * SECOND, 5 * SECOND + LATE))
+        self.assertEqual((pending.admitted_at, pending.deadline), (5 * SECOND, 5 * SECOND + LATE))
 
 
 EFFECTS = st.sampled_from(list(Effect))
@@ -205,17 +205,17 @@
 
     def end(self, pick, outcome, copy):
         if found := self.out(pick):
-            found[0].returned(self.now, found[1], outcome, copy=copy)
+            found[0].on_send_ended(self.now, found[1], outcome, copy=copy)
 
     def again(self, pick, outcome):
         ended = [(pending, n) for pending in self.calls for n, sent in enumerate(pending.sends) if sent.outcome]
         if ended:
             pending, number = ended[pick % len(ended)]
-            pending.returned(self.now, number, outcome)
+            pending.on_send_ended(self.now, number, outcome)
 
     def left(self, pick):
         if self.calls:
-            self.calls[pick % len(self.calls)].left(self.now)
+            self.calls[pick % len(self.calls)].on_client_gone(self.now)
 
     def roster(self, pick, state, age):
         name = f"w{pick}"
@@ -249,12 +249,12 @@
         test = self.test
         test.assertEqual((self.it.requests, self.it.owed, self.it.counts["overdue"] * (not self.jumped)), ({}, 0, 0))
         for pending in self.calls:
-            answers = self.fleet.answers.get(pending.ivk, [])
-            test.assertEqual(len(answers), 0 if pending.gone else 1, pending.ivk)
-            test.assertIn(pending.ivk, self.fleet.overs)
+            answers = self.fleet.answers.get(pending.id, [])
+            test.assertEqual(len(answers), 0 if pending.client_gone else 1, pending.id)
+            test.assertIn(pending.id, self.fleet.overs)
             if answers and not self.jumped:
                 test.assertLessEqual(pending.answered_at, pending.deadline)
-            entries = [entry for entry in self.fleet.log if entry[0] == "send" and entry[2] == pending.ivk]
+            entries = [entry for entry in self.fleet.log if entry[0] == "send" and entry[2] == pending.id]
             test.assertFalse(any(entry[4] for entry in entries), "sent after its answer")
             risky = 0
             for sent in pending.sends:
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -77,7 +77,7 @@
 def again(it, front, effect, where):
     """Sends each call of an effect a second time, to the first worker for which `where` holds."""
     def act(what, worker, pending, number=0):
-        if what != "send" or pending.act.kind.effect is not effect or len(pending.sends) > 1:
+        if what != "send" or pending.activation.kind.effect is not effect or len(pending.sends) > 1:
             return
         other = next((name for name in it.zones if name in front.links and where(name, worker)), None)
         if other is not None:
@@ -152,8 +152,8 @@
             resend = again(it, front, Effect.DEDUPLICATED, lambda one, other: one == other)
 
             def act(what, worker, pending, number=0):
-                if what == "send" and not pending.act.fn.name.endswith("0"):
-                    it.clock.after(400_000_000, lambda: pending.settled or resend(what, worker, pending, number))
+                if what == "send" and not pending.activation.fn.name.endswith("0"):
+                    it.clock.after(400_000_000, lambda: pending.is_settled or resend(what, worker, pending, number))
             return act
         self.both(2, text + "trouble hang at 2s for 8s workers 6\n", later)
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -127,8 +127,9 @@
         with Platform([script]) as it:
             link, ends = it.node.links["s-0"], []
             call = Of(type="submit", function="00000000000000f1", body=b"x", mark="")
-            pending = Of(ivk=A, call=call, returned=lambda now, number, outcome, **_: ends.append((number, outcome)),
-                      time_left=lambda now: SECOND)
+            pending = Of(id=A, call=call,
+                         on_send_ended=lambda now, number, outcome, **_: ends.append((number, outcome)),
+                         time_left=lambda now: SECOND)
             self.assertIsNone(link.invoke(pending, 0, SECOND))
             until(lambda: len(ends) == 1)
             self.assertIsNone(link.invoke(pending, 1, SECOND))
@@ -298,7 +299,7 @@
             first = link.connections[0].sock.getsockname()
             next(sock for sock in it.workers[0].open if sock.getpeername() == first).shutdown(2)
             call = Of(type="submit", function="00000000000000f1", body=b"x", mark="")
-            pending = Of(ivk=A, call=call, returned=lambda now, number, outcome, **_: None,
+            pending = Of(id=A, call=call, on_send_ended=lambda now, number, outcome, **_: None,
                          time_left=lambda now: SECOND)
             self.assertIsNone(link.invoke(pending, 0, SECOND))
             self.assertTrue(link.busy)
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -79,9 +79,9 @@
                     else "", work=pick * MS)))
             elif what == "end" and out:
                 pending, number = out[pick % len(out)]
-                pending.returned(now, number, outcome, copy=Copy.FOUND)
+                pending.on_send_ended(now, number, outcome, copy=Copy.FOUND)
             elif what == "leave" and calls:
-                calls[pick % len(calls)].left(now)
+                calls[pick % len(calls)].on_client_gone(now)
             else:
                 now = self.wait(engine, now, now + pick * 10 * MS)
         leaving.begin(now)
@@ -89,12 +89,12 @@
         now = self.wait(engine, now, leaving.answered)
         self.assertEqual((engine.owed, engine.counts["overdue"]), (0, 0))
         for pending in calls:
-            answers = fleet.answers.get(pending.ivk, [])
-            self.assertEqual(len(answers), 0 if pending.gone else 1)
+            answers = fleet.answers.get(pending.id, [])
+            self.assertEqual(len(answers), 0 if pending.client_gone else 1)
             self.assertLessEqual(pending.answered_at, leaving.answered)
             ran = [sent for sent in pending.sends if sent.outcome not in (
                 Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT, Outcome.MISS)]
-            if pending.act.kind.effect is Effect.ONCE_ONLY:
+            if pending.activation.kind.effect is Effect.ONCE_ONLY:
                 self.assertLessEqual(len(ran), 1)
                 self.assertFalse(ran and answers and answers[0].final is FinalKind.REJECTED)
             self.assertLessEqual(len(pending.sends), it.deployment.max_sends)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -91,7 +91,7 @@
 def attempt(id_, time_left, body=b""):
     """A request as links know it."""
     call = mock.Mock(type="check", function="00000000000000f1", mark="", body=body)
-    return mock.Mock(ivk=id_, call=call, time_left=time_left)
+    return mock.Mock(id=id_, call=call, time_left=time_left)
 
 
 class Shutdown(unittest.TestCase):
@@ -199,9 +199,9 @@
             it, fleet = engine(workers=1, may_cancel=may_cancel)
             pending = it.take(0, "a", ask(Effect.ONCE_ONLY))
             fleet.waiting.add(("w0", "a"))
-            pending.left(MS)
+            pending.on_client_gone(MS)
             self.assertEqual([entry[0] for entry in fleet.log][-1], "cancel" if may_cancel else "withdrawn")
-            self.assertFalse(may_cancel and it.requests and not pending.gone)
+            self.assertFalse(may_cancel and it.requests and not pending.client_gone)
 
     def test_so_on_a_connection_that_comes_up_late(self):
         for cancel in (True, False):
@@ -239,8 +239,8 @@
         fleet.at_once.clear()
         pending = it.take(0, "a", ask())
         fleet.gone_unread.add("a")
-        pending.returned(MS, 0, Outcome.FULL)
-        self.assertEqual((len(fleet.sends()), pending.gone, it.owed, it.requests), (1, True, 0, {}))
+        pending.on_send_ended(MS, 0, Outcome.FULL)
+        self.assertEqual((len(fleet.sends()), pending.client_gone, it.owed, it.requests), (1, True, 0, {}))
 
     def test_an_abort_behind_a_request_that_lay_unread_stops_its_first_send(self):
         # The wait for what lies unread was the reader's own, so that it could not read what it waited for.
@@ -320,7 +320,7 @@
         it, fleet = engine(workers=2)             # the memory span of the tests' types is 2 s
         pending = it.take(0, "a", ask(Effect.DEDUPLICATED, left=4 * SECOND))
         fleet.waiting |= {("w0", "a"), ("w1", "a")}
-        pending.returned(1900 * MS, 0, Outcome.RESET)
+        pending.on_send_ended(1900 * MS, 0, Outcome.RESET)
         self.assertEqual(len(fleet.sends()), 2)
         while it.due() < 2100 * MS:
             it.tick(it.due())
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -79,7 +79,7 @@
             link = it.node.links["s-0"]
             with mock.patch.dict(it.node.links, {"s-0": mock.Mock()}):
                 self.assertEqual(it.node.send("s-0", pending, 0), Outcome.MOOT)     # whatever the link looks at
-            id_ = bytes.fromhex(pending.ivk)
+            id_ = bytes.fromhex(pending.id)
             self.assertEqual(link.place(id_, (pending, 0), request_now(id_, pending)), Outcome.MOOT)
             self.assertEqual(it.call()[0], 200)
             self.assertEqual(len(it.workers[0].codes(INVOKE)), 1)
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -240,7 +240,8 @@
         key = (pending, number)
         self.out.setdefault(worker, {})[key] = None
         mark, work = pending.call.mark.split(" ")
-        job = Job(self.name, mark, pending.call.function, pending.act.kind.effect.value, int(work), pending.deadline,
+        job = Job(self.name, mark, pending.call.function, pending.activation.kind.effect.value, int(work),
+                  pending.deadline,
                   lambda outcome, copy, report: self.network.back(self, it, self.replied, worker, key, outcome, copy,
                                                                   report))
         self.network.forth(self, it, it.invoke, job, pending.call.work, max(1, pending.call.lanes))
@@ -253,7 +254,7 @@
         if self.out.get(worker, {}).pop(key, key) is not None:
             return
         pending, number = key
-        pending.returned(self.clock.now, number, outcome, copy=copy, report=report)
+        pending.on_send_ended(self.clock.now, number, outcome, copy=copy, report=report)
 
     def broke(self, worker: str) -> None:
         """The connection to a worker broke: all that waits there may have run."""
@@ -267,7 +268,7 @@
             if isinstance(key, PendingWorkerQuery):
                 key.answered(self.clock.now, Outcome.RESET)
             else:
-                key[0].returned(self.clock.now, key[1], Outcome.RESET)
+                key[0].on_send_ended(self.clock.now, key[1], Outcome.RESET)
 
     def cancel(self, worker: str, pending: PendingRequest, number: int, tell: bool) -> Outcome:
         self.out.get(worker, {}).pop((pending, number), None)
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -171,7 +171,7 @@
         if who.startswith("front"):
             self.fronts[who].end()
             for pending in self.fronts[who].engine.requests.values():
-                if not pending.settled:
+                if not pending.is_settled:
                     pending.client[0]("broke", mark=pending.client[1], problem="reset")
         else:
             self.network.die(who)
@@ -262,7 +262,7 @@
         pending = next((each for each in front.engine.requests.values()
                         if each.client and each.client[1] == mark), None)
         if pending is not None:
-            pending.left(self.clock.now)
+            pending.on_client_gone(self.clock.now)
 
     def answered(self, pending: PendingRequest) -> None:
         self.clock.after(self.network.delay(), self.received, pending, pending.client)
--- a/threadshift/engine/engine.py
+++ b/threadshift/engine/engine.py
@@ -75,24 +75,24 @@
     """The handle of one activation taken."""
 
     engine: RequestEngine
-    ivk: str
+    id: str
     call: Call
-    taken: int
+    admitted_at: int
     deadline: int
-    act: Activation = field(init=False)
+    activation: Activation = field(init=False)
     sends: list[SendRecord] = field(default_factory=list)
     answer: Answer | None = None
     answered_at: int = 0
-    gone: bool = False           # its client quit first
+    client_gone: bool = False    # its client quit first
     client: Any = None           # whatever the clients' port keeps with it
 
-    def returned(self, now: int, number: int, outcome: Outcome, *, body: bytes = b"", error: str = "",
-                 copy: Copy = Copy.UNTOLD, report: Report | None = None, waited: int | None = None) -> None:
+    def on_send_ended(self, now: int, number: int, outcome: Outcome, *, body: bytes = b"", error: str = "",
+                      copy: Copy = Copy.UNTOLD, report: Report | None = None, waited: int | None = None) -> None:
         """A send ended. What comes for a send that has ended before is counted and dropped. `waited` is what the
         worker took, where the port can tell that from what we took ourselves."""
         self.engine.ended(self, now, number, outcome, body, error, copy, report, waited)
 
-    def left(self, now: int) -> None:
+    def on_client_gone(self, now: int) -> None:
         """The client is gone; no answer is owed."""
         self.engine.quit(self, now)
 
@@ -100,8 +100,8 @@
         return self.deadline - now
 
     @property
-    def settled(self) -> bool:
-        return self.answer is not None or self.gone
+    def is_settled(self) -> bool:
+        return self.answer is not None or self.client_gone
 
 
 @dataclass(slots=True, eq=False)
@@ -167,14 +167,14 @@
         if self.last is not None:
             call = call._replace(left=min(call.left, self.last - now))
         pending = PendingRequest(self, ivk, call, now, now + max(0, call.left), client=client)
-        pending.act = self.dispatcher.take(
+        pending.activation = self.dispatcher.take(
             now, ivk, call.type, call.function, call.left, tenant=call.tenant, work=call.work, lanes=call.lanes,
             load_time=call.load_time, again=call.again)
         self.requests[ivk] = pending
         self.owed += 1
         self.counts["taken"] += 1
         heapq.heappush(self.times, (pending.deadline, self.serial(), pending))
-        self.carry(now, pending.act.start(now))
+        self.carry(now, pending.activation.start(now))
         return pending
 
     def hasten(self, now: int, last: int) -> None:
@@ -220,20 +220,20 @@
         sent.outcome, sent.copy = outcome, copy
         sent.waited = now - sent.at if waited is None else min(waited, now - sent.at)
         self.counts[outcome.value] += 1
-        final = outcome is Outcome.COMPLETED and not pending.settled and now <= pending.deadline
+        final = outcome is Outcome.COMPLETED and not pending.is_settled and now <= pending.deadline
         if final:
             self.finish(pending, now, Answer(FinalKind.COMPLETED, "completed", body, error))
-        self.carry(now, pending.act.returned(now, number, outcome, sent.waited, copy=copy, final=final,
+        self.carry(now, pending.activation.returned(now, number, outcome, sent.waited, copy=copy, final=final,
                                           report=report))
         self.let_go(pending)
 
     def quit(self, pending: PendingRequest, now: int) -> None:
-        if pending.settled:
+        if pending.is_settled:
             return
-        now, pending.gone = self.clock(now), True
+        now, pending.client_gone = self.clock(now), True
         self.owed -= 1
         self.counts["left"] += 1
-        self.carry(now, pending.act.left(now))
+        self.carry(now, pending.activation.left(now))
         self.let_go(pending)
 
     def replied(self, asked: PendingWorkerQuery, now: int, outcome: Outcome, copies: int,
@@ -264,10 +264,10 @@
             number = len(pending.sends)
             pending.sends.append(SendRecord(step.worker, now))
             self.counts["sends"] += 1
-            if not pending.settled and self.clients.left_unread(pending):
+            if not pending.is_settled and self.clients.left_unread(pending):
                 self.quit(pending, now)
             # Nothing leaves for an activation that has its answer, whatever order the steps came in.
-            outcome = Outcome.MOOT if pending.settled else self.workers.send(step.worker, pending, number)
+            outcome = Outcome.MOOT if pending.is_settled else self.workers.send(step.worker, pending, number)
             if outcome is not None:
                 self.ended(pending, now, number, outcome)
             elif step.amount:
@@ -275,7 +275,7 @@
         elif step.do is Do.CANCEL and pending:
             self.call_off(pending, now, step.amount, tell=True)
         elif step.do in (Do.REJECT, Do.ABORT) and pending:
-            if not pending.settled:
+            if not pending.is_settled:
                 self.finish(pending, now, refusal(pending, step, now))
             self.let_go(pending)
         elif step.do is Do.HOLD:
@@ -307,11 +307,11 @@
         for number, sent in enumerate(pending.sends):
             if sent.outcome is None:
                 self.call_off(pending, now, number, tell=False)
-        if not pending.settled:
+        if not pending.is_settled:
             # The dispatcher answers two ticks earlier; this stands against a fault there, loudly in the counts.
             self.counts["overdue"] += 1
             self.finish(pending, now, Answer(FinalKind.ABORTED, "overdue", may_have_run=may_have_run(pending)))
-            self.carry(now, pending.act.left(now))
+            self.carry(now, pending.activation.left(now))
         self.let_go(pending)
 
     def finish(self, pending: PendingRequest, now: int, answer: Answer) -> None:
@@ -323,15 +323,15 @@
 
     def let_go(self, pending: PendingRequest) -> None:
         # What still waits to leave does not, whether or not cancels are allowed: its client is answered, or gone.
-        for number in range(len(pending.sends) if pending.settled else 0):
+        for number in range(len(pending.sends) if pending.is_settled else 0):
             self.take_back(pending, number, self.now)
-        if pending.settled and pending.act.over and pending.ivk in self.requests:
-            del self.requests[pending.ivk]
+        if pending.is_settled and pending.activation.over and pending.id in self.requests:
+            del self.requests[pending.id]
             self.clients.over(pending)
             # Left as a ring, each call would wait for the collector, which then stands still for tens of ms.
             pending.client = None
-            pending.act.sends.clear()
-            pending.act.risky.clear()
+            pending.activation.sends.clear()
+            pending.activation.risky.clear()
 
     # Small things.
 
@@ -343,7 +343,7 @@
     def past(what: PendingRequest | PendingWorkerQuery | SendDeadline) -> bool:
         if isinstance(what, SendDeadline):
             return what.pending.sends[what.number].outcome is not None
-        return what.over if isinstance(what, PendingWorkerQuery) else what.settled and what.act.over
+        return what.over if isinstance(what, PendingWorkerQuery) else what.is_settled and what.activation.over
 
 
 def may_have_run(pending: PendingRequest) -> bool:
@@ -354,15 +354,15 @@
 def refusal(pending: PendingRequest, step: Step, now: int) -> Answer:
     """A rejection or an abort with its reason, by what was seen last."""
     last = pending.sends[-1].outcome if pending.sends else None
-    if pending.act.due <= now:
+    if pending.activation.due <= now:
         reason = "time-up"
     elif pending.sends:
         reason = f"last-send-{last.value.replace(' ', '-')}" if last else "send-under-way"
     else:
-        reason = "over-share" if pending.act.spare else "no-room"
+        reason = "over-share" if pending.activation.spare else "no-room"
     ran = may_have_run(pending)
     if step.do is Do.ABORT:
         return Answer(FinalKind.ABORTED, reason, may_have_run=ran)
     # A repeatable call may be tried again although it ran; the client is told both.
     return Answer(FinalKind.REJECTED, reason, come_back=step.amount,
-                  may_have_run=ran and pending.act.kind.effect is not Effect.ONCE_ONLY)
+                  may_have_run=ran and pending.activation.kind.effect is not Effect.ONCE_ONLY)
--- a/threadshift/fastcgi/connection.py
+++ b/threadshift/fastcgi/connection.py
@@ -106,14 +106,14 @@
     def give_up_all(self) -> None:
         """The client is gone, or is to go: nothing is owed to it any more."""
         gone, self.open = list(self.open.values()), {}
-        if ids := [request.pending.ivk for request in gone if isinstance(request.pending, PendingRequest)]:
+        if ids := [request.pending.id for request in gone if isinstance(request.pending, PendingRequest)]:
             self.door.note("client-gone", requests=len(ids), ids=ids[:IDS_TOLD])
         for request in gone:
             self.let_go(request)
 
     def let_go(self, request: Request) -> None:
-        if isinstance(request.pending, PendingRequest) and not request.pending.settled:
-            request.pending.left(time.monotonic_ns())
+        if isinstance(request.pending, PendingRequest) and not request.pending.is_settled:
+            request.pending.on_client_gone(time.monotonic_ns())
 
     def hear(self, kind: int, number: int, content: bytes) -> None:
         """One record. Raises NotFastCGI."""
--- a/threadshift/fastcgi/door.py
+++ b/threadshift/fastcgi/door.py
@@ -38,7 +38,7 @@
 
 def attempts_of(pending: PendingRequest) -> list[str]:
     """The attempts of a request for its line in the log: worker, ms after the request was taken, outcome."""
-    return [f"{sent.worker} +{(sent.at - pending.taken) // MS} {sent.outcome.value if sent.outcome else 'open'}"
+    return [f"{sent.worker} +{(sent.at - pending.admitted_at) // MS} {sent.outcome.value if sent.outcome else 'open'}"
             for sent in pending.sends]
 
 
@@ -199,8 +199,8 @@
         if answer.reason != "completed":
             self.tally.note(pending.answered_at, f"{answer.final.value}-{answer.reason}")
         if answer.reason != "completed" or len(pending.sends) > 1:
-            self.note("request-ended", reason=answer.reason, id=pending.ivk, type=pending.call.type,
-                      answer=answer.final.value, after_ms=(pending.answered_at - pending.taken) // MS,
+            self.note("request-ended", reason=answer.reason, id=pending.id, type=pending.call.type,
+                      answer=answer.final.value, after_ms=(pending.answered_at - pending.admitted_at) // MS,
                       left_ms=pending.time_left(pending.answered_at) // MS, attempts=attempts_of(pending))
         pending.client.respond(requests.final(answer))
 
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -116,7 +116,7 @@
     # What the engine's port asks for.
 
     def invoke(self, pending: Any, number: int, left: int) -> Outcome | None:
-        id_ = bytes.fromhex(pending.ivk)
+        id_ = bytes.fromhex(pending.id)
         outcome = self.place(id_, (pending, number), request(id_, pending.call, left))
         if self.connections and pool.another(self.connections, self.dialler is not None, self.told.most,
                                              self.told.shared):
@@ -144,7 +144,7 @@
             del connection.used[next(iter(connection.used))]
         connection.write()
         if isinstance(what, tuple):
-            self.ways[what[0].ivk, what[1]] = connection, id_
+            self.ways[what[0].id, what[1]] = connection, id_
         elif connection.outbox.withdraw(id_):
             # An order or a question leaves at once or not at all: late ones would come to the worker in a bunch.
             del connection.waiting[id_]
@@ -159,7 +159,7 @@
             return Outcome.UNREACHABLE      # more than one connection takes: it never left
         self.queue[id_] = what
         if isinstance(what, tuple):
-            self.ways[what[0].ivk, what[1]] = None, id_
+            self.ways[what[0].id, what[1]] = None, id_
         self.dial()
         return None
 
@@ -195,7 +195,7 @@
         """Stops waiting for a send. MOOT where it never left. The worker is told in any case, or it works on."""
         if self.withdraw(pending, number):
             return Outcome.MOOT
-        connection, id_ = self.ways.pop((pending.ivk, number), (None, b""))
+        connection, id_ = self.ways.pop((pending.id, number), (None, b""))
         if connection is None or connection.waiting.pop(id_, None) is None:
             return Outcome.CANCELLED
         left = connection.outbox.left.pop(id_, 0)
@@ -208,13 +208,13 @@
 
     def withdraw(self, pending: Any, number: int) -> bool:
         """Takes back a send of which nothing has left, not even where it waits for a dial; False where it has."""
-        connection, id_ = self.ways.get((pending.ivk, number), (None, b""))
+        connection, id_ = self.ways.get((pending.id, number), (None, b""))
         if not id_ or (self.queue.pop(id_, None) is None if connection is None
                        else not connection.outbox.withdraw(id_)):
             return False
         if connection is not None:
             del connection.waiting[id_]
-        del self.ways[pending.ivk, number]
+        del self.ways[pending.id, number]
         return True
 
     def take_back(self) -> None:
@@ -240,8 +240,8 @@
 
     def finish(self, what: Any, now: int, outcome: Outcome) -> None:
         if isinstance(what, tuple):
-            self.ways.pop((what[0].ivk, what[1]), None)
-            what[0].returned(now, what[1], outcome)
+            self.ways.pop((what[0].id, what[1]), None)
+            what[0].on_send_ended(now, what[1], outcome)
         else:
             what.answered(now, outcome)
 
@@ -354,9 +354,9 @@
         left = connection.outbox.left.pop(it.id, now)
         if isinstance(what, tuple):
             pending, number = what
-            self.ways.pop((pending.ivk, number), None)
+            self.ways.pop((pending.id, number), None)
             # What we held it up ourselves is not the worker's, or at our own limit every worker would look slow.
-            pending.returned(now, number, ENDS[it.code], body=it.body, copy=copy, report=load,
+            pending.on_send_ended(now, number, ENDS[it.code], body=it.body, copy=copy, report=load,
                           waited=max(0, now - since_ready() - left))
         elif what.fn:
             what.answered(now, ORDERS[it.code], copies=int(copies))
--- a/threadshift/gateway/batching.py
+++ b/threadshift/gateway/batching.py
@@ -203,7 +203,7 @@
             # taken may be answered before take() returns
             self.pending.pop(it.ivk, None)
             pending = self.front.engine.take(now, name, call._replace(left=it.ends - now, again=False), it)
-            if it.out and not pending.settled:
+            if it.out and not pending.is_settled:
                 self.pending[it.ivk] = pending
 
     def owns(self, pending: PendingRequest) -> bool:
@@ -216,7 +216,7 @@
         self.pending.pop(it.ivk, None)
         now = time.monotonic_ns()
         if self.queue.returned(it, now, answer.final is FinalKind.COMPLETED, answer.final is FinalKind.REJECTED,
-                               answer.reason, answer.come_back, now - pending.taken):
+                               answer.reason, answer.come_back, now - pending.admitted_at):
             self.final(it, answer)
         else:
             self.back(it)
@@ -270,7 +270,7 @@
             if any(sent.outcome not in NEVER_RAN for sent in pending.sends):
                 return False
             self.pending.pop(it.ivk)
-            pending.left(time.monotonic_ns())
+            pending.on_client_gone(time.monotonic_ns())
             self.front.api.places.give(it.tenant)
         self.queue.taken_back(it)
         return True
--- a/threadshift/gateway/recent.py
+++ b/threadshift/gateway/recent.py
@@ -37,8 +37,8 @@
 
     def note(self, now: int, pending: PendingRequest) -> None:
         """One activation that ended: answered, or left by its client before its target latency was up."""
-        late = now - pending.taken > pending.act.kind.target
-        if pending.gone and not late:
+        late = now - pending.admitted_at > pending.activation.kind.target
+        if pending.client_gone and not late:
             return
         second = now // SECOND
         if not self.buckets or self.buckets[-1][0] != second:
--- a/threadshift/gateway/rolling.py
+++ b/threadshift/gateway/rolling.py
@@ -79,13 +79,13 @@
         if pending.answer is None:
             return
         sums = self.sums.setdefault(pending.call.type, [0, 0, 0, 0, 0, [0] * BUCKETS])
-        took = now - pending.taken
+        took = now - pending.admitted_at
         sums[0] += 1
         sums[1] += pending.answer.final is FinalKind.REJECTED
         sums[2] += pending.answer.final is FinalKind.ABORTED
         sums[3] += bool(pending.answer.error)
         if pending.answer.final is FinalKind.COMPLETED:
-            sums[4] += took > pending.act.kind.target
+            sums[4] += took > pending.activation.kind.target
             sums[5][bucket(took)] += 1
 
     # What it tells of itself.
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -228,9 +228,9 @@
         """The client of an unanswered exchange is gone."""
         if exchange.waits is not None:
             exchange.waits.waiters.pop(exchange, None)
-        elif isinstance(exchange.pending, PendingRequest) and not exchange.pending.settled:
+        elif isinstance(exchange.pending, PendingRequest) and not exchange.pending.is_settled:
             self.places.give(exchange.pending.call.tenant)
-            exchange.pending.left(time.monotonic_ns())
+            exchange.pending.on_client_gone(time.monotonic_ns())
 
     def tick(self, now: int) -> None:
         for exchange, it in self.deferrals.tick(now):
@@ -256,30 +256,32 @@
         self.recent.note(pending.answered_at, pending)
         if isinstance(pending.client, Deferral):
             for exchange in self.deferrals.finish(pending.answered_at, pending.client, answer):
-                exchange.respond(requests.final(answer, pending.ivk))
+                exchange.respond(requests.final(answer, pending.id))
         elif self.batching is not None and self.batching.owns(pending):
             self.batching.answered(pending)
         else:
-            pending.client.respond(requests.final(answer, pending.ivk))
+            pending.client.respond(requests.final(answer, pending.id))
         self.tell(pending, answer)
 
     def over(self, pending: PendingRequest) -> None:
-        if pending.gone and not (self.batching is not None and self.batching.owns(pending)):
+        if pending.client_gone and not (self.batching is not None and self.batching.owns(pending)):
             self.recent.note(self.engine.now, pending)
             self.tell(pending, Answer(FinalKind.ABORTED, "client-left"))
 
     def tell(self, pending: PendingRequest, answer: Answer) -> None:
         """The one event of a final answer; completed in time is the usual, and told only where all is."""
-        usual = answer.final is FinalKind.COMPLETED and pending.engine.now - pending.taken <= pending.act.kind.target
+        usual = (answer.final is FinalKind.COMPLETED
+                 and pending.engine.now - pending.admitted_at <= pending.activation.kind.target)
         level = "debug" if usual else "info"
         if not self.log.wanted(level):
             return
         self.log.note(
-            "final", level=level, activation=pending.ivk, function=pending.call.function, type=pending.call.type,
-            tenant=pending.call.tenant, final="left" if pending.gone else answer.final.value, reason=answer.reason,
-            took_ms=round((pending.engine.now - pending.taken) / MS, 3),
+            "final", level=level, activation=pending.id, function=pending.call.function, type=pending.call.type,
+            tenant=pending.call.tenant, final="left" if pending.client_gone else answer.final.value,
+            reason=answer.reason,
+            took_ms=round((pending.engine.now - pending.admitted_at) / MS, 3),
             left_ms=pending.time_left(pending.engine.now) // MS,
             may_have_run=answer.may_have_run,
-            sends=[{"worker": sent.worker, "after_ms": round((sent.at - pending.taken) / MS, 3),
+            sends=[{"worker": sent.worker, "after_ms": round((sent.at - pending.admitted_at) / MS, 3),
                     "waited_ms": round(sent.waited / MS, 3), "copy": sent.copy.value,
                     "outcome": sent.outcome.value if sent.outcome else "out"} for sent in pending.sends])
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -58,8 +58,9 @@
 def invoke_fields(pending: Any, left: int) -> dict[str, Any]:
     """What an invoke frame says of a call with so many ns left."""
     call = pending.call
-    fields = {"function": call.function, "type": call.type, "effect": pending.act.kind.effect.value, "left": left,
-              "body": call.body, "lanes": call.lanes, "activation": pending.ivk}
+    fields = {"function": call.function, "type": call.type, "effect": pending.activation.kind.effect.value,
+              "left": left,
+              "body": call.body, "lanes": call.lanes, "activation": pending.id}
     if call.mark:
         fields["mark"] = call.mark
     if call.work:
@@ -117,7 +118,7 @@
         """Stops waiting for a send. MOOT where it never left."""
         if self.withdraw(pending, number):
             return Outcome.MOOT
-        id_ = self.ids.pop((pending.ivk, number), None)
+        id_ = self.ids.pop((pending.id, number), None)
         if id_ is None:
             return Outcome.CANCELLED
         self.waiting.pop(id_, None)
@@ -128,10 +129,10 @@
 
     def withdraw(self, pending: Any, number: int) -> bool:
         """Takes back a send of which nothing has left; False where that is too late."""
-        id_ = self.ids.get((pending.ivk, number))
+        id_ = self.ids.get((pending.id, number))
         if id_ is None or not self.outbox.withdraw(id_):
             return False
-        del self.ids[pending.ivk, number]
+        del self.ids[pending.id, number]
         self.waiting.pop(id_, None)
         return True
 
@@ -161,13 +162,13 @@
     @staticmethod
     def end(what: Any, now: int, outcome: Outcome) -> None:
         if isinstance(what, tuple):
-            what[0].returned(now, what[1], outcome)
+            what[0].on_send_ended(now, what[1], outcome)
         else:
             what.answered(now, outcome)
 
     @staticmethod
     def key(what: Any) -> tuple:
-        return (what[0].ivk, what[1]) if isinstance(what, tuple) else (id(what),)
+        return (what[0].id, what[1]) if isinstance(what, tuple) else (id(what),)
 
     # The connection.
 
@@ -319,7 +320,7 @@
             # What we held it up ourselves, before writing and since the answer lay ready, is not the worker's: at the
             # limit of our own processor every worker would look slow, be passed over, and cost yet longer walks.
             waited = max(0, now - since_ready() - left)
-            pending.returned(now, number, outcome, waited=waited, body=frame.get("body", b""),
+            pending.on_send_ended(now, number, outcome, waited=waited, body=frame.get("body", b""),
                           error=error if isinstance(error, str) else "", copy=copy, report=load)
 
     def refuse(self, reason: str) -> None:
