--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -160,17 +160,17 @@
 
     def test_rule_1_an_answer_kept_back(self):
         def drop(live):
-            live.front.api.answered = lambda pending: None
+            live.front.api.on_answered = lambda pending: None
         self.both(1, told(), lambda live, ask: ask.call("f", 300), drop)
 
     def test_rule_2_a_broken_send_taken_for_one_that_never_ran(self):
         def lie(live):
-            true = RequestEngine.ended
+            true = RequestEngine.on_send_ended
 
             def ended(engine, pending, now, number, outcome, *rest):
                 true(engine, pending, now, number,
                      Outcome.UNREACHABLE if outcome is Outcome.RESET else outcome, *rest)
-            live.front.engine.ended = ended.__get__(live.front.engine)
+            live.front.engine.on_send_ended = ended.__get__(live.front.engine)
 
         def run(live, ask):
             ask.call("submit-x")
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -120,7 +120,7 @@
         def deaf(self, listings):
             listings = [each for each in listings if each.state is State.READY]
             if listings:
-                self.engine.roster(self.clock.now, listings, full=False)
+                self.engine.update_workers(self.clock.now, listings, full=False)
 
         def greedy(self, worker, fn, now):
             worker.loads.add(fn.name)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -38,20 +38,20 @@
             return True
         return False
 
-    def hold(self, worker, order):
+    def order_load(self, worker, order):
         self.asked.append(order)
-        self.log.append(("hold", self.engine.now, order.fn, worker, False))
+        self.log.append(("hold", self.engine.now, order.function, worker, False))
 
-    def ask(self, worker, question):
+    def probe(self, worker, question):
         self.asked.append(question)
 
-    def left_unread(self, pending):
+    def has_unread_disconnect(self, pending):
         return pending.id in self.gone_unread
 
-    def answered(self, pending):
+    def on_answered(self, pending):
         self.answers.setdefault(pending.id, []).append(pending.answer)
 
-    def over(self, pending):
+    def on_finished(self, pending):
         self.overs.add(pending.id)
 
     def sends(self, ivk="a"):
@@ -61,7 +61,7 @@
 def engine(workers=4, at_once=(), **changes):
     fleet = Fleet(at_once)
     it = fleet.engine = RequestEngine(Dispatcher(1, deployment(**changes), 0), fleet, fleet)
-    it.roster(0, [ready(f"w{n}") for n in range(workers)], full=True)
+    it.update_workers(0, [ready(f"w{n}") for n in range(workers)], full=True)
     return it, fleet
 
 
@@ -72,7 +72,7 @@
 class Answers(unittest.TestCase):
     def test_the_first_completed_answer_is_handed_on_once(self):
         it, fleet = engine()
-        pending = it.take(0, "a", ask())
+        pending = it.admit(0, "a", ask())
         pending.on_send_ended(10 * MS, 0, Outcome.COMPLETED, body=b"x")
         pending.on_send_ended(11 * MS, 0, Outcome.COMPLETED, body=b"y")
         self.assertEqual(fleet.answers, {"a": [Answer(FinalKind.COMPLETED, "completed", b"x")]})
@@ -89,7 +89,7 @@
         )
         for effect, outcomes, final, ran in cases:
             it, fleet = engine(at_once=outcomes)
-            pending = it.take(0, "a", ask(effect))
+            pending = it.admit(0, "a", ask(effect))
             self.assertEqual([each.final for each in fleet.answers["a"]], [final], (effect, outcomes))
             self.assertEqual(pending.answer.may_have_run, ran, (effect, outcomes))
             self.assertEqual(len(fleet.sends()), len(outcomes), (effect, outcomes))
@@ -97,7 +97,7 @@
     def test_time_up_answers_in_time_and_ends_every_send(self):
         for may_cancel in (True, False):
             it, fleet = engine(may_cancel=may_cancel)
-            pending = it.take(0, "a", ask(Effect.ONCE_ONLY, left=300 * MS))
+            pending = it.admit(0, "a", ask(Effect.ONCE_ONLY, left=300 * MS))
             while it.due() <= 300 * MS:
                 it.tick(it.due())
             self.assertEqual([each.final for each in fleet.answers["a"]], [FinalKind.ABORTED])
@@ -108,21 +108,21 @@
 
     def test_what_comes_after_a_standstill_is_too_late(self):
         it, fleet = engine()
-        pending = it.take(0, "a", ask(left=300 * MS))
+        pending = it.admit(0, "a", ask(left=300 * MS))
         pending.on_send_ended(SECOND, 0, Outcome.COMPLETED)
         it.tick(SECOND)
         self.assertEqual([each.final for each in fleet.answers["a"]], [FinalKind.REJECTED])
 
     def test_what_we_held_up_ourselves_is_not_the_workers(self):
         it, fleet = engine()
-        pending = it.take(0, "a", ask())
+        pending = it.admit(0, "a", ask())
         pending.on_send_ended(2 * SECOND, 0, Outcome.COMPLETED, copy=Copy.FOUND, waited=10 * MS)
         worker = it.dispatcher.workers[pending.sends[0].worker]
         self.assertEqual((pending.sends[0].waited, worker.pace < 0.05), (10 * MS, True))
 
     def test_a_client_that_quits_is_owed_nothing(self):
         it, fleet = engine()
-        pending = it.take(0, "a", ask())
+        pending = it.admit(0, "a", ask())
         pending.on_client_gone(5 * MS)
         pending.on_client_gone(6 * MS)
         pending.on_send_ended(7 * MS, 0, Outcome.COMPLETED)
@@ -132,8 +132,8 @@
         for moot in (True, False):
             it, fleet = engine(workers=1)
             fleet.moot = moot
-            pending = it.take(0, "a", ask())
-            it.carry(0, it.dispatcher.steps(it.dispatcher.close, pending.activation, None))
+            pending = it.admit(0, "a", ask())
+            it.execute_steps(0, it.dispatcher.steps(it.dispatcher.close, pending.activation, None))
             self.assertEqual(pending.sends[0].outcome in NEVER_RAN, moot)
 
     def test_an_order_and_a_question_that_nobody_answers_end(self):
@@ -141,23 +141,23 @@
         it.dispatcher.pressed = 1.0
         for worker in it.dispatcher.fleet:      # two copies believed to stand, so an answer could move the call
             worker.warm |= {"f": 3 * SECOND, "g": 3 * SECOND}
-        pending, now = it.take(SECOND, "a", ask()), SECOND
-        fleet.asked[0].answered(now, Outcome.COMPLETED)
+        pending, now = it.admit(SECOND, "a", ask()), SECOND
+        fleet.asked[0].on_answered(now, Outcome.COMPLETED)
         pending.on_send_ended(now, 0, Outcome.MISS)
-        it.take(now, "b", Call("repeatable", "g", LATE))
-        self.assertEqual([asked.fn for asked in fleet.asked[1:]], ["f", ""])
+        it.admit(now, "b", Call("repeatable", "g", LATE))
+        self.assertEqual([asked.function for asked in fleet.asked[1:]], ["f", ""])
         while now < 11 * SECOND:
             now = max(now + 1, it.due())
             it.tick(now)
-        self.assertTrue(all(asked.over for asked in fleet.asked))
+        self.assertTrue(all(asked.is_done for asked in fleet.asked))
         before = len(fleet.log)
-        fleet.asked[1].answered(now, Outcome.COMPLETED, copies=1)
+        fleet.asked[1].on_answered(now, Outcome.COMPLETED, copies=1)
         self.assertEqual(len(fleet.log), before)
 
     def test_a_clock_that_goes_back_counts_as_standing(self):
         it, fleet = engine()
-        it.take(5 * SECOND, "a", ask())
-        pending = it.take(SECOND, "b", ask())
+        it.admit(5 * SECOND, "a", ask())
+        pending = it.admit(SECOND, "b", ask())
         self.assertEqual((pending.admitted_at, pending.deadline), (5 * SECOND, 5 * SECOND + LATE))
 
 
@@ -196,7 +196,7 @@
 
     def take(self, effect, left):
         ivk = f"c{len(self.calls)}"
-        self.calls.append(self.it.take(self.now, ivk, Call(effect.value, f"f{left % 3}", left * MS)))
+        self.calls.append(self.it.admit(self.now, ivk, Call(effect.value, f"f{left % 3}", left * MS)))
 
     def out(self, pick):
         sends = [(pending, n) for pending in self.calls for n, sent in enumerate(pending.sends)
@@ -223,11 +223,11 @@
             self.unready.pop(name, None)
         else:
             self.unready[name] = self.now
-        self.it.roster(self.now, [ready(name, state, since=age and max(1, self.now - age))], full=False)
+        self.it.update_workers(self.now, [ready(name, state, since=age and max(1, self.now - age))], full=False)
 
     def held(self, pick, outcome):
         if self.fleet.asked:
-            self.fleet.asked[pick % len(self.fleet.asked)].answered(self.now, outcome, copies=1)
+            self.fleet.asked[pick % len(self.fleet.asked)].on_answered(self.now, outcome, copies=1)
 
     def at_once(self, outcome):
         self.fleet.at_once.append(outcome)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -190,12 +190,12 @@
         with Live() as live:
             live.call("f")
             drains = replace(live.front.registry.known["w0"].entry, state=State.DRAINING)
-            states, ended = [], live.front.engine.ended
+            states, ended = [], live.front.engine.on_send_ended
 
             def hear(*words, **more):
                 states.append(live.front.registry.state(live.front.registry.known["w0"]))
                 ended(*words, **more)
-            live.front.engine.ended = hear
+            live.front.engine.on_send_ended = hear
             job = gevent.spawn(live.call, "f", work_hint="100")
             until(lambda: live.front.engine.owed)
             live.front.api.looks.unread = lambda now: gevent.spawn(live.front.listed, [drains], False) and 200 * MS
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -32,8 +32,8 @@
             self.sabotage("send", worker, pending, number)
         return outcome
 
-    def hold(self, worker, order):
-        outcome = super().hold(worker, order)
+    def order_load(self, worker, order):
+        outcome = super().order_load(worker, order)
         if self.sabotage and outcome is None and not isinstance(order, Extra):
             self.sabotage("hold", worker, order)
         return outcome
@@ -42,7 +42,7 @@
 class Extra(PendingWorkerQuery):
     """An order that nobody gave; its answer is dropped."""
 
-    def answered(self, *_, **__):
+    def on_answered(self, *_, **__):
         pass
 
 
@@ -185,7 +185,7 @@
             def act(what, worker, *rest):
                 if what == "hold":
                     for _ in range(12):
-                        Port.hold(front, worker, Extra(front.engine, worker, rest[0].fn))
+                        Port.order_load(front, worker, Extra(front.engine, worker, rest[0].function))
             return act
         self.both(5, DAY.replace("fleet {", "fleet {\n    loads-on-miss no"), order)
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -310,13 +310,13 @@
     def test_load_orders_leave_at_once_or_not_at_all(self):
         with Platform([silent]) as it:
             link, ends = it.node.links["s-0"], []
-            asked = Of(fn="00000000000000f1", answered=lambda now, outcome, **_: ends.append(outcome.value))
-            self.assertIsNone(link.order(asked))
+            asked = Of(function="00000000000000f1", on_answered=lambda now, outcome, **_: ends.append(outcome.value))
+            self.assertIsNone(link.order_load(asked))
             until(lambda: it.workers[0].codes(HOLD))
             self.assertEqual(it.workers[0].codes(HOLD)[0].fields, {"key": "00000000000000f1", "n": "1"})
             it.workers[0].stop()
             until(lambda: ends == ["reset"])
-            self.assertEqual(link.order(asked).value, "unreachable")
+            self.assertEqual(link.order_load(asked).value, "unreachable")
 
 
 HEAD_OF_3_GB = bytes((FROM_WORKER, OK)) + bytes(2) + (3 << 30).to_bytes(4, "big") + bytes.fromhex(A)
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -68,12 +68,12 @@
         leaving = Leaving(max(each.action_timeout for each in types))
         fleet, now, calls = Fleet(), SECOND, []
         engine = fleet.engine = RequestEngine(Dispatcher(1, it.deployment, now), fleet, fleet, it.load_order)
-        engine.roster(now, [ready(f"w{n}", since=now if n == 3 else 0) for n in range(4)], full=True)
+        engine.update_workers(now, [ready(f"w{n}", since=now if n == 3 else 0) for n in range(4)], full=True)
         for what, pick, outcome in events:
             out = [(pending, n) for pending in calls for n, sent in enumerate(pending.sends) if sent.outcome is None]
             if what == "take":
                 type_ = types[pick % len(types)]
-                calls.append(engine.take(now, f"c{len(calls)}", Call(
+                calls.append(engine.admit(now, f"c{len(calls)}", Call(
                     type_.name, f"f{pick % 4}", type_.action_timeout * (1 + pick % 3) // 3,
                     tenant=it.deployment.tenants[pick % len(it.deployment.tenants)].name if it.deployment.tenants
                     else "", work=pick * MS)))
@@ -85,7 +85,7 @@
             else:
                 now = self.wait(engine, now, now + pick * 10 * MS)
         leaving.begin(now)
-        engine.hasten(now, leaving.answered)
+        engine.shorten_deadlines(now, leaving.answered)
         now = self.wait(engine, now, leaving.answered)
         self.assertEqual((engine.owed, engine.counts["overdue"]), (0, 0))
         for pending in calls:
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -197,7 +197,7 @@
         # Where cancels are not allowed, it left as soon as its connection came up.
         for may_cancel in (True, False):
             it, fleet = engine(workers=1, may_cancel=may_cancel)
-            pending = it.take(0, "a", ask(Effect.ONCE_ONLY))
+            pending = it.admit(0, "a", ask(Effect.ONCE_ONLY))
             fleet.waiting.add(("w0", "a"))
             pending.on_client_gone(MS)
             self.assertEqual([entry[0] for entry in fleet.log][-1], "cancel" if may_cancel else "withdrawn")
@@ -237,7 +237,7 @@
     def test_a_close_that_lies_unread_stops_the_next_send(self):
         it, fleet = engine(workers=2, at_once=[Outcome.FULL])
         fleet.at_once.clear()
-        pending = it.take(0, "a", ask())
+        pending = it.admit(0, "a", ask())
         fleet.gone_unread.add("a")
         pending.on_send_ended(MS, 0, Outcome.FULL)
         self.assertEqual((len(fleet.sends()), pending.client_gone, it.owed, it.requests), (1, True, 0, {}))
@@ -318,7 +318,7 @@
 
     def test_a_repeat_that_waits_past_the_memory_of_the_first_send_does_not_leave(self):
         it, fleet = engine(workers=2)             # the memory span of the tests' types is 2 s
-        pending = it.take(0, "a", ask(Effect.DEDUPLICATED, left=4 * SECOND))
+        pending = it.admit(0, "a", ask(Effect.DEDUPLICATED, left=4 * SECOND))
         fleet.waiting |= {("w0", "a"), ("w1", "a")}
         pending.on_send_ended(1900 * MS, 0, Outcome.RESET)
         self.assertEqual(len(fleet.sends()), 2)
@@ -396,11 +396,11 @@
         with Platform() as it:
             def fails(*words, **facts):
                 raise KeyError("planted")
-            it.node.engine.ended, ended = fails, it.node.engine.ended
+            it.node.engine.on_send_ended, ended = fails, it.node.engine.on_send_ended
             client = it.client()
             client.ask(type_="submit", left="300")
             until(lambda: it.log.of("fault"))
-            it.node.engine.ended = ended
+            it.node.engine.on_send_ended = ended
             self.assertIn(client.answer()[0], (502, 503))
             self.assertEqual(it.call(id_=B)[0], 200)
 
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -143,7 +143,7 @@
 
     def test_a_question_waits_for_its_dial(self):
         link = next(iter(self.node.links.values()))
-        self.assertIsNone(link.ask(PendingWorkerQuery(self.node.engine, link.worker)))
+        self.assertIsNone(link.probe(PendingWorkerQuery(self.node.engine, link.worker)))
         self.assertEqual(len(link.queue), 1)
         until(lambda: len(self.worker.codes(ASK)) == 1)
 
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -129,7 +129,7 @@
             return
         call = call._replace(left=call.left - self.held_up)
         self.serial += 1
-        self.engine.take(self.clock.now, f"{self.name}-{self.serial}", call, client)
+        self.engine.admit(self.clock.now, f"{self.name}-{self.serial}", call, client)
 
     def listed(self, entries: list[WorkerEntry], full: bool) -> None:
         self.apply_listings(self.registry.listed(self.clock.now, self.clock.now, entries, full))
@@ -139,7 +139,7 @@
 
     def apply_listings(self, listings: list) -> None:
         if listings:
-            self.engine.roster(self.clock.now, listings, full=False)
+            self.engine.update_workers(self.clock.now, listings, full=False)
 
     def drains(self, worker: str) -> None:
         self.apply_listings(self.registry.draining(worker))
@@ -218,17 +218,17 @@
         it = self.network.workers.get(worker)
         return it if it is not None and self.links.get(worker) == it.started else None
 
-    def answered(self, pending: PendingRequest) -> None:
+    def on_answered(self, pending: PendingRequest) -> None:
         if self.hall is not None:
             self.hall.recent.note(self.clock.now, pending)
         self.tell(pending)
         if self.closing:
             self.clock.after(0, self.end_if_done)
 
-    def left_unread(self, pending: PendingRequest) -> bool:
+    def has_unread_disconnect(self, pending: PendingRequest) -> bool:
         return False        # word of it is heard in the order in which it came
 
-    def over(self, pending: PendingRequest) -> None:
+    def on_finished(self, pending: PendingRequest) -> None:
         """Nothing is kept here."""
 
     # The engine's port to workers.
@@ -266,7 +266,7 @@
                           worker, True)
         for key in waiting:
             if isinstance(key, PendingWorkerQuery):
-                key.answered(self.clock.now, Outcome.RESET)
+                key.on_answered(self.clock.now, Outcome.RESET)
             else:
                 key[0].on_send_ended(self.clock.now, key[1], Outcome.RESET)
 
@@ -280,20 +280,20 @@
     def withdraw(self, worker: str, pending: PendingRequest, number: int) -> bool:
         return False        # a modelled connection takes everything at once
 
-    def hold(self, worker: str, order: PendingWorkerQuery) -> Outcome | None:
+    def order_load(self, worker: str, order: PendingWorkerQuery) -> Outcome | None:
         it = self.link(worker)
         if it is None:
             return Outcome.UNREACHABLE
         self.out.setdefault(worker, {})[order] = None
-        self.network.forth(self, it, it.hold, self.name, order.fn, lambda outcome, copies: self.network.back(
+        self.network.forth(self, it, it.hold, self.name, order.function, lambda outcome, copies: self.network.back(
             self, it, self.held, worker, order, outcome, copies))
         return None
 
     def held(self, worker: str, order: PendingWorkerQuery, outcome: Outcome, copies: int) -> None:
         self.out.get(worker, {}).pop(order, None)
-        order.answered(self.clock.now, outcome, copies=copies)
+        order.on_answered(self.clock.now, outcome, copies=copies)
 
-    def ask(self, worker: str, question: PendingWorkerQuery) -> Outcome | None:
+    def probe(self, worker: str, question: PendingWorkerQuery) -> Outcome | None:
         it = self.link(worker)
         self.asks += 1
         if it is None:
@@ -305,5 +305,5 @@
     def reported(self, worker: str, question: PendingWorkerQuery) -> None:
         self.out.get(worker, {}).pop(question, None)
         it = self.network.workers.get(worker)
-        question.answered(self.clock.now, Outcome.COMPLETED if it else Outcome.RESET,
+        question.on_answered(self.clock.now, Outcome.COMPLETED if it else Outcome.RESET,
                           report=it.report if it else None)
--- a/threadshift/engine/engine.py
+++ b/threadshift/engine/engine.py
@@ -1,8 +1,8 @@
 """Drives one Dispatcher without sockets, clocks or greenlets: calls in, steps out to ports.
 
-Make a RequestEngine(dispatcher, workers, clients). take() gives a Held, the caller's handle; its returned() and
-left() tell what became of it. held() and told() bring answers to load orders and questions. tick() is wanted when
-due() has come.
+Make a RequestEngine(dispatcher, workers, clients). admit() returns a PendingRequest; its on_send_ended() and
+on_client_gone() report what became of it. The answer to a load order or a probe goes to on_answered() of its
+PendingWorkerQuery. Call tick() when the time that due() returns has come.
 Every call takes `now`, whole ns of a clock that does not go back; a `now` before the last one counts as the last one.
 
 What the engine adds to the decisions is only what the bench's wire did for them: the first completed answer is handed
@@ -90,11 +90,11 @@
                       copy: Copy = Copy.UNTOLD, report: Report | None = None, waited: int | None = None) -> None:
         """A send ended. What comes for a send that has ended before is counted and dropped. `waited` is what the
         worker took, where the port can tell that from what we took ourselves."""
-        self.engine.ended(self, now, number, outcome, body, error, copy, report, waited)
+        self.engine.on_send_ended(self, now, number, outcome, body, error, copy, report, waited)
 
     def on_client_gone(self, now: int) -> None:
         """The client is gone; no answer is owed."""
-        self.engine.quit(self, now)
+        self.engine.on_client_gone(self, now)
 
     def time_left(self, now: int) -> int:
         return self.deadline - now
@@ -106,15 +106,15 @@
 
 @dataclass(slots=True, eq=False)
 class PendingWorkerQuery:
-    """A load order (fn set) or a question for a report, on its way to a worker."""
+    """A load order (function set) or a question for a report, on its way to a worker."""
 
     engine: RequestEngine
     worker: str
-    fn: str = ""
-    over: bool = False
+    function: str = ""
+    is_done: bool = False
 
-    def answered(self, now: int, outcome: Outcome, *, copies: int = 0, report: Report | None = None) -> None:
-        self.engine.replied(self, now, outcome, copies, report)
+    def on_answered(self, now: int, outcome: Outcome, *, copies: int = 0, report: Report | None = None) -> None:
+        self.engine.on_query_answered(self, now, outcome, copies, report)
 
 
 class SendDeadline(NamedTuple):
@@ -124,29 +124,31 @@
     number: int
 
 
-class Workers(Protocol):
+class WorkerPort(Protocol):
     """What carries steps to workers. An outcome handed back at once means that nothing will follow."""
 
     def send(self, worker: str, pending: PendingRequest, number: int) -> Outcome | None: ...
     def cancel(self, worker: str, pending: PendingRequest, number: int, tell: bool) -> Outcome: ...
     # True where it never left, and will not
     def withdraw(self, worker: str, pending: PendingRequest, number: int) -> bool: ...
-    def hold(self, worker: str, order: PendingWorkerQuery) -> Outcome | None: ...
-    def ask(self, worker: str, question: PendingWorkerQuery) -> Outcome | None: ...
+    def order_load(self, worker: str, order: PendingWorkerQuery) -> Outcome | None: ...
+    def probe(self, worker: str, question: PendingWorkerQuery) -> Outcome | None: ...
 
 
-class Clients(Protocol):
+class ClientPort(Protocol):
     """What takes final answers to clients, and hears when nothing more can come for a handle."""
 
-    def left_unread(self, pending: PendingRequest) -> bool: ...     # whether word that it is gone lies unread
-    def answered(self, pending: PendingRequest) -> None: ...
-    def over(self, pending: PendingRequest) -> None: ...
+    # Whether the client has disconnected and that has not been read yet.
+    def has_unread_disconnect(self, pending: PendingRequest) -> bool: ...
+    def on_answered(self, pending: PendingRequest) -> None: ...
+    def on_finished(self, pending: PendingRequest) -> None: ...
 
 
 class RequestEngine:
     """The only owner of a Dispatcher."""
 
-    def __init__(self, dispatcher: Dispatcher, workers: Workers, clients: Clients, order_wait: int = 10 * SECOND):
+    def __init__(self, dispatcher: Dispatcher, workers: WorkerPort, clients: ClientPort,
+                 order_wait: int = 10 * SECOND):
         self.dispatcher, self.workers, self.clients, self.order_wait = dispatcher, workers, clients, order_wait
         self.now = 0
         self.requests: dict[str, PendingRequest] = {}         # answer owed, or sends out
@@ -161,7 +163,7 @@
 
     # What comes in.
 
-    def take(self, now: int, ivk: str, call: Call, client: Any = None) -> PendingRequest:
+    def admit(self, now: int, ivk: str, call: Call, client: Any = None) -> PendingRequest:
         """A call is taken: from here on it is owed one final answer. Its type must be known."""
         now = self.clock(now)
         if self.last is not None:
@@ -174,10 +176,10 @@
         self.owed += 1
         self.counts["taken"] += 1
         heapq.heappush(self.times, (pending.deadline, self.serial(), pending))
-        self.carry(now, pending.activation.start(now))
+        self.execute_steps(now, pending.activation.start(now))
         return pending
 
-    def hasten(self, now: int, last: int) -> None:
+    def shorten_deadlines(self, now: int, last: int) -> None:
         """This front end is to end: all that is owed, and all taken from here on, is answered by `last`."""
         self.last = last
         for pending in self.requests.values():
@@ -186,9 +188,9 @@
                 heapq.heappush(self.times, (last, self.serial(), pending))
         self.dispatcher.hasten(last)
 
-    def roster(self, now: int, listings: list[Listing], full: bool) -> None:
+    def update_workers(self, now: int, listings: list[Listing], full: bool) -> None:
         now = self.clock(now)
-        self.carry(now, self.dispatcher.roster(now, listings, full))
+        self.execute_steps(now, self.dispatcher.roster(now, listings, full))
 
     def due(self) -> int:
         while self.times and self.past(self.times[0][2]):
@@ -198,19 +200,19 @@
     def tick(self, now: int) -> None:
         """All that time alone ends by now: activations without an answer first, then sends, orders, questions."""
         now = self.clock(now)
-        self.carry(now, self.dispatcher.tick(now))
+        self.execute_steps(now, self.dispatcher.tick(now))
         while self.times and self.times[0][0] <= now:
             _, _, what = heapq.heappop(self.times)
             if isinstance(what, PendingRequest):
                 self.time_up(what, now)
             elif isinstance(what, SendDeadline):
-                self.take_back(*what, now)
-            elif not what.over:
-                what.answered(now, Outcome.TIMEOUT)
+                self.withdraw_send(*what, now)
+            elif not what.is_done:
+                what.on_answered(now, Outcome.TIMEOUT)
 
     # What handles pass on.
 
-    def ended(self, pending: PendingRequest, now: int, number: int, outcome: Outcome, body: bytes = b"",
+    def on_send_ended(self, pending: PendingRequest, now: int, number: int, outcome: Outcome, body: bytes = b"",
               error: str = "", copy: Copy = Copy.UNTOLD, report: Report | None = None,
               waited: int | None = None) -> None:
         now, sent = self.clock(now), pending.sends[number]
@@ -223,30 +225,31 @@
         final = outcome is Outcome.COMPLETED and not pending.is_settled and now <= pending.deadline
         if final:
             self.finish(pending, now, Answer(FinalKind.COMPLETED, "completed", body, error))
-        self.carry(now, pending.activation.returned(now, number, outcome, sent.waited, copy=copy, final=final,
-                                          report=report))
-        self.let_go(pending)
+        self.execute_steps(now, pending.activation.returned(now, number, outcome, sent.waited, copy=copy, final=final,
+                                                    report=report))
+        self.release(pending)
 
-    def quit(self, pending: PendingRequest, now: int) -> None:
+    def on_client_gone(self, pending: PendingRequest, now: int) -> None:
         if pending.is_settled:
             return
         now, pending.client_gone = self.clock(now), True
         self.owed -= 1
         self.counts["left"] += 1
-        self.carry(now, pending.activation.left(now))
-        self.let_go(pending)
+        self.execute_steps(now, pending.activation.left(now))
+        self.release(pending)
 
-    def replied(self, asked: PendingWorkerQuery, now: int, outcome: Outcome, copies: int,
+    def on_query_answered(self, asked: PendingWorkerQuery, now: int, outcome: Outcome, copies: int,
                 report: Report | None) -> None:
-        if asked.over:
+        if asked.is_done:
             return
-        now, asked.over = self.clock(now), True
-        self.carry(now, self.dispatcher.held(now, asked.worker, asked.fn, outcome, copies) if asked.fn
-                   else self.dispatcher.told(now, asked.worker, outcome, report))
+        now, asked.is_done = self.clock(now), True
+        self.execute_steps(now, self.dispatcher.held(now, asked.worker, asked.function, outcome, copies)
+                           if asked.function
+                           else self.dispatcher.told(now, asked.worker, outcome, report))
 
     # What goes out.
 
-    def carry(self, now: int, steps: Iterable[Step]) -> None:
+    def execute_steps(self, now: int, steps: Iterable[Step]) -> None:
         """Carries out steps in order. What a port answers at once is heard after the steps before it."""
         self.todo.extend(steps)
         if self.busy:
@@ -264,70 +267,71 @@
             number = len(pending.sends)
             pending.sends.append(SendRecord(step.worker, now))
             self.counts["sends"] += 1
-            if not pending.is_settled and self.clients.left_unread(pending):
-                self.quit(pending, now)
+            if not pending.is_settled and self.clients.has_unread_disconnect(pending):
+                self.on_client_gone(pending, now)
             # Nothing leaves for an activation that has its answer, whatever order the steps came in.
             outcome = Outcome.MOOT if pending.is_settled else self.workers.send(step.worker, pending, number)
             if outcome is not None:
-                self.ended(pending, now, number, outcome)
+                self.on_send_ended(pending, now, number, outcome)
             elif step.amount:
                 heapq.heappush(self.times, (now + step.amount, self.serial(), SendDeadline(pending, number)))
         elif step.do is Do.CANCEL and pending:
-            self.call_off(pending, now, step.amount, tell=True)
+            self.cancel_send(pending, now, step.amount, tell=True)
         elif step.do in (Do.REJECT, Do.ABORT) and pending:
             if not pending.is_settled:
                 self.finish(pending, now, refusal(pending, step, now))
-            self.let_go(pending)
+            self.release(pending)
         elif step.do is Do.HOLD:
-            self.put(PendingWorkerQuery(self, step.worker, step.fn), now, self.order_wait, self.workers.hold)
+            self.send_query(PendingWorkerQuery(self, step.worker, step.fn), now, self.order_wait,
+                            self.workers.order_load)
         elif step.do is Do.ASK:
-            self.put(PendingWorkerQuery(self, step.worker), now, ASK_WAIT, self.workers.ask)
+            self.send_query(PendingWorkerQuery(self, step.worker), now, ASK_WAIT, self.workers.probe)
 
-    def put(self, asked: PendingWorkerQuery, now: int, wait: int, port: Any) -> None:
-        self.counts["orders" if asked.fn else "questions"] += 1
+    def send_query(self, asked: PendingWorkerQuery, now: int, wait: int, port: Any) -> None:
+        self.counts["orders" if asked.function else "questions"] += 1
         heapq.heappush(self.times, (now + wait, self.serial(), asked))
         outcome = port(asked.worker, asked)
         if outcome is not None:
-            self.replied(asked, now, outcome, 0, None)
+            self.on_query_answered(asked, now, outcome, 0, None)
 
-    def call_off(self, pending: PendingRequest, now: int, number: int, tell: bool) -> None:
+    def cancel_send(self, pending: PendingRequest, now: int, number: int, tell: bool) -> None:
         """Ends a send that has no outcome; one still in our own buffer never ran."""
         sent = pending.sends[number]
         if sent.outcome is None:
             outcome = self.workers.cancel(sent.worker, pending, number, tell)
-            self.ended(pending, now, number, outcome if tell or outcome is Outcome.MOOT else Outcome.TIMEOUT)
+            self.on_send_ended(pending, now, number, outcome if tell or outcome is Outcome.MOOT else Outcome.TIMEOUT)
 
-    def take_back(self, pending: PendingRequest, number: int, now: int) -> None:
+    def withdraw_send(self, pending: PendingRequest, number: int, now: int) -> None:
         """Ends a send of which nothing has left."""
         sent = pending.sends[number]
         if sent.outcome is None and self.workers.withdraw(sent.worker, pending, number):
-            self.ended(pending, now, number, Outcome.MOOT)
+            self.on_send_ended(pending, now, number, Outcome.MOOT)
 
     def time_up(self, pending: PendingRequest, now: int) -> None:
         for number, sent in enumerate(pending.sends):
             if sent.outcome is None:
-                self.call_off(pending, now, number, tell=False)
+                self.cancel_send(pending, now, number, tell=False)
         if not pending.is_settled:
             # The dispatcher answers two ticks earlier; this stands against a fault there, loudly in the counts.
             self.counts["overdue"] += 1
             self.finish(pending, now, Answer(FinalKind.ABORTED, "overdue", may_have_run=may_have_run(pending)))
-            self.carry(now, pending.activation.left(now))
-        self.let_go(pending)
+            self.execute_steps(now, pending.activation.left(now))
+        self.release(pending)
 
     def finish(self, pending: PendingRequest, now: int, answer: Answer) -> None:
         """The one place where a client is answered."""
         pending.answer, pending.answered_at = answer, now
         self.owed -= 1
         self.counts[f"answered {answer.final.value}"] += 1
-        self.clients.answered(pending)
+        self.clients.on_answered(pending)
 
-    def let_go(self, pending: PendingRequest) -> None:
+    def release(self, pending: PendingRequest) -> None:
         # What still waits to leave does not, whether or not cancels are allowed: its client is answered, or gone.
         for number in range(len(pending.sends) if pending.is_settled else 0):
-            self.take_back(pending, number, self.now)
+            self.withdraw_send(pending, number, self.now)
         if pending.is_settled and pending.activation.over and pending.id in self.requests:
             del self.requests[pending.id]
-            self.clients.over(pending)
+            self.clients.on_finished(pending)
             # Left as a ring, each call would wait for the collector, which then stands still for tens of ms.
             pending.client = None
             pending.activation.sends.clear()
@@ -343,7 +347,7 @@
     def past(what: PendingRequest | PendingWorkerQuery | SendDeadline) -> bool:
         if isinstance(what, SendDeadline):
             return what.pending.sends[what.number].outcome is not None
-        return what.over if isinstance(what, PendingWorkerQuery) else what.is_settled and what.activation.over
+        return what.is_done if isinstance(what, PendingWorkerQuery) else what.is_settled and what.activation.over
 
 
 def may_have_run(pending: PendingRequest) -> bool:
--- a/threadshift/fastcgi/door.py
+++ b/threadshift/fastcgi/door.py
@@ -173,7 +173,7 @@
         if self.closing or call.left <= 0 or len(self.engine.requests) >= self.activations:
             self.refuse(request, CLOSING if self.closing else LATE if call.left <= 0 else FULL, asked.ivk)
             return
-        request.pending = self.engine.take(time.monotonic_ns(), asked.ivk, call, request)
+        request.pending = self.engine.admit(time.monotonic_ns(), asked.ivk, call, request)
 
     def refuse(self, request: Request, reason: str, id_: str = "") -> None:
         """Not taken: nothing ran, so trying again is harmless."""
@@ -189,11 +189,11 @@
 
     # The engine's port.
 
-    def left_unread(self, pending: PendingRequest) -> bool:
+    def has_unread_disconnect(self, pending: PendingRequest) -> bool:
         connection = pending.client.connection
         return connection.sock.fileno() < 0 or shows(connection.sock, select.POLLRDHUP)
 
-    def answered(self, pending: PendingRequest) -> None:
+    def on_answered(self, pending: PendingRequest) -> None:
         answer = pending.answer
         assert answer is not None
         if answer.reason != "completed":
@@ -204,7 +204,7 @@
                       left_ms=pending.time_left(pending.answered_at) // MS, attempts=attempts_of(pending))
         pending.client.respond(requests.final(answer))
 
-    def over(self, pending: PendingRequest) -> None:
+    def on_finished(self, pending: PendingRequest) -> None:
         """Nothing is kept beyond the handle."""
 
     # Time.
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -69,7 +69,7 @@
 
 def frame_of_order(id_: bytes, asked: Any) -> bytes:
     """The frame of a load order, or of a question for a report."""
-    return encode(HOLD, id_, f"key={asked.fn},n=1") if asked.fn else encode(ASK, id_)
+    return encode(HOLD, id_, f"key={asked.function},n=1") if asked.function else encode(ASK, id_)
 
 
 def request_now(id_: bytes, pending: Any) -> bytes:
@@ -171,12 +171,12 @@
                 return True
         return False
 
-    def order(self, asked: Any) -> Outcome | None:
+    def order_load(self, asked: Any) -> Outcome | None:
         id_ = self.number()
         return self.place(id_, asked, frame_of_order(id_, asked))
 
-    def ask(self, asked: Any) -> Outcome | None:
-        return self.order(asked)
+    def probe(self, asked: Any) -> Outcome | None:
+        return self.order_load(asked)
 
     def number(self) -> bytes:
         """An id of our own, which meets no other that is open here."""
@@ -243,7 +243,7 @@
             self.ways.pop((what[0].id, what[1]), None)
             what[0].on_send_ended(now, what[1], outcome)
         else:
-            what.answered(now, outcome)
+            what.on_answered(now, outcome)
 
     # The connections.
 
@@ -300,7 +300,7 @@
         connection.reader = gevent.spawn(self.read, connection)
         queued, self.queue = self.queue, {}
         for id_, what in queued.items():
-            if not isinstance(what, tuple) and what.over:
+            if not isinstance(what, tuple) and what.is_done:
                 continue                        # its time is up
             # The time that is left is told as it is now, or the worker would work on for nobody.
             frame = request_now(id_, what[0]) if isinstance(what, tuple) else frame_of_order(id_, what)
@@ -359,9 +359,9 @@
             pending.on_send_ended(now, number, ENDS[it.code], body=it.body, copy=copy, report=load,
                           waited=max(0, now - since_ready() - left))
         elif what.fn:
-            what.answered(now, ORDERS[it.code], copies=int(copies))
+            what.on_answered(now, ORDERS[it.code], copies=int(copies))
         else:
-            what.answered(now, Outcome.COMPLETED, report=load)
+            what.on_answered(now, Outcome.COMPLETED, report=load)
         if connection.doubted and not connection.waiting:
             connection.doubted = False       # it lives: what was given up was slow
 
--- a/threadshift/gateway/batching.py
+++ b/threadshift/gateway/batching.py
@@ -202,7 +202,7 @@
             name = f"{it.ivk}~{it.tries}" if it.tries else it.ivk
             # taken may be answered before take() returns
             self.pending.pop(it.ivk, None)
-            pending = self.front.engine.take(now, name, call._replace(left=it.ends - now, again=False), it)
+            pending = self.front.engine.admit(now, name, call._replace(left=it.ends - now, again=False), it)
             if it.out and not pending.is_settled:
                 self.pending[it.ivk] = pending
 
--- a/threadshift/gateway/fleet.py
+++ b/threadshift/gateway/fleet.py
@@ -34,8 +34,8 @@
     def invoke(self, pending: PendingRequest, number: int, left: int) -> Outcome | None: ...
     def cancel(self, pending: PendingRequest, number: int, tell: bool) -> Outcome: ...
     def withdraw(self, pending: PendingRequest, number: int) -> bool: ...
-    def order(self, asked: PendingWorkerQuery) -> Outcome | None: ...
-    def ask(self, asked: PendingWorkerQuery) -> Outcome | None: ...
+    def order_load(self, asked: PendingWorkerQuery) -> Outcome | None: ...
+    def probe(self, asked: PendingWorkerQuery) -> Outcome | None: ...
     def take_back(self) -> None: ...
     def stop(self) -> None: ...
 
@@ -81,13 +81,13 @@
         link = self.links.get(worker)
         return link is not None and link.withdraw(pending, number)
 
-    def hold(self, worker: str, order: PendingWorkerQuery) -> Outcome | None:
+    def order_load(self, worker: str, order: PendingWorkerQuery) -> Outcome | None:
         link = self.links.get(worker)
-        return Outcome.UNREACHABLE if link is None else link.order(order)
+        return Outcome.UNREACHABLE if link is None else link.order_load(order)
 
-    def ask(self, worker: str, question: PendingWorkerQuery) -> Outcome | None:
+    def probe(self, worker: str, question: PendingWorkerQuery) -> Outcome | None:
         link = self.links.get(worker)
-        return Outcome.UNREACHABLE if link is None else link.ask(question)
+        return Outcome.UNREACHABLE if link is None else link.probe(question)
 
     def update_unread(self) -> bool:
         """Whether news of the roster has arrived and is not read yet."""
@@ -210,7 +210,7 @@
     def apply_listings(self, listings: list[Listing]) -> None:
         """Hands what changed to the decisions."""
         if listings:
-            self.engine.roster(time.monotonic_ns(), listings, full=False)
+            self.engine.update_workers(time.monotonic_ns(), listings, full=False)
 
     def take_back(self, listings: list[Listing]) -> None:
         """Ends what waits to leave for workers to which nothing more may go."""
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -194,8 +194,8 @@
         if wish.deferred:
             self.take_deferred(exchange, call)
             return
-        exchange.pending = True        # taken may be answered before take() returns
-        exchange.pending = self.engine.take(time.monotonic_ns(), self.number(), call, exchange)
+        exchange.pending = True        # taken may be answered before admit() returns
+        exchange.pending = self.engine.admit(time.monotonic_ns(), self.number(), call, exchange)
 
     def turned_away(self, status: int, kind: str, detail: str, tenant: str) -> Problem:
         self.tally.note(time.monotonic_ns(), kind, self.places.who(tenant))
@@ -205,7 +205,7 @@
         ivk = self.number()
         it = self.deferrals.add(ivk, call.tenant)
         exchange.respond(requests.accepted(ivk, self.base))
-        self.engine.take(time.monotonic_ns(), ivk, call, it)
+        self.engine.admit(time.monotonic_ns(), ivk, call, it)
 
     def collect(self, exchange: Exchange, ivk: str) -> None:
         it = self.deferrals.find(ivk)
@@ -243,10 +243,10 @@
 
     # The engine's port.
 
-    def left_unread(self, pending: PendingRequest) -> bool:
+    def has_unread_disconnect(self, pending: PendingRequest) -> bool:
         return False        # who has closed one direction may still read; a close of both is read as soon as it comes
 
-    def answered(self, pending: PendingRequest) -> None:
+    def on_answered(self, pending: PendingRequest) -> None:
         answer = pending.answer
         assert answer is not None
         self.places.give(pending.call.tenant)
@@ -263,7 +263,7 @@
             pending.client.respond(requests.final(answer, pending.id))
         self.tell(pending, answer)
 
-    def over(self, pending: PendingRequest) -> None:
+    def on_finished(self, pending: PendingRequest) -> None:
         if pending.client_gone and not (self.batching is not None and self.batching.owns(pending)):
             self.recent.note(self.engine.now, pending)
             self.tell(pending, Answer(FinalKind.ABORTED, "client-left"))
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -95,10 +95,10 @@
     def invoke(self, pending: Any, number: int, left: int) -> Outcome | None:
         return self.put((pending, number), "invoke", invoke_fields(pending, left))
 
-    def order(self, asked: Any) -> Outcome | None:
-        return self.put(asked, "hold", {"function": asked.fn, "copies": 1})
+    def order_load(self, asked: Any) -> Outcome | None:
+        return self.put(asked, "hold", {"function": asked.function, "copies": 1})
 
-    def ask(self, asked: Any) -> Outcome | None:
+    def probe(self, asked: Any) -> Outcome | None:
         return self.put(asked, "ask", {})
 
     def put(self, what: Any, kind: str, fields: dict[str, Any]) -> Outcome | None:
@@ -164,7 +164,7 @@
         if isinstance(what, tuple):
             what[0].on_send_ended(now, what[1], outcome)
         else:
-            what.answered(now, outcome)
+            what.on_answered(now, outcome)
 
     @staticmethod
     def key(what: Any) -> tuple:
@@ -307,9 +307,9 @@
         if isinstance(what, tuple) != (kind in ("result", "error", "full", "miss")):
             raise ProtocolError(f"'{kind}' answers something else")
         if kind == "held":
-            what.answered(now, HELD.get(frame["outcome"], Outcome.ERROR), copies=frame["copies"])
+            what.on_answered(now, HELD.get(frame["outcome"], Outcome.ERROR), copies=frame["copies"])
         elif kind == "status":
-            what.answered(now, Outcome.COMPLETED, report=load)
+            what.on_answered(now, Outcome.COMPLETED, report=load)
         else:
             pending, number = what
             failed = bool(frame.get("load_failed"))
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -161,7 +161,7 @@
         now = time.monotonic_ns()
         if not self.leaving.since:
             self.leaving.begin(now)
-            self.engine.hasten(now, self.leaving.answered)
+            self.engine.shorten_deadlines(now, self.leaving.answered)
 
     def reload(self) -> None:
         """Told of another configuration; from a signal. What is bad leaves the old one in force."""
