--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -29,7 +29,7 @@
 from threadshift.frames.codec import HOLD, INVOKE
 from threadshift.interface import MS, SECOND, State
 from threadshift.links.codec import encode
-from threadshift.links.redial import Redial
+from threadshift.links.redial import ReconnectBackoff
 from threadshift.node import placement
 from threadshift.node.front import Node
 from threadshift.discovery.registry import WorkerEntry, WorkerList, WorkerRegistry
@@ -340,10 +340,10 @@
 
     def found_after(self, begun, failures):
         """When a try is made that succeeds, after so many failures; each pause as long as it may be."""
-        redial, now = Redial(lambda: 1.0, LONGEST_PAUSE), begun
-        now = redial.broke(now)
+        backoff, now = ReconnectBackoff(lambda: 1.0, LONGEST_PAUSE), begun
+        now = backoff.on_disconnected(now)
         for took in failures:
-            now = redial.broke(now + took)
+            now = backoff.on_disconnected(now + took)
         return now
 
     @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -10,7 +10,7 @@
 from threadshift.interface import MS, SECOND
 from threadshift.links.codec import LENGTH, VERSION, Frames, ProtocolError, encode
 from threadshift.links.outbox import Outbox
-from threadshift.links.redial import FIRST, MOST, STEADY, Redial
+from threadshift.links.redial import MAX_PAUSE, MIN_PAUSE, STABLE_AFTER, ReconnectBackoff
 
 RESULT = dict(copy="found", body=b"ok")
 
@@ -98,16 +98,16 @@
 
 class Redials(unittest.TestCase):
     def test_pauses_double_to_a_limit_and_are_forgiven_after_a_sound_link(self):
-        it, now = Redial(lambda: 0.5), SECOND
+        it, now = ReconnectBackoff(lambda: 0.5), SECOND
         pauses = []
         for _ in range(8):
-            pauses.append(it.broke(now) - now)
-        self.assertEqual(pauses[:3], [FIRST, 2 * FIRST, 4 * FIRST])
-        self.assertEqual(pauses[-1], MOST)
-        it.up(now)
-        self.assertEqual(it.broke(now + STEADY // 2) - now - STEADY // 2, MOST)
-        it.up(now)
-        self.assertEqual(it.broke(now + STEADY) - now - STEADY, FIRST)
+            pauses.append(it.on_disconnected(now) - now)
+        self.assertEqual(pauses[:3], [MIN_PAUSE, 2 * MIN_PAUSE, 4 * MIN_PAUSE])
+        self.assertEqual(pauses[-1], MAX_PAUSE)
+        it.on_connected(now)
+        self.assertEqual(it.on_disconnected(now + STABLE_AFTER // 2) - now - STABLE_AFTER // 2, MAX_PAUSE)
+        it.on_connected(now)
+        self.assertEqual(it.on_disconnected(now + STABLE_AFTER) - now - STABLE_AFTER, MIN_PAUSE)
 
 
 def reads_nothing(worker, sock, frames):
--- a/threadshift/coordinator/stream.py
+++ b/threadshift/coordinator/stream.py
@@ -16,7 +16,7 @@
 from threadshift.coordinator.events import EventParser, EventSequence, InvalidEvent, ListUpdate, MissingEvents
 from threadshift.coordinator.freshness import LONGEST_PAUSE, Freshness
 from threadshift.interface import MS, SECOND
-from threadshift.links.redial import Redial
+from threadshift.links.redial import ReconnectBackoff
 from threadshift.links.sockets import READ, connect, shows
 from threadshift.log import fault_of
 
@@ -66,7 +66,7 @@
                  note: Callable[..., None], chance: Callable[[], float]):
         self.address, self.on_update, self.on_lost, self.note = address, on_update, on_lost, note
         self.sequence, self.freshness = EventSequence(), Freshness()
-        self.redial = Redial(chance, LONGEST_PAUSE)
+        self.backoff = ReconnectBackoff(chance, LONGEST_PAUSE)
         self.sock: socket.socket | None = None
         self.moved = Event()
 
@@ -106,7 +106,7 @@
         if address == self.address:
             return
         self.address = address
-        self.redial = Redial(self.redial.chance, LONGEST_PAUSE)
+        self.backoff = ReconnectBackoff(self.backoff.chance, LONGEST_PAUSE)
         self.freshness.failures = 0
         self.moved.set()
         if self.sock is not None:
@@ -121,7 +121,7 @@
             if address != self.address:
                 continue
             self.on_lost()
-            pause = self.redial.broke(time.monotonic_ns()) - time.monotonic_ns()
+            pause = self.backoff.on_disconnected(time.monotonic_ns()) - time.monotonic_ns()
             self.note("coordinator-lost", level="warning", problem=problem, again_ms=max(0, pause) // MS)
             self.moved.wait(max(0, pause) / SECOND)
 
@@ -160,7 +160,7 @@
                 self.freshness.spoke()
             events = parser.feed(body)
             if events:
-                self.redial.up(time.monotonic_ns())
+                self.backoff.on_connected(time.monotonic_ns())
             for event in events:
                 self.apply(event.id, event.data)
             if response.begun:
--- a/threadshift/discovery/sources.py
+++ b/threadshift/discovery/sources.py
@@ -20,7 +20,7 @@
 from threadshift.interface import MS, SECOND, State
 from threadshift.links.codec import VERSION, Frames, ProtocolError, encode
 from threadshift.links.sockets import READ, connect, shows
-from threadshift.links.redial import Redial
+from threadshift.links.redial import ReconnectBackoff
 from threadshift.discovery.registry import MAX_WORKERS, InvalidWorkerList, WorkerEntry, parse_entry
 
 LOOK = 500 * MS            # ns between two looks at a file; a change is seen as soon as any feed would tell it
@@ -38,7 +38,7 @@
     def __init__(self, address: Address, name: str, bounds: Bounds, listener: Listener,
                  chance: Callable[[], float]):
         self.address, self.name, self.bounds, self.listener = address, name, bounds, listener
-        self.redial = Redial(chance)
+        self.backoff = ReconnectBackoff(chance)
         self.generation: int | None = None
         self.sock: socket.socket | None = None
 
@@ -50,7 +50,7 @@
         while True:
             problem = self.follow()
             self.generation = None
-            pause = self.redial.broke(time.monotonic_ns()) - time.monotonic_ns()
+            pause = self.backoff.on_disconnected(time.monotonic_ns()) - time.monotonic_ns()
             self.listener.note("roster-lost", problem=problem, again_ms=pause // MS)
             gevent.sleep(max(0, pause) / SECOND)
 
@@ -90,7 +90,7 @@
         if len(entries) != len(frame["workers"]):
             raise InvalidWorkerList("an entry is not a map")
         self.generation = frame["generation"]
-        self.redial.up(time.monotonic_ns())
+        self.backoff.on_connected(time.monotonic_ns())
         self.listener.listed(entries, full)
 
 
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -23,7 +23,7 @@
 from threadshift.interface import Copy, Deployment, Outcome, Report, State
 from threadshift.invoke.admission import PERIOD, Admission
 from threadshift.invoke.shares import weights
-from threadshift.links.redial import Redial
+from threadshift.links.redial import ReconnectBackoff
 from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
 
 # ns of processor: a call read, parsed and placed, or refused at the door; what workers say is in network.py.
@@ -59,7 +59,7 @@
         self.asks = 0                               # questions for load, in all
         self.backlog: list[tuple] | None = None     # what came while its process stood still
         self.held_up = 0                            # what is heard now may have waited so long unread
-        self.redials: dict[str, Redial] = {}
+        self.backoffs: dict[str, ReconnectBackoff] = {}
         self.links: dict[str, int] = {}             # worker: the start, by its hello, of the life that is linked
         self.dialling: set[str] = set()
         self.out: dict[str, dict[Any, None]] = {}       # worker: what waits for its answer
@@ -204,11 +204,12 @@
         it = self.network.reach(worker)
         if it is None:
             self.dialling.add(worker)
-            self.clock.at(self.redials.setdefault(worker, Redial(self.chance)).broke(self.clock.now), self.dial,
-                          worker, True)
+            self.clock.at(
+                self.backoffs.setdefault(worker, ReconnectBackoff(self.chance)).on_disconnected(self.clock.now),
+                self.dial, worker, True)
             return
         self.links[worker] = it.started
-        self.redials.setdefault(worker, Redial(self.chance)).up(self.clock.now)
+        self.backoffs.setdefault(worker, ReconnectBackoff(self.chance)).on_connected(self.clock.now)
         self.apply_listings(self.registry.hello(self.clock.now, self.clock.now, worker, it.started))
         if it.draining:
             self.drains(worker)
@@ -262,8 +263,9 @@
         self.links.pop(worker, None)
         if worker not in self.dialling:
             self.dialling.add(worker)
-            self.clock.at(self.redials.setdefault(worker, Redial(self.chance)).broke(self.clock.now), self.dial,
-                          worker, True)
+            self.clock.at(
+                self.backoffs.setdefault(worker, ReconnectBackoff(self.chance)).on_disconnected(self.clock.now),
+                self.dial, worker, True)
         for key in waiting:
             if isinstance(key, PendingWorkerQuery):
                 key.on_answered(self.clock.now, Outcome.RESET)
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -19,7 +19,7 @@
 from threadshift.frames.codec import (
     ASK, ERROR, FINE, FULL, GIVE_UP, HOLD, INVOKE, MISS, OK, OVER, UNWELL, Answer, Frames, NotFrames, encode)
 from threadshift.interface import MS, SECOND, Copy, Outcome
-from threadshift.links.redial import Redial
+from threadshift.links.redial import ReconnectBackoff
 from threadshift.links.sockets import Outgoing, connect, shows, since_ready
 from threadshift.log import fault_of
 
@@ -103,7 +103,7 @@
                  bits: Callable[[int], int]):
         self.worker, self.address, self.told, self.owner, self.bits = worker, address, told, owner, bits
         self.note = owner.note
-        self.redial = Redial(chance)
+        self.backoff = ReconnectBackoff(chance)
         self.not_before = 0
         self.connections: list[Connection] = []
         self.queue: dict[bytes, Any] = {}       # what waits for the first connection, as in Connection.waiting
@@ -275,7 +275,7 @@
                 if self.queue:
                     self.owner.settle()
                 now = time.monotonic_ns()
-                self.not_before = self.redial.broke(now)
+                self.not_before = self.backoff.on_disconnected(now)
                 if not problem:
                     problem = str(failed)
                     self.note("link-down", worker=self.worker, problem=problem, sends=len(self.queue))
@@ -294,7 +294,7 @@
             return
         sock.settimeout(None)               # silence of a worker is judged by the decisions alone
         connection = Connection(sock, self.told)
-        self.redial.up(connection.heard)
+        self.backoff.on_connected(connection.heard)
         self.connections.append(connection)
         self.dialler = None
         connection.reader = gevent.spawn(self.read, connection)
@@ -376,7 +376,7 @@
         if problem or ended:
             self.note("link-broke", worker=self.worker, problem=problem or "closed", sends=len(ended))
         if not self.connections and not self.stopped:
-            self.not_before = self.redial.broke(now) if problem or ended else now
+            self.not_before = self.backoff.on_disconnected(now) if problem or ended else now
             if self.owner.dials_ahead():
                 self.dial()
         for id_, what in ended:
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -20,7 +20,7 @@
 from threadshift.interface import SECOND, Copy, Outcome, Report
 from threadshift.links.codec import VERSION, Frame, Frames, ProtocolError, encode, pack
 from threadshift.links.outbox import Outbox
-from threadshift.links.redial import Redial
+from threadshift.links.redial import ReconnectBackoff
 from threadshift.links.sockets import READ, connect, since_ready, write_out
 
 PORTION = 16 << 10         # bytes of answers heard before others have their turn: some hundred
@@ -77,7 +77,7 @@
         self.worker, self.address, self.bounds, self.owner = worker, address, bounds, owner
         self.front_end, self.zone = front_end, zone
         self.outbox = Outbox(bounds.worker_buffer)
-        self.redial = Redial(chance)
+        self.backoff = ReconnectBackoff(chance)
         self.not_before = 0
         self.sock: socket.socket | None = None
         self.up = False
@@ -233,7 +233,7 @@
         self.started = started or self.started
         self.heard = time.monotonic_ns()
         self.up = True
-        self.redial.up(self.heard)
+        self.backoff.on_connected(self.heard)
         for frame in first:
             self.hear(frame)
 
@@ -333,7 +333,7 @@
     def broke(self, problem: str) -> None:
         """Every frame that waits for an answer ends: as never run, or as maybe run. Then a pause."""
         now = time.monotonic_ns()
-        self.not_before = self.redial.broke(now)
+        self.not_before = self.backoff.on_disconnected(now)
         ended = [(what, self.outbox.never_left(id_)) for id_, what in self.waiting.items()]
         self.waiting.clear()
         self.ids.clear()
--- a/threadshift/peers/link.py
+++ b/threadshift/peers/link.py
@@ -19,7 +19,7 @@
 from threadshift.interface import MS, SECOND
 from threadshift.links.codec import VERSION, Frame, Frames, ProtocolError, encode
 from threadshift.links.outbox import Outbox
-from threadshift.links.redial import Redial
+from threadshift.links.redial import ReconnectBackoff
 from threadshift.links.sockets import READ, arriving, connect, listener, write_out
 from threadshift.peers.words import checked
 
@@ -47,7 +47,7 @@
     def __init__(self, peer: Peer, hello: dict[str, Any], owner: Owner, chance: Callable[[], float]):
         self.peer, self.hello, self.owner = peer, hello, owner
         self.outbox = Outbox(BUFFER)
-        self.redial = Redial(chance, MOST_REDIAL)
+        self.backoff = ReconnectBackoff(chance, MOST_REDIAL)
         self.wake = Event()
         self.asked: dict[int, AsyncResult] = {}
         self.number = count(1).__next__
@@ -104,7 +104,7 @@
             if was or said != self.problem:
                 self.owner.note("peer-lost", peer=self.peer.name, problem=said)
             self.problem = said
-            gevent.sleep(max(0, self.redial.broke(time.monotonic_ns()) - time.monotonic_ns()) / SECOND)
+            gevent.sleep(max(0, self.backoff.on_disconnected(time.monotonic_ns()) - time.monotonic_ns()) / SECOND)
 
     def read(self, sock: socket.socket, frames: Frames) -> None:
         """The peer's hello, then replies."""
@@ -118,7 +118,7 @@
                     if frame["name"] != self.peer.name:
                         raise ProtocolError(f"this is {self.peer.name}'s address, and {frame['name'][:64]!r} answers")
                     self.up, self.problem = True, ""
-                    self.redial.up(time.monotonic_ns())
+                    self.backoff.on_connected(time.monotonic_ns())
                     self.wake.set()
                     sock.settimeout(None)       # silence is judged where beats are, not here
                 elif kind == "reply":
