--- a/tests/live.py
+++ b/tests/live.py
@@ -61,7 +61,7 @@
     def __init__(self):
         self.events, self.news = [], Event()
 
-    def wanted(self, level):
+    def is_enabled(self, level):
         return True
 
     def note(self, event, level="info", **fields):
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -287,7 +287,7 @@
                           load_window=5 * SECOND, load_free=6.0, load_ratio=0.2)
         for now, most in ((SECOND, 0), (5 * SECOND, 0), (6 * SECOND, 6)):
             it = Dispatcher(1, told, SECOND)
-            previous_process.assume(it, told, SECOND)
+            previous_process.count_free_orders_as_given(it, told, SECOND)
             it.roster(SECOND, [Listing("w", State.READY)], True)
             given = 0
             for n in range(9):
@@ -298,7 +298,7 @@
             self.assertLessEqual(given, most + 1)
             self.assertGreaterEqual(given, most)
         it = Dispatcher(1, told._replace(load_window=0), SECOND)
-        previous_process.assume(it, told._replace(load_window=0), SECOND)
+        previous_process.count_free_orders_as_given(it, told._replace(load_window=0), SECOND)
         self.assertFalse(it.ordered)
 
 
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -98,9 +98,9 @@
 
     def test_finals_as_they_go_out(self):
         self.assertEqual(requests.final(Answer(FinalKind.COMPLETED, "completed", b"\x00b"))[-3:], b"\n\x00b")
-        self.assertIn(b"Status: 503", requests.final(Answer(FinalKind.REJECTED, "no-room", come_back=250 * MS)))
+        self.assertIn(b"Status: 503", requests.final(Answer(FinalKind.REJECTED, "no-room", retry_after=250 * MS)))
         self.assertIn(
-            b"X-Wait-Ms: 250\r\n", requests.final(Answer(FinalKind.REJECTED, "no-room", come_back=250 * MS)))
+            b"X-Wait-Ms: 250\r\n", requests.final(Answer(FinalKind.REJECTED, "no-room", retry_after=250 * MS)))
         self.assertNotIn(b"X-Wait-Ms", requests.final(Answer(FinalKind.REJECTED, "no-room")))
         self.assertIn(b"Status: 502", requests.final(Answer(FinalKind.ABORTED, "time-up")))
 
--- a/threadshift/coordinator/stream.py
+++ b/threadshift/coordinator/stream.py
@@ -18,7 +18,7 @@
 from threadshift.interface import MS, SECOND
 from threadshift.links.redial import ReconnectBackoff
 from threadshift.links.sockets import READ, connect, shows
-from threadshift.log import fault_of
+from threadshift.log import exception_fields
 
 PATH = "/v2/stream"
 LONGEST_HEAD = 16 << 10    # bytes before the first event
@@ -95,7 +95,7 @@
         try:
             self.on_update(update)
         except Exception as fault:      # ours, and loud: the next event is followed all the same
-            self.note("fault", level="error", **fault_of(fault))
+            self.note("fault", level="error", **exception_fields(fault))
 
     def unread(self) -> bool:
         """Whether something of the coordinator has arrived and is not read yet."""
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -46,7 +46,7 @@
         dispatcher = policy(chance.getrandbits(63), told, clock.now)
         if hasattr(dispatcher, "see"):
             dispatcher.see(network)         # an oracle
-        previous_process.assume(dispatcher, told, clock.now)
+        previous_process.count_free_orders_as_given(dispatcher, told, clock.now)
         self.engine = RequestEngine(dispatcher, self, self, day.told.bounds.load_order)
         self.registry = WorkerRegistry(told.drain_grace)
         self.tell, self.refuse = answered, refuse
--- a/threadshift/engine/engine.py
+++ b/threadshift/engine/engine.py
@@ -40,7 +40,7 @@
     reason: str
     body: bytes = b""
     error: str = ""              # the function's own error, by name; the call completed all the same
-    come_back: int = 0           # ns; 0: no advice
+    retry_after: int = 0           # ns; 0: no advice
     may_have_run: bool = False
 
 
@@ -368,5 +368,5 @@
     if step.do is Do.ABORT:
         return Answer(FinalKind.ABORTED, reason, may_have_run=ran)
     # A repeatable call may be tried again although it ran; the client is told both.
-    return Answer(FinalKind.REJECTED, reason, come_back=step.amount,
+    return Answer(FinalKind.REJECTED, reason, retry_after=step.amount,
                   may_have_run=ran and pending.activation.kind.effect is not Effect.ONCE_ONLY)
--- a/threadshift/engine/previous_process.py
+++ b/threadshift/engine/previous_process.py
@@ -9,7 +9,7 @@
 from threadshift.interface import Deployment
 
 
-def assume(dispatcher: Dispatcher, told: Deployment, now: int) -> None:
+def count_free_orders_as_given(dispatcher: Dispatcher, told: Deployment, now: int) -> None:
     """Counts every free load order of the window as given just before the start; the share of calls taken stays.
 
     The price is paid by a fleet that loads by order alone: until the window has passed, one call in 1/ratio brings a
--- a/threadshift/fastcgi/door.py
+++ b/threadshift/fastcgi/door.py
@@ -24,7 +24,7 @@
 from threadshift.invoke.looks import STALL, Looks
 from threadshift.invoke.tally import Tally
 from threadshift.links.sockets import BACKLOG, arriving, shows
-from threadshift.log import fault_of
+from threadshift.log import exception_fields
 
 LOOK = 100 * MS            # between two looks at all limits; they are of seconds
 ROOM_WAIT = 2 * MS         # for connections that make room to end
@@ -116,7 +116,7 @@
         try:
             connection.serve()
         except Exception as fault:      # ours; it ends this connection alone, and loudly
-            self.note("fault", level="error", **fault_of(fault))
+            self.note("fault", level="error", **exception_fields(fault))
         finally:
             self.connections.discard(connection)
 
@@ -162,7 +162,7 @@
         except Unfit as problem:
             request.connection.unfit(request, problem)
         except Exception as fault:      # ours; it ends this request alone, and loudly
-            self.note("fault", level="error", **fault_of(fault))
+            self.note("fault", level="error", **exception_fields(fault))
             self.refuse(request, FAULT)
 
     def let_in(self, request: Request, asked: requests.Asked, unread: int) -> None:
--- a/threadshift/fastcgi/requests.py
+++ b/threadshift/fastcgi/requests.py
@@ -142,5 +142,5 @@
     if answer.final is FinalKind.COMPLETED:
         return DONE + answer.body
     if answer.final is FinalKind.REJECTED:
-        return busy(answer.reason, answer.come_back)
+        return busy(answer.reason, answer.retry_after)
     return plain(b"502 Bad Gateway", answer.reason)
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -21,7 +21,7 @@
 from threadshift.interface import MS, SECOND, Copy, Outcome
 from threadshift.links.redial import ReconnectBackoff
 from threadshift.links.sockets import Outgoing, connect, shows, since_ready
-from threadshift.log import fault_of
+from threadshift.log import exception_fields
 
 READ = 16 << 10            # bytes a read: many usual answers, and little memory a connection
 MOST_USED = 128            # ids remembered a connection that may not go over it again
@@ -327,7 +327,7 @@
         except (OSError, NotFrames) as failed:
             problem = str(failed) or type(failed).__name__
         except Exception as fault:          # ours; loud, and what waits here is not left waiting
-            self.note("fault", level="error", **fault_of(fault))
+            self.note("fault", level="error", **exception_fields(fault))
             problem = "a fault of ours"
         connection.doubted = True           # carries nothing new while settle() waits
         if connection.waiting:
--- a/threadshift/gateway/batching.py
+++ b/threadshift/gateway/batching.py
@@ -26,7 +26,7 @@
 from threadshift.invoke.deferred import Deferral, InMemory
 from threadshift.invoke.http import Exchange
 from threadshift.invoke.requests import Problem, Response
-from threadshift.log import fault_of
+from threadshift.log import exception_fields
 from threadshift.peers.carrier import Carrier, NotHeard
 from threadshift.peers.carrier import now as clock
 
@@ -107,7 +107,7 @@
                     try:
                         then(good)
                     except Exception as fault:      # ours: one call's, and the others' acts still follow
-                        self.front.note("fault", level="error", **fault_of(fault))
+                        self.front.note("fault", level="error", **exception_fields(fault))
 
     def write(self, records: list[dict[str, Any]]) -> bool:
         pool = gevent.get_hub().threadpool
@@ -216,7 +216,7 @@
         self.pending.pop(it.ivk, None)
         now = time.monotonic_ns()
         if self.queue.returned(it, now, answer.final is FinalKind.COMPLETED, answer.final is FinalKind.REJECTED,
-                               answer.reason, answer.come_back, now - pending.admitted_at):
+                               answer.reason, answer.retry_after, now - pending.admitted_at):
             self.final(it, answer)
         else:
             self.back(it)
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -39,7 +39,7 @@
 from threadshift.links.codec import Frame
 from threadshift.links.link import Link
 from threadshift.links.sockets import arriving, listener
-from threadshift.log import Log, fault_of
+from threadshift.log import Log, exception_fields
 from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
 from threadshift.discovery.sources import FeedSource, WatchedFile
 from threadshift.storage.journal import Taken
@@ -74,7 +74,7 @@
                           self.admission, log, self.status, weight)
         self.looks, self.api.read_updates = self.api.looks, self.read_updates
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
-        previous_process.assume(dispatcher, told.deployment, now)
+        previous_process.count_free_orders_as_given(dispatcher, told.deployment, now)
         self.engine = self.api.engine = RequestEngine(dispatcher, self, self.api, bounds.load_order)
         self.listeners: list[socket.socket] = []
         self.connections = Group()
@@ -238,7 +238,7 @@
             Connection(client, application, self.told.bounds, self.watch, unread).serve()
         except Exception as fault:
             cause = fault.__context__ or fault      # a parser wraps what its callbacks raise
-            self.note("fault", level="error", **fault_of(cause))
+            self.note("fault", level="error", **exception_fields(cause))
 
     def keep_time(self, over: Callable[[], bool]) -> None:
         """The one timer: every tick, what is due; how late it comes tells how busy or stalled the process is.
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -273,7 +273,7 @@
         usual = (answer.final is FinalKind.COMPLETED
                  and pending.engine.now - pending.admitted_at <= pending.activation.kind.target)
         level = "debug" if usual else "info"
-        if not self.log.wanted(level):
+        if not self.log.is_enabled(level):
             return
         self.log.note(
             "final", level=level, activation=pending.id, function=pending.call.function, type=pending.call.type,
--- a/threadshift/invoke/requests.py
+++ b/threadshift/invoke/requests.py
@@ -177,7 +177,7 @@
     body = {"type": PROBLEM_TYPES + answer.final.value, "title": answer.final.value, "status": status,
             "detail": detail, "reason": answer.reason, "activation": ivk, "may-have-run": answer.may_have_run}
     return Response(status, [("Content-Type", "application/problem+json"), *marks,
-                             *retry_after(answer.come_back)], json.dumps(body).encode())
+                             *retry_after(answer.retry_after)], json.dumps(body).encode())
 
 
 def accepted(ivk: str, base: str) -> Response:
--- a/threadshift/log.py
+++ b/threadshift/log.py
@@ -23,7 +23,7 @@
 CLOSE_WAIT = 2.0           # s; what a stuck reader of our logs may hold up the end of the process
 
 
-def fault_of(fault: BaseException) -> dict[str, str]:
+def exception_fields(fault: BaseException) -> dict[str, str]:
     """A fault of ours as fields of a line: what, and where."""
     place = traceback.extract_tb(fault.__traceback__)[-1]
     return {"problem": repr(fault), "at": f"{place.filename}:{place.lineno}"}
@@ -78,11 +78,11 @@
             wrapper_class=structlog.make_filtering_bound_logger(self.level),
             cache_logger_on_first_use=True).bind(**always)
 
-    def wanted(self, level: str) -> bool:
+    def is_enabled(self, level: str) -> bool:
         return LEVELS[level] >= self.level
 
     def note(self, event: str, level: str = "info", **fields: Any) -> None:
-        if not self.wanted(level):
+        if not self.is_enabled(level):
             return
         now, kind = time.monotonic_ns(), f"{event} {fields['reason']}" if "reason" in fields else event
         if self.limiter.allow(now, kind):
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -63,7 +63,7 @@
                          told.deployment.longest_advice, self.admission, self, self.note, self.chance)
         self.looks = self.door.looks
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
-        previous_process.assume(dispatcher, told.deployment, now)
+        previous_process.count_free_orders_as_given(dispatcher, told.deployment, now)
         self.engine = self.door.engine = RequestEngine(dispatcher, self, self.door, told.load_order)
         self.coordinator = CoordinatorStream(told.coordinator, self.on_list_update, self.on_coordinator_lost,
                                              self.note, self.chance)
--- a/threadshift/peers/carrier.py
+++ b/threadshift/peers/carrier.py
@@ -21,7 +21,7 @@
 from threadshift.consensus.member import Told
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
-from threadshift.log import fault_of
+from threadshift.log import exception_fields
 from threadshift.peers.hearing import Hearing
 from threadshift.peers.link import Door, PeerLink
 from threadshift.storage.disk import Disk
@@ -111,7 +111,7 @@
             try:
                 self.step(act)
             except Exception as fault:      # ours: this member promises nothing more, and calls go on
-                self.note("record-fault", level="error", **fault_of(fault))
+                self.note("record-fault", level="error", **exception_fields(fault))
                 self.member.doubt(f"a fault of ours: {fault!r}"[:300])
 
     def step(self, act: Callable[[int], None] | None) -> None:
