--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -30,10 +30,10 @@
 from threadshift.frames.codec import INVOKE, LOAD
 from threadshift.interface import MS, SECOND, WorkerState
 from threadshift.links.codec import encode
-from threadshift.links.redial import Redial
+from threadshift.links.redial import ReconnectBackoff
 from threadshift.node import front_end_config
 from threadshift.node.front import Node
-from threadshift.roster.membership import Entry, Membership, WorkerList
+from threadshift.discovery.registry import WorkerEntry, WorkerList, WorkerRegistry
 
 ROOT = Path(__file__).resolve().parent.parent
 DRAINING_WORKER, READY_WORKER = "s-0", "s-1"
@@ -159,10 +159,10 @@
     def drain_unread(self, it):
         """The drain lies in the socket of the stream; the loop has not turned since."""
         it.coordinator.publish(event(2, instance("s-0", it.workers[0].address, "Terminating")))
-        self.assertTrue(it.node.desk.dispatcher.workers["s-0"].ready)
+        self.assertTrue(it.node.engine.dispatcher.workers["s-0"].ready)
 
     def assert_not_sent(self, it):
-        self.assertFalse(it.node.desk.dispatcher.workers["s-0"].ready)
+        self.assertFalse(it.node.engine.dispatcher.workers["s-0"].ready)
         self.assertEqual(it.workers[0].frames_with(INVOKE) + it.workers[0].frames_with(LOAD), [])
 
     def test_is_read_before_what_an_answer_brings(self):
@@ -185,19 +185,19 @@
     def test_is_read_before_the_timer_decides(self):
         with Platform() as it:
             ready = []
-            it.node.desk.due = lambda: 0
-            it.node.desk.tick = lambda now: ready.append(it.node.desk.dispatcher.workers["s-0"].ready)
+            it.node.engine.due = lambda: 0
+            it.node.engine.tick = lambda now: ready.append(it.node.engine.dispatcher.workers["s-0"].ready)
             self.drain_unread(it)
             it.node.on_tick(time.monotonic_ns(), 0)
             self.assertFalse(any(ready[-1:]))
-            del it.node.desk.due, it.node.desk.tick
+            del it.node.engine.due, it.node.engine.tick
 
     def settling(self, it):
         """How sends stood, each time that unread news was waited for: the list is filled as that happens."""
         seen, catch_up = [], it.node.catch_up_after_stall
 
         def noted():
-            seen.extend(sent.outcome for held in it.node.desk.held.values() for sent in held.sends)
+            seen.extend(sent.outcome for pending in it.node.engine.requests.values() for sent in pending.sends)
             catch_up()
         it.node.catch_up_after_stall = noted
         return seen
@@ -234,16 +234,16 @@
     def test_news_of_the_feed_that_lies_unread_is_read_before_anything_is_sent(self):
         with Live(workers=1) as live:
             for act in (live.front.catch_up_after_stall, live.front.api.read_updates):
-                until(lambda: live.front.desk.dispatcher.workers["w0"].ready)
+                until(lambda: live.front.engine.dispatcher.workers["w0"].ready)
                 live.list("w0", live.workers["w0"].address)
                 changed = dict(live.feed.workers["w0"], state="draining")
                 until(lambda: live.front.feed.generation == live.feed.generation)
                 live.feed.generation += 1
                 for peer in live.feed.peers:
                     peer.sock.sendall(encode("changes", generation=live.feed.generation, workers=[changed]))
-                self.assertTrue(live.front.desk.dispatcher.workers["w0"].ready)
+                self.assertTrue(live.front.engine.dispatcher.workers["w0"].ready)
                 act()
-                self.assertFalse(live.front.desk.dispatcher.workers["w0"].ready)
+                self.assertFalse(live.front.engine.dispatcher.workers["w0"].ready)
                 live.feed.obey(["state", "w0", "ready"])
 
     def test_calls_ask_for_it(self):
@@ -270,20 +270,20 @@
         with Platform() as it:
             it.coordinator.publish(event(2, instance("s-7", "nowhere", weight="heavy"),
                                      instance("s-0", it.workers[0].address, "Terminating")))
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
             self.assertEqual(it.log.of("event-unreadable")[0]["entries"], 1)
             self.assertEqual(it.call()[0], 503)
 
     def test_nor_does_what_is_wrong_with_the_drain_s_own_entry(self):
         with Platform() as it:
             it.coordinator.publish(event(2, instance("s-0", "nowhere", "Terminating", weight=None, zone=7)))
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
 
     def test_a_worker_of_a_full_list_whose_entry_is_bad_stays_as_it_was(self):
         with Platform([serve, serve]) as it:
             it.coordinator.publish(event(2, instance("s-0", "nowhere"), full=True))
-            until(lambda: not it.node.desk.dispatcher.workers["s-1"].ready)
-            self.assertTrue(it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-1"].ready)
+            self.assertTrue(it.node.engine.dispatcher.workers["s-0"].ready)
             self.assertEqual(it.call()[0], 200)
 
 
@@ -291,7 +291,7 @@
     """Events that a front end must not pass over."""
 
     def drained(self, it):
-        until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+        until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
 
     def reload(self, it, known, coordinator):
         with tempfile.NamedTemporaryFile("w") as file:
@@ -320,7 +320,7 @@
             self.reload(it, {"index": 3, "updates": [
                 event(1, instance("s-0", address), full=True), event(2, instance("s-0", address, weight=2.0)),
                 event(3, instance("s-0", address, "Terminating"))]}, it.coordinator)
-            self.assertFalse(it.node.desk.dispatcher.workers["s-0"].ready)
+            self.assertFalse(it.node.engine.dispatcher.workers["s-0"].ready)
 
     def test_where_an_event_is_missing_the_stream_is_asked_again_once(self):
         with Platform() as it:
@@ -330,7 +330,7 @@
             self.drained(it)
             self.assertEqual(it.coordinator.last_event_ids[1:], [1])
             it.coordinator.publish(event(5, instance("s-0", address)))      # there is no fourth
-            until(lambda: it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: it.node.engine.dispatcher.workers["s-0"].ready)
             self.assertEqual(it.coordinator.last_event_ids[2:], [3])
 
 
@@ -341,10 +341,10 @@
 
     def found_after(self, begun, failures):
         """When a try is made that succeeds, after so many failures; each pause as long as it may be."""
-        redial, now = Redial(lambda: 1.0, LONGEST_PAUSE), begun
-        now = redial.broke(now)
+        backoff, now = ReconnectBackoff(lambda: 1.0, LONGEST_PAUSE), begun
+        now = backoff.on_disconnected(now)
         for took in failures:
-            now = redial.broke(now + took)
+            now = backoff.on_disconnected(now + took)
         return now
 
     @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
@@ -420,8 +420,8 @@
     @given(st.integers(0, 3000), st.integers(0, 6000))
     def test_one_is_believed_within_the_grace_of_when_it_counts_as_told(self, grace_ms, late_ms):
         grace, told, read = grace_ms * MS, 10 * SECOND, 10 * SECOND + late_ms * MS
-        it = Membership(grace)
-        it.listed(0, 0, [Entry("a", ANY)], full=True)
+        it = WorkerRegistry(grace)
+        it.listed(0, 0, [WorkerEntry("a", ANY)], full=True)
         changed = it.apply(read, 0, WorkerList([], full=True), told)
         while not changed:
             read += 5 * MS                  # the timer's tick
@@ -432,10 +432,10 @@
             self.assertEqual(read, told + late_ms * MS)
 
     def test_workers_told_of_after_it_are_not_gone_with_those_before(self):
-        it = Membership(SECOND)
-        it.listed(0, 0, [Entry("a", ANY), Entry("b", ANY)], full=True)
+        it = WorkerRegistry(SECOND)
+        it.listed(0, 0, [WorkerEntry("a", ANY), WorkerEntry("b", ANY)], full=True)
         it.listed(SECOND, 0, [], full=True)
-        it.listed(SECOND + MS, 0, [Entry("b", ANY), Entry("c", ANY)], full=False)
+        it.listed(SECOND + MS, 0, [WorkerEntry("b", ANY), WorkerEntry("c", ANY)], full=False)
         self.assertEqual([each.worker for each in it.tick(2 * SECOND)], ["a"])
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -120,7 +120,7 @@
         def deaf(self, listings):
             listings = [each for each in listings if each.state is WorkerState.READY]
             if listings:
-                self.desk.roster(self.clock.now, listings, full=False)
+                self.engine.update_workers(self.clock.now, listings, full=False)
 
         def greedy(self, worker, fn, now):
             worker.load_orders.add(fn.name)
--- a/tests/test_desk.py
+++ b/tests/test_engine.py
@@ -5,8 +5,8 @@
 
 from tests.helpers import deployment, listing
 from threadshift.choice import NEVER_RAN, Dispatcher
-from threadshift.desk import earlier
-from threadshift.desk.desk import Answer, Call, Desk, Final
+from threadshift.engine import previous_process
+from threadshift.engine.engine import Answer, Call, FinalKind, RequestEngine
 from threadshift.interface import (
     MS, SECOND, Copy, Deployment, Effect, WorkerListing, NamespaceType, Outcome, WorkerState)
 
@@ -14,54 +14,54 @@
 
 
 class Fleet:
-    """The ports of a desk, written down: what was sent, cancelled, ordered and answered, with the time."""
+    """The ports of an engine, written down: what was sent, cancelled, ordered and answered, with the time."""
 
     def __init__(self, at_once=()):
-        self.desk, self.log, self.answers, self.overs = None, [], {}, set()
+        self.engine, self.log, self.answers, self.overs = None, [], {}, set()
         self.at_once = list(at_once)        # outcomes that the next sends end with at once
         self.asked = []
         self.moot = False
         self.waiting = set()                # (worker, ivk) of sends that have not left
         self.gone_unread = set()            # whose client has left, and nobody has heard
 
-    def send(self, worker, held, number):
-        self.log.append(("send", self.desk.now, held.ivk, worker, held.settled))
+    def send(self, worker, pending, number):
+        self.log.append(("send", self.engine.now, pending.id, worker, pending.is_settled))
         return self.at_once.pop(0) if self.at_once else None
 
-    def cancel(self, worker, held, number, tell):
-        self.log.append(("cancel", self.desk.now, held.ivk, worker, tell))
+    def cancel(self, worker, pending, number, tell):
+        self.log.append(("cancel", self.engine.now, pending.id, worker, tell))
         return Outcome.NEVER_SENT if self.moot else Outcome.CANCELLED
 
-    def withdraw(self, worker, held, number):
-        if (worker, held.ivk) in self.waiting:
-            self.log.append(("withdrawn", self.desk.now, held.ivk, worker, held.settled))
+    def withdraw(self, worker, pending, number):
+        if (worker, pending.id) in self.waiting:
+            self.log.append(("withdrawn", self.engine.now, pending.id, worker, pending.is_settled))
             return True
         return False
 
-    def hold(self, worker, order):
+    def order_load(self, worker, order):
         self.asked.append(order)
-        self.log.append(("hold", self.desk.now, order.fn, worker, False))
+        self.log.append(("hold", self.engine.now, order.function, worker, False))
 
-    def ask(self, worker, question):
+    def probe(self, worker, question):
         self.asked.append(question)
 
-    def left_unread(self, held):
-        return held.ivk in self.gone_unread
+    def has_unread_disconnect(self, pending):
+        return pending.id in self.gone_unread
 
-    def answered(self, held):
-        self.answers.setdefault(held.ivk, []).append(held.answer)
+    def on_answered(self, pending):
+        self.answers.setdefault(pending.id, []).append(pending.answer)
 
-    def over(self, held):
-        self.overs.add(held.ivk)
+    def on_finished(self, pending):
+        self.overs.add(pending.id)
 
     def sends(self, ivk="a"):
         return [entry[3] for entry in self.log if entry[0] == "send" and entry[2] == ivk]
 
 
-def desk(workers=4, at_once=(), **changes):
+def engine(workers=4, at_once=(), **changes):
     fleet = Fleet(at_once)
-    it = fleet.desk = Desk(Dispatcher(1, deployment(**changes), 0), fleet, fleet)
-    it.roster(0, [listing(f"w{n}") for n in range(workers)], full=True)
+    it = fleet.engine = RequestEngine(Dispatcher(1, deployment(**changes), 0), fleet, fleet)
+    it.update_workers(0, [listing(f"w{n}") for n in range(workers)], full=True)
     return it, fleet
 
 
@@ -71,95 +71,95 @@
 
 class Answers(unittest.TestCase):
     def test_the_first_completed_answer_is_handed_on_once(self):
-        it, fleet = desk()
-        held = it.take(0, "a", ask())
-        held.returned(10 * MS, 0, Outcome.COMPLETED, body=b"x")
-        held.returned(11 * MS, 0, Outcome.COMPLETED, body=b"y")
-        self.assertEqual(fleet.answers, {"a": [Answer(Final.COMPLETED, "completed", b"x")]})
-        self.assertEqual((it.counts["late"], it.owed, it.held, fleet.overs), (1, 0, {}, {"a"}))
+        it, fleet = engine()
+        pending = it.admit(0, "a", ask())
+        pending.on_send_ended(10 * MS, 0, Outcome.COMPLETED, body=b"x")
+        pending.on_send_ended(11 * MS, 0, Outcome.COMPLETED, body=b"y")
+        self.assertEqual(fleet.answers, {"a": [Answer(FinalKind.COMPLETED, "completed", b"x")]})
+        self.assertEqual((it.counts["late"], it.owed, it.requests, fleet.overs), (1, 0, {}, {"a"}))
 
     def test_final_answers_by_effect_and_how_the_sends_ended(self):
         # effect, outcomes of the sends, the answer, whether it may have run; the third repeat is over budget
         cases = (
-            (Effect.ONCE_ONLY, [Outcome.RESET], Final.ABORTED, True),
-            (Effect.ONCE_ONLY, [Outcome.UNREACHABLE] * 4, Final.REJECTED, False),
-            (Effect.ONCE_ONLY, [Outcome.UNREACHABLE, Outcome.RESET], Final.ABORTED, True),
-            (Effect.REPEATABLE, [Outcome.RESET] * 3, Final.REJECTED, True),
-            (Effect.DEDUPLICATED, [Outcome.NEVER_SENT] * 4, Final.REJECTED, False),
+            (Effect.ONCE_ONLY, [Outcome.RESET], FinalKind.ABORTED, True),
+            (Effect.ONCE_ONLY, [Outcome.UNREACHABLE] * 4, FinalKind.REJECTED, False),
+            (Effect.ONCE_ONLY, [Outcome.UNREACHABLE, Outcome.RESET], FinalKind.ABORTED, True),
+            (Effect.REPEATABLE, [Outcome.RESET] * 3, FinalKind.REJECTED, True),
+            (Effect.DEDUPLICATED, [Outcome.NEVER_SENT] * 4, FinalKind.REJECTED, False),
         )
         for effect, outcomes, final, ran in cases:
-            it, fleet = desk(at_once=outcomes)
-            held = it.take(0, "a", ask(effect))
+            it, fleet = engine(at_once=outcomes)
+            pending = it.admit(0, "a", ask(effect))
             self.assertEqual([each.final for each in fleet.answers["a"]], [final], (effect, outcomes))
-            self.assertEqual(held.answer.may_have_run, ran, (effect, outcomes))
+            self.assertEqual(pending.answer.may_have_run, ran, (effect, outcomes))
             self.assertEqual(len(fleet.sends()), len(outcomes), (effect, outcomes))
 
     def test_time_up_answers_in_time_and_ends_every_send(self):
         for may_cancel in (True, False):
-            it, fleet = desk(may_cancel=may_cancel)
-            held = it.take(0, "a", ask(Effect.ONCE_ONLY, left=300 * MS))
+            it, fleet = engine(may_cancel=may_cancel)
+            pending = it.admit(0, "a", ask(Effect.ONCE_ONLY, left=300 * MS))
             while it.due() <= 300 * MS:
                 it.tick(it.due())
-            self.assertEqual([each.final for each in fleet.answers["a"]], [Final.ABORTED])
-            self.assertLess(held.answered_at, held.deadline)
-            self.assertEqual((it.held, it.owed, it.counts["overdue"]), ({}, 0, 0))
-            held.returned(400 * MS, 0, Outcome.COMPLETED)
+            self.assertEqual([each.final for each in fleet.answers["a"]], [FinalKind.ABORTED])
+            self.assertLess(pending.answered_at, pending.deadline)
+            self.assertEqual((it.requests, it.owed, it.counts["overdue"]), ({}, 0, 0))
+            pending.on_send_ended(400 * MS, 0, Outcome.COMPLETED)
             self.assertEqual(len(fleet.answers["a"]), 1)
 
     def test_what_comes_after_a_standstill_is_too_late(self):
-        it, fleet = desk()
-        held = it.take(0, "a", ask(left=300 * MS))
-        held.returned(SECOND, 0, Outcome.COMPLETED)
+        it, fleet = engine()
+        pending = it.admit(0, "a", ask(left=300 * MS))
+        pending.on_send_ended(SECOND, 0, Outcome.COMPLETED)
         it.tick(SECOND)
-        self.assertEqual([each.final for each in fleet.answers["a"]], [Final.REJECTED])
+        self.assertEqual([each.final for each in fleet.answers["a"]], [FinalKind.REJECTED])
 
     def test_what_we_held_up_ourselves_is_not_the_workers(self):
-        it, fleet = desk()
-        held = it.take(0, "a", ask())
-        held.returned(2 * SECOND, 0, Outcome.COMPLETED, copy=Copy.FOUND, waited=10 * MS)
-        worker = it.dispatcher.workers[held.sends[0].worker]
-        self.assertEqual((held.sends[0].waited, worker.relative_latency < 0.05), (10 * MS, True))
+        it, fleet = engine()
+        pending = it.admit(0, "a", ask())
+        pending.on_send_ended(2 * SECOND, 0, Outcome.COMPLETED, copy=Copy.FOUND, waited=10 * MS)
+        worker = it.dispatcher.workers[pending.sends[0].worker]
+        self.assertEqual((pending.sends[0].waited, worker.relative_latency < 0.05), (10 * MS, True))
 
     def test_a_client_that_quits_is_owed_nothing(self):
-        it, fleet = desk()
-        held = it.take(0, "a", ask())
-        held.left(5 * MS)
-        held.left(6 * MS)
-        held.returned(7 * MS, 0, Outcome.COMPLETED)
-        self.assertEqual((fleet.answers, it.owed, it.held, fleet.overs), ({}, 0, {}, {"a"}))
+        it, fleet = engine()
+        pending = it.admit(0, "a", ask())
+        pending.on_client_gone(5 * MS)
+        pending.on_client_gone(6 * MS)
+        pending.on_send_ended(7 * MS, 0, Outcome.COMPLETED)
+        self.assertEqual((fleet.answers, it.owed, it.requests, fleet.overs), ({}, 0, {}, {"a"}))
 
     def test_a_cancelled_send_that_never_left_is_told_apart(self):
         for moot in (True, False):
-            it, fleet = desk(workers=1)
+            it, fleet = engine(workers=1)
             fleet.moot = moot
-            held = it.take(0, "a", ask())
-            it.carry(0, it.dispatcher.collect_steps(it.dispatcher.finish, held.act, None))
-            self.assertEqual(held.sends[0].outcome in NEVER_RAN, moot)
+            pending = it.admit(0, "a", ask())
+            it.execute_steps(0, it.dispatcher.collect_steps(it.dispatcher.finish, pending.activation, None))
+            self.assertEqual(pending.sends[0].outcome in NEVER_RAN, moot)
 
     def test_an_order_and_a_question_that_nobody_answers_end(self):
-        it, fleet = desk(loads_on_miss=False, may_probe=True, front_ends=100)
+        it, fleet = engine(loads_on_miss=False, may_probe=True, front_ends=100)
         it.dispatcher.pressure_share = 1.0
         # two copies believed to stand, so an answer could move the call
         for worker in it.dispatcher.ready_workers:
             worker.warm_until |= {"f": 3 * SECOND, "g": 3 * SECOND}
-        held, now = it.take(SECOND, "a", ask()), SECOND
-        fleet.asked[0].answered(now, Outcome.COMPLETED)
-        held.returned(now, 0, Outcome.MISS)
-        it.take(now, "b", Call("repeatable", "g", LATE))
-        self.assertEqual([asked.fn for asked in fleet.asked[1:]], ["f", ""])
+        pending, now = it.admit(SECOND, "a", ask()), SECOND
+        fleet.asked[0].on_answered(now, Outcome.COMPLETED)
+        pending.on_send_ended(now, 0, Outcome.MISS)
+        it.admit(now, "b", Call("repeatable", "g", LATE))
+        self.assertEqual([asked.function for asked in fleet.asked[1:]], ["f", ""])
         while now < 11 * SECOND:
             now = max(now + 1, it.due())
             it.tick(now)
-        self.assertTrue(all(asked.over for asked in fleet.asked))
+        self.assertTrue(all(asked.is_done for asked in fleet.asked))
         before = len(fleet.log)
-        fleet.asked[1].answered(now, Outcome.COMPLETED, copies=1)
+        fleet.asked[1].on_answered(now, Outcome.COMPLETED, copies=1)
         self.assertEqual(len(fleet.log), before)
 
     def test_a_clock_that_goes_back_counts_as_standing(self):
-        it, fleet = desk()
-        it.take(5 * SECOND, "a", ask())
-        held = it.take(SECOND, "b", ask())
-        self.assertEqual((held.taken, held.deadline), (5 * SECOND, 5 * SECOND + LATE))
+        it, fleet = engine()
+        it.admit(5 * SECOND, "a", ask())
+        pending = it.admit(SECOND, "b", ask())
+        self.assertEqual((pending.admitted_at, pending.deadline), (5 * SECOND, 5 * SECOND + LATE))
 
 
 EFFECTS = st.sampled_from(list(Effect))
@@ -177,11 +177,11 @@
 
 
 class Play:
-    """Plays a list of events on a desk and keeps the promises in view."""
+    """Plays a list of events on an engine and keeps the promises in view."""
 
     def __init__(self, test, may_cancel, may_twice):
         self.test, self.may_twice = test, may_twice
-        self.it, self.fleet = desk(workers=5, may_cancel=may_cancel, may_duplicate=may_twice, max_sends=4)
+        self.it, self.fleet = engine(workers=5, may_cancel=may_cancel, may_duplicate=may_twice, max_sends=4)
         self.now, self.calls, self.jumped, self.unready = 0, [], 0, {}
 
     def play(self, events):
@@ -197,25 +197,26 @@
 
     def take(self, effect, left):
         ivk = f"c{len(self.calls)}"
-        self.calls.append(self.it.take(self.now, ivk, Call(effect.value, f"f{left % 3}", left * MS)))
+        self.calls.append(self.it.admit(self.now, ivk, Call(effect.value, f"f{left % 3}", left * MS)))
 
     def out(self, pick):
-        sends = [(held, n) for held in self.calls for n, sent in enumerate(held.sends) if sent.outcome is None]
+        sends = [(pending, n) for pending in self.calls for n, sent in enumerate(pending.sends)
+                 if sent.outcome is None]
         return sends[pick % len(sends)] if sends else None
 
     def end(self, pick, outcome, copy):
         if found := self.out(pick):
-            found[0].returned(self.now, found[1], outcome, copy=copy)
+            found[0].on_send_ended(self.now, found[1], outcome, copy=copy)
 
     def again(self, pick, outcome):
-        ended = [(held, n) for held in self.calls for n, sent in enumerate(held.sends) if sent.outcome]
+        ended = [(pending, n) for pending in self.calls for n, sent in enumerate(pending.sends) if sent.outcome]
         if ended:
-            held, number = ended[pick % len(ended)]
-            held.returned(self.now, number, outcome)
+            pending, number = ended[pick % len(ended)]
+            pending.on_send_ended(self.now, number, outcome)
 
     def left(self, pick):
         if self.calls:
-            self.calls[pick % len(self.calls)].left(self.now)
+            self.calls[pick % len(self.calls)].on_client_gone(self.now)
 
     def roster(self, pick, state, age):
         name = f"w{pick}"
@@ -223,11 +224,12 @@
             self.unready.pop(name, None)
         else:
             self.unready[name] = self.now
-        self.it.roster(self.now, [listing(name, state, started_at=age and max(1, self.now - age))], full=False)
+        self.it.update_workers(self.now, [listing(
+            name, state, started_at=age and max(1, self.now - age))], full=False)
 
     def held(self, pick, outcome):
         if self.fleet.asked:
-            self.fleet.asked[pick % len(self.fleet.asked)].answered(self.now, outcome, copies=1)
+            self.fleet.asked[pick % len(self.fleet.asked)].on_answered(self.now, outcome, copies=1)
 
     def at_once(self, outcome):
         self.fleet.at_once.append(outcome)
@@ -247,20 +249,20 @@
 
     def verdict(self):
         test = self.test
-        test.assertEqual((self.it.held, self.it.owed, self.it.counts["overdue"] * (not self.jumped)), ({}, 0, 0))
-        for held in self.calls:
-            answers = self.fleet.answers.get(held.ivk, [])
-            test.assertEqual(len(answers), 0 if held.gone else 1, held.ivk)
-            test.assertIn(held.ivk, self.fleet.overs)
+        test.assertEqual((self.it.requests, self.it.owed, self.it.counts["overdue"] * (not self.jumped)), ({}, 0, 0))
+        for pending in self.calls:
+            answers = self.fleet.answers.get(pending.id, [])
+            test.assertEqual(len(answers), 0 if pending.client_gone else 1, pending.id)
+            test.assertIn(pending.id, self.fleet.overs)
             if answers and not self.jumped:
-                test.assertLessEqual(held.answered_at, held.deadline)
-            entries = [entry for entry in self.fleet.log if entry[0] == "send" and entry[2] == held.ivk]
+                test.assertLessEqual(pending.answered_at, pending.deadline)
+            entries = [entry for entry in self.fleet.log if entry[0] == "send" and entry[2] == pending.id]
             test.assertFalse(any(entry[4] for entry in entries), "sent after its answer")
             risky = 0
-            for sent in held.sends:
-                test.assertFalse(risky and held.call.type == Effect.ONCE_ONLY.value, "once-only sent twice")
+            for sent in pending.sends:
+                test.assertFalse(risky and pending.call.type == Effect.ONCE_ONLY.value, "once-only sent twice")
                 risky += sent.outcome not in NEVER_RAN
-            if answers and answers[0].final is Final.REJECTED and held.call.type == Effect.ONCE_ONLY.value:
+            if answers and answers[0].final is FinalKind.REJECTED and pending.call.type == Effect.ONCE_ONLY.value:
                 test.assertFalse(risky, "once-only rejected though it may have run")
 
 
@@ -287,7 +289,7 @@
                           load_window=5 * SECOND, load_free=6.0, load_ratio=0.2)
         for now, most in ((SECOND, 0), (5 * SECOND, 0), (6 * SECOND, 6)):
             it = Dispatcher(1, told, SECOND)
-            earlier.assume(it, told, SECOND)
+            previous_process.count_free_orders_as_given(it, told, SECOND)
             it.update_workers(SECOND, [WorkerListing("w", WorkerState.READY)], True)
             given = 0
             for n in range(9):
@@ -298,7 +300,7 @@
             self.assertLessEqual(given, most + 1)
             self.assertGreaterEqual(given, most)
         it = Dispatcher(1, told._replace(load_window=0), SECOND)
-        earlier.assume(it, told._replace(load_window=0), SECOND)
+        previous_process.count_free_orders_as_given(it, told._replace(load_window=0), SECOND)
         self.assertFalse(it.recent_load_orders)
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,9 +8,9 @@
 
 from tests.live import Live, Scripted, until
 from threadshift.interface import MS, SECOND
-from threadshift.links.codec import LENGTH, VERSION, Frames, Refused, encode
+from threadshift.links.codec import LENGTH, VERSION, Frames, ProtocolError, encode
 from threadshift.links.outbox import Outbox
-from threadshift.links.redial import FIRST, MOST, STEADY, Redial
+from threadshift.links.redial import MAX_PAUSE, MIN_PAUSE, STABLE_AFTER, ReconnectBackoff
 
 RESULT = dict(copy="found", body=b"ok")
 
@@ -33,7 +33,7 @@
         for stream in (data, LENGTH.pack(len(data)) + data):
             try:
                 Frames(1 << 16).feed(stream)
-            except Refused as problem:
+            except ProtocolError as problem:
                 self.assertTrue(str(problem))
 
     def test_what_is_wrong_is_named(self):
@@ -51,7 +51,7 @@
             (LENGTH.pack(0), "not msgpack"),
         )
         for data, words in cases:
-            with self.assertRaises(Refused) as caught:
+            with self.assertRaises(ProtocolError) as caught:
                 Frames(1 << 16).feed(data)
             self.assertIn(words, str(caught.exception))
 
@@ -98,16 +98,16 @@
 
 class Redials(unittest.TestCase):
     def test_pauses_double_to_a_limit_and_are_forgiven_after_a_sound_link(self):
-        it, now = Redial(lambda: 0.5), SECOND
+        it, now = ReconnectBackoff(lambda: 0.5), SECOND
         pauses = []
         for _ in range(8):
-            pauses.append(it.broke(now) - now)
-        self.assertEqual(pauses[:3], [FIRST, 2 * FIRST, 4 * FIRST])
-        self.assertEqual(pauses[-1], MOST)
-        it.up(now)
-        self.assertEqual(it.broke(now + STEADY // 2) - now - STEADY // 2, MOST)
-        it.up(now)
-        self.assertEqual(it.broke(now + STEADY) - now - STEADY, FIRST)
+            pauses.append(it.on_disconnected(now) - now)
+        self.assertEqual(pauses[:3], [MIN_PAUSE, 2 * MIN_PAUSE, 4 * MIN_PAUSE])
+        self.assertEqual(pauses[-1], MAX_PAUSE)
+        it.on_connected(now)
+        self.assertEqual(it.on_disconnected(now + STABLE_AFTER // 2) - now - STABLE_AFTER // 2, MAX_PAUSE)
+        it.on_connected(now)
+        self.assertEqual(it.on_disconnected(now + STABLE_AFTER) - now - STABLE_AFTER, MIN_PAUSE)
 
 
 def reads_nothing(worker, sock, frames):
@@ -245,7 +245,7 @@
                 elif frame["kind"] == "ping":
                     sock.sendall(encode("pong"))
         reply, worker, live = ends("submit-x", script)
-        self.assertEqual((reply.status, reply.body, live.front.desk.counts["answered completed"]), (200, b"ok", 1))
+        self.assertEqual((reply.status, reply.body, live.front.engine.counts["answered completed"]), (200, b"ok", 1))
 
     def test_what_waited_for_the_link_does_not_go_to_another_life_of_the_worker(self):
         """It was sent to a warm worker, and would all arrive at once at a cold one, past its budget (rule 4), or at
@@ -299,7 +299,7 @@
         running = gevent.spawn(live.front.run)
         live.running = running
         until(lambda: live.front.links)
-        until(lambda: live.front.desk.dispatcher.ready_workers)
+        until(lambda: live.front.engine.dispatcher.ready_workers)
         begun.append(time.monotonic_ns())
         self.assertEqual(live.call("submit-x", time_left="900").status, 200)
         left, at = seen[0]
@@ -314,7 +314,7 @@
         live.list("w0", worker.address)
         with live:
             until(lambda: live.front.links and live.front.links["w0"].up)
-            live.front.desk.dispatcher.load_limit = 99.0
+            live.front.engine.dispatcher.load_limit = 99.0
             calls = [gevent.spawn(live.call, f"f{n}", b"x" * 4_000_000, time_left="2000") for n in range(8)]
             outbox = live.front.links["w0"].outbox
             until(lambda: outbox.unwritten)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -113,7 +113,7 @@
         with Platform([silent]) as it:
             self.assertEqual(it.call(type_="submit", left="80")[0], 502)
             until(lambda: it.workers[0].frames_with(CANCEL))
-            until(lambda: not it.node.desk.held)
+            until(lambda: not it.node.engine.requests)
             self.assertFalse(it.node.links["s-0"].routes)
 
     def test_an_answer_that_crosses_its_end_is_not_the_next_sends(self):
@@ -127,11 +127,12 @@
         with Platform([script]) as it:
             link, ends = it.node.links["s-0"], []
             call = Of(type="submit", function="00000000000000f1", body=b"x", mark="")
-            held = Of(ivk=A, call=call, returned=lambda now, number, outcome, **_: ends.append((number, outcome)),
-                      time_left=lambda now: SECOND)
-            self.assertIsNone(link.invoke(held, 0, SECOND))
+            pending = Of(id=A, call=call,
+                         on_send_ended=lambda now, number, outcome, **_: ends.append((number, outcome)),
+                         time_left=lambda now: SECOND)
+            self.assertIsNone(link.invoke(pending, 0, SECOND))
             until(lambda: len(ends) == 1)
-            self.assertIsNone(link.invoke(held, 1, SECOND))
+            self.assertIsNone(link.invoke(pending, 1, SECOND))
             until(lambda: len(ends) == 2)
             self.assertEqual([outcome.value for _, outcome in ends], ["full", "completed"])
 
@@ -299,23 +300,24 @@
             first = link.connections[0].sock.getsockname()
             next(sock for sock in it.workers[0].open if sock.getpeername() == first).shutdown(2)
             call = Of(type="submit", function="00000000000000f1", body=b"x", mark="")
-            held = Of(ivk=A, call=call, returned=lambda now, number, outcome, **_: None, time_left=lambda now: SECOND)
-            self.assertIsNone(link.invoke(held, 0, SECOND))
+            pending = Of(id=A, call=call, on_send_ended=lambda now, number, outcome, **_: None,
+                         time_left=lambda now: SECOND)
+            self.assertIsNone(link.invoke(pending, 0, SECOND))
             self.assertTrue(link.busy)
-            self.assertEqual(link.cancel(held, 0, True).value, "cancelled")
+            self.assertEqual(link.cancel(pending, 0, True).value, "cancelled")
             self.assertFalse(link.busy)
             until(lambda: it.workers[0].frames_with(CANCEL))
 
     def test_load_orders_leave_at_once_or_not_at_all(self):
         with Platform([silent]) as it:
             link, ends = it.node.links["s-0"], []
-            asked = Of(fn="00000000000000f1", answered=lambda now, outcome, **_: ends.append(outcome.value))
-            self.assertIsNone(link.order(asked))
+            asked = Of(function="00000000000000f1", on_answered=lambda now, outcome, **_: ends.append(outcome.value))
+            self.assertIsNone(link.order_load(asked))
             until(lambda: it.workers[0].frames_with(LOAD))
             self.assertEqual(it.workers[0].frames_with(LOAD)[0].fields, {"key": "00000000000000f1", "n": "1"})
             it.workers[0].stop()
             until(lambda: ends == ["reset"])
-            self.assertEqual(link.order(asked).value, "unreachable")
+            self.assertEqual(link.order_load(asked).value, "unreachable")
 
 
 HEAD_OF_3_GB = bytes((FROM_WORKER, OK)) + bytes(2) + (3 << 30).to_bytes(4, "big") + bytes.fromhex(A)
@@ -334,7 +336,7 @@
             self.assertEqual(it.coordinator.last_event_ids[1:], [1])
             it.coordinator.publish(event(2, instance("s-8", other.address)))
             it.coordinator.publish(event(3, instance("s-9", other.address, "Terminating")))
-            until(lambda: not it.node.desk.dispatcher.workers["s-9"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-9"].ready)
             self.assertNotIn("s-8", it.node.links)
 
     def test_a_new_worker_at_the_address_of_one_that_is_gone(self):
@@ -368,7 +370,7 @@
             file.write(json.dumps(configuration(coordinator=str(other.address))))
             file.flush()
             it.node.reload()
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
             self.assertEqual(other.last_event_ids, [1])
 
 
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -8,10 +8,10 @@
 
 from tests.helpers import listing
 from tests.platform import SETTINGS, Platform, configuration
-from tests.test_desk import Fleet
+from tests.test_engine import Fleet
 from threadshift.choice import Dispatcher
 from threadshift.conf.settings import Malformed
-from threadshift.desk.desk import Call, Desk, Final
+from threadshift.engine.engine import Call, FinalKind, RequestEngine
 from threadshift.frames.codec import INVOKE
 from threadshift.interface import MS, SECOND, Copy, Effect, Outcome
 from threadshift.invoke.admission import Admission
@@ -68,42 +68,43 @@
         Descriptors(config.max_sockets).client_limit(40)
         shutdown = Shutdown(max(each.action_timeout for each in types))
         fleet, now, calls = Fleet(), SECOND, []
-        desk = fleet.desk = Desk(Dispatcher(1, config.deployment, now), fleet, fleet, config.load_timeout)
-        desk.roster(now, [listing(f"w{n}", started_at=now if n == 3 else 0) for n in range(4)], full=True)
+        engine = fleet.engine = RequestEngine(Dispatcher(1, config.deployment, now), fleet, fleet,
+                                              config.load_timeout)
+        engine.update_workers(now, [listing(f"w{n}", started_at=now if n == 3 else 0) for n in range(4)], full=True)
         for what, pick, outcome in events:
-            out = [(held, n) for held in calls for n, sent in enumerate(held.sends) if sent.outcome is None]
+            out = [(pending, n) for pending in calls for n, sent in enumerate(pending.sends) if sent.outcome is None]
             if what == "take":
                 type_ = types[pick % len(types)]
-                calls.append(desk.take(now, f"c{len(calls)}", Call(
+                calls.append(engine.admit(now, f"c{len(calls)}", Call(
                     type_.name, f"f{pick % 4}", type_.action_timeout * (1 + pick % 3) // 3,
                     tenant=config.deployment.tenants[pick % len(config.deployment.tenants)].name
                     if config.deployment.tenants else "", work=pick * MS)))
             elif what == "end" and out:
-                held, number = out[pick % len(out)]
-                held.returned(now, number, outcome, copy=Copy.FOUND)
+                pending, number = out[pick % len(out)]
+                pending.on_send_ended(now, number, outcome, copy=Copy.FOUND)
             elif what == "leave" and calls:
-                calls[pick % len(calls)].left(now)
+                calls[pick % len(calls)].on_client_gone(now)
             else:
-                now = self.wait(desk, now, now + pick * 10 * MS)
+                now = self.wait(engine, now, now + pick * 10 * MS)
         shutdown.begin(now)
-        desk.hasten(now, shutdown.answer_deadline)
-        now = self.wait(desk, now, shutdown.answer_deadline)
-        self.assertEqual((desk.owed, desk.counts["overdue"]), (0, 0))
-        for held in calls:
-            answers = fleet.answers.get(held.ivk, [])
-            self.assertEqual(len(answers), 0 if held.gone else 1)
-            self.assertLessEqual(held.answered_at, shutdown.answer_deadline)
-            ran = [sent for sent in held.sends if sent.outcome not in (
+        engine.shorten_deadlines(now, shutdown.answer_deadline)
+        now = self.wait(engine, now, shutdown.answer_deadline)
+        self.assertEqual((engine.owed, engine.counts["overdue"]), (0, 0))
+        for pending in calls:
+            answers = fleet.answers.get(pending.id, [])
+            self.assertEqual(len(answers), 0 if pending.client_gone else 1)
+            self.assertLessEqual(pending.answered_at, shutdown.answer_deadline)
+            ran = [sent for sent in pending.sends if sent.outcome not in (
                 Outcome.FULL, Outcome.UNREACHABLE, Outcome.NEVER_SENT, Outcome.MISS)]
-            if held.act.type_stats.effect is Effect.ONCE_ONLY:
+            if pending.activation.type_stats.effect is Effect.ONCE_ONLY:
                 self.assertLessEqual(len(ran), 1)
-                self.assertFalse(ran and answers and answers[0].final is Final.REJECTED)
-            self.assertLessEqual(len(held.sends), config.deployment.max_sends)
+                self.assertFalse(ran and answers and answers[0].final is FinalKind.REJECTED)
+            self.assertLessEqual(len(pending.sends), config.deployment.max_sends)
 
-    def wait(self, desk, now, until):
-        while desk.due() <= until:
-            now = max(now, desk.due())
-            desk.tick(now)
+    def wait(self, engine, now, until):
+        while engine.due() <= until:
+            now = max(now, engine.due())
+            engine.tick(now)
         return until
 
     def test_what_is_bad_is_one_line_that_names_it(self):
@@ -147,13 +148,13 @@
 
     def test_a_tenants_calls_are_its_own_and_not_nobodys(self):
         with self.played() as it:
-            taken, take = [], it.node.desk.dispatcher.admit
+            taken, take = [], it.node.engine.dispatcher.admit
 
             def note(*words, **facts):
                 act = take(*words, **facts)
                 taken.append((facts["tenant"], act.low_priority))
                 return act
-            it.node.desk.dispatcher.admit = note
+            it.node.engine.dispatcher.admit = note
             it.call(HTTP_X_TEAM="one")
             it.call(id_="00000000000000a2")
             self.assertEqual(taken, [("one", False), ("", True)])
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -22,7 +22,7 @@
 from tests.live import free_port, until
 from tests.platform import (
     SETTINGS, Client, Coordinator, Platform, Worker, begin, configuration, event, instance, params, request, serve)
-from tests.test_desk import ask, desk
+from tests.test_engine import ask, engine
 from threadshift.conf.values import Address
 from threadshift.coordinator import freshness
 from threadshift.fastcgi import connection_eviction
@@ -85,13 +85,13 @@
     busy = [it.client() for _ in range(it.node.listener.max_connections())]
     for n, each in enumerate(busy):
         each.ask(id_=f"{n:016x}", left=left)
-    until(lambda: it.node.desk.owed == len(busy))
+    until(lambda: it.node.engine.owed == len(busy))
 
 
 def attempt(id_, time_left, body=b""):
     """A request as links know it."""
     call = mock.Mock(type="check", function="00000000000000f1", mark="", body=body)
-    return mock.Mock(ivk=id_, call=call, time_left=time_left)
+    return mock.Mock(id=id_, call=call, time_left=time_left)
 
 
 class Shutdown(unittest.TestCase):
@@ -104,7 +104,7 @@
                 until(lambda: it.workers[0].frames_with(INVOKE))
                 it.node.end()
                 self.assertEqual((client.answer() or [None])[0], wanted)
-                self.assertFalse(it.node.desk.counts["overdue"])
+                self.assertFalse(it.node.engine.counts["overdue"])
 
     def test_one_taken_after_the_word_too(self):
         with Platform([silent]) as it:
@@ -136,7 +136,7 @@
             next(iter(it.node.listener.connections)).sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 16)
             client.ask()
             until(lambda: any(each.outbox.size for each in it.node.listener.connections))
-            self.assertEqual(it.node.desk.owed, 0)
+            self.assertEqual(it.node.engine.owed, 0)
             it.node.end()
             closing(it)
             status, _, body = client.answer() or (None, None, b"")
@@ -196,12 +196,12 @@
     def test_a_send_that_has_not_left_does_not_once_its_client_is_gone(self):
         # Where cancels are not allowed, it left as soon as its connection came up.
         for may_cancel in (True, False):
-            it, fleet = desk(workers=1, may_cancel=may_cancel)
-            held = it.take(0, "a", ask(Effect.ONCE_ONLY))
+            it, fleet = engine(workers=1, may_cancel=may_cancel)
+            pending = it.admit(0, "a", ask(Effect.ONCE_ONLY))
             fleet.waiting.add(("w0", "a"))
-            held.left(MS)
+            pending.on_client_gone(MS)
             self.assertEqual([entry[0] for entry in fleet.log][-1], "cancel" if may_cancel else "withdrawn")
-            self.assertFalse(may_cancel and it.held and not held.gone)
+            self.assertFalse(may_cancel and it.requests and not pending.client_gone)
 
     def test_so_on_a_connection_that_comes_up_late(self):
         for cancel in (True, False):
@@ -214,7 +214,7 @@
             client.ask(id_=A)
             until(lambda: only.queue)
             client.abort()
-            until(lambda: it.node.desk.counts["left"])
+            until(lambda: it.node.engine.counts["left"])
             come.set()
             until(lambda: only.up)
         self.assertEqual(it.call(id_=B)[0], 200)
@@ -230,17 +230,17 @@
                 come.set()
                 it.node.last_stall_at = 0       # no standstill was seen within the last second
                 stand_still()
-                until(lambda: it.node.desk.counts["left"])
+                until(lambda: it.node.engine.counts["left"])
             self.assertEqual(it.call(id_=B)[0], 200)
             self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [B])
 
     def test_a_close_that_lies_unread_stops_the_next_send(self):
-        it, fleet = desk(workers=2, at_once=[Outcome.FULL])
+        it, fleet = engine(workers=2, at_once=[Outcome.FULL])
         fleet.at_once.clear()
-        held = it.take(0, "a", ask())
+        pending = it.admit(0, "a", ask())
         fleet.gone_unread.add("a")
-        held.returned(MS, 0, Outcome.FULL)
-        self.assertEqual((len(fleet.sends()), held.gone, it.owed, it.held), (1, True, 0, {}))
+        pending.on_send_ended(MS, 0, Outcome.FULL)
+        self.assertEqual((len(fleet.sends()), pending.client_gone, it.owed, it.requests), (1, True, 0, {}))
 
     def test_an_abort_behind_a_request_that_lay_unread_stops_its_first_send(self):
         # The wait for what lies unread was the reader's own, so that it could not read what it waited for.
@@ -276,7 +276,7 @@
             until(lambda: next(iter(it.node.listener.connections)).offences == 4)
             client.abort()
             since = time.monotonic_ns()
-            until(lambda: it.node.desk.counts["left"])
+            until(lambda: it.node.engine.counts["left"])
             self.assertLess(time.monotonic_ns() - since, 400 * MS)
 
     def test_requests_given_up_early_do_not_add_up_to_a_broken_connection(self):
@@ -317,15 +317,15 @@
         peer.close()
 
     def test_a_repeat_that_waits_past_the_memory_of_the_first_send_does_not_leave(self):
-        it, fleet = desk(workers=2)             # the memory span of the tests' types is 2 s
-        held = it.take(0, "a", ask(Effect.DEDUPLICATED, left=4 * SECOND))
+        it, fleet = engine(workers=2)             # the memory span of the tests' types is 2 s
+        pending = it.admit(0, "a", ask(Effect.DEDUPLICATED, left=4 * SECOND))
         fleet.waiting |= {("w0", "a"), ("w1", "a")}
-        held.returned(1900 * MS, 0, Outcome.RESET)
+        pending.on_send_ended(1900 * MS, 0, Outcome.RESET)
         self.assertEqual(len(fleet.sends()), 2)
         while it.due() < 2100 * MS:
             it.tick(it.due())
         self.assertEqual([(entry[0], entry[1] <= 2 * SECOND) for entry in fleet.log][-1], ("withdrawn", True))
-        self.assertEqual(held.sends[1].outcome, Outcome.NEVER_SENT)
+        self.assertEqual(pending.sends[1].outcome, Outcome.NEVER_SENT)
 
     def test_a_send_that_waited_for_its_connection_tells_the_time_that_is_left_then(self):
         with Platform() as it:
@@ -358,8 +358,8 @@
             only.connections[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             deadline = time.monotonic_ns() + 900 * MS
             for number in (1, 2, 3, 4):
-                held = attempt(f"{number:016x}", lambda now: deadline - now, bytes(16 << 10))
-                self.assertIsNone(only.invoke(held, 0, held.time_left(time.monotonic_ns())))
+                pending = attempt(f"{number:016x}", lambda now: deadline - now, bytes(16 << 10))
+                self.assertIsNone(only.invoke(pending, 0, pending.time_left(time.monotonic_ns())))
             self.assertGreaterEqual(len(only.connections[0].outbox.unwritten), 2)
             until(lambda: time.monotonic_ns() > deadline - 500 * MS)
             reads.set()
@@ -372,9 +372,9 @@
             only = it.node.links["s-0"]
             connection = only.connections[0]
             left = [900 * MS, 300 * MS]
-            held = attempt(A, lambda now: left[0])
+            pending = attempt(A, lambda now: left[0])
             with mock.patch.object(connection, "write"):
-                only.invoke(held, 0, left.pop(0))
+                only.invoke(pending, 0, left.pop(0))
             until(lambda: len(only.connections) == 2)
             only.on_connection_lost(connection, "reset")
             until(lambda: it.workers[0].frames_with(INVOKE))
@@ -397,11 +397,11 @@
         with Platform() as it:
             def fails(*words, **facts):
                 raise KeyError("planted")
-            it.node.desk.ended, ended = fails, it.node.desk.ended
+            it.node.engine.on_send_ended, ended = fails, it.node.engine.on_send_ended
             client = it.client()
             client.ask(type_="submit", left="300")
             until(lambda: it.log.of("fault"))
-            it.node.desk.ended = ended
+            it.node.engine.on_send_ended = ended
             self.assertIn(client.answer()[0], (502, 503))
             self.assertEqual(it.call(id_=B)[0], 200)
 
@@ -415,7 +415,7 @@
             until(lambda: it.log.of("fault"))
             it.node.coordinator.on_update = apply
             it.coordinator.publish(event(3, instance("s-0", it.workers[0].address, "Terminating")))
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
 
     def test_a_move_while_a_dial_is_out_and_two_at_once(self):
         with Platform() as it:
@@ -433,7 +433,7 @@
             until(lambda: it.node.coordinator.sock is None)
             it.node.coordinator.move(others[0].address)
             it.node.coordinator.move(others[1].address)
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
             self.assertEqual((others[0].last_event_ids, others[1].last_event_ids), ([], [1]))
             for each in [hole, *fillers]:
                 each.close()
@@ -444,7 +444,7 @@
             it.coordinator.publish(event(2, instance("s-0", address, "Gone"), instance("s-9", address)))
             until(lambda: it.node.links.get("s-9") and it.node.links["s-9"].up)
             self.assertEqual(it.call()[0], 200)
-            self.assertEqual([each.name for each in it.node.desk.dispatcher.ready_workers], ["s-9"])
+            self.assertEqual([each.name for each in it.node.engine.dispatcher.ready_workers], ["s-9"])
 
     def test_after_a_silence_less_is_waited_for_until_the_stream_speaks(self):
         # Two silent connections in a row took 4.2 s; word counts as told after four.
@@ -460,14 +460,14 @@
             it.coordinator.is_silent = False
             until(lambda: waits() == 0.4)
             it.coordinator.publish(event(2, instance("s-0", it.workers[0].address, "Terminating")))
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
 
     def test_a_worker_that_starts_twice_within_two_seconds_is_cold_anew(self):
         with Platform() as it:
             def start(number, at):
                 it.coordinator.publish(event(number, instance("s-0", it.workers[0].address, startedAtMs=at)))
                 until(lambda: it.node.coordinator.sequence.last == number)
-                return it.node.desk.dispatcher.workers["s-0"].started_at
+                return it.node.engine.dispatcher.workers["s-0"].started_at
             now = time.time_ns() // MS
             first, second = start(2, now - 1500), start(3, now - 300)
             self.assertAlmostEqual(second - first, 1200 * MS, delta=100 * MS)
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -12,7 +12,7 @@
 from tests.live import until
 from tests.platform import Coordinator, Platform, Worker, configuration, event, instance
 from tests.processes import FrontEndProcess
-from threadshift.desk.desk import Call, Held
+from threadshift.engine.engine import Call, PendingRequest
 from threadshift.frames.codec import INVOKE
 from threadshift.frames.link import current_invoke_frame
 from threadshift.interface import MS, SECOND, Outcome
@@ -74,12 +74,13 @@
 
     def test_nothing_of_it_is_written(self):
         with Platform() as it:
-            held = Held(it.node.desk, "00000000000000d1", Call("check", "00000000000000f1", 0), 0, deadline=1)
+            pending = PendingRequest(
+                it.node.engine, "00000000000000d1", Call("check", "00000000000000f1", 0), 0, deadline=1)
             link = it.node.links["s-0"]
             with mock.patch.dict(it.node.links, {"s-0": mock.Mock()}):
-                self.assertEqual(it.node.send("s-0", held, 0), Outcome.NEVER_SENT)     # whatever the link looks at
-            id_ = bytes.fromhex(held.ivk)
-            self.assertEqual(link.transmit(id_, (held, 0), current_invoke_frame(id_, held)), Outcome.NEVER_SENT)
+                self.assertEqual(it.node.send("s-0", pending, 0), Outcome.NEVER_SENT)     # whatever the link looks at
+            id_ = bytes.fromhex(pending.id)
+            self.assertEqual(link.transmit(id_, (pending, 0), current_invoke_frame(id_, pending)), Outcome.NEVER_SENT)
             self.assertEqual(it.call()[0], 200)
             self.assertEqual(len(it.workers[0].frames_with(INVOKE)), 1)
 
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -20,7 +20,7 @@
 from threadshift.choice import FAR_REACH, Dispatcher
 from threadshift.coordinator.events import parse_update
 from threadshift.coordinator.stream import Response
-from threadshift.desk.desk import Asked
+from threadshift.engine.engine import PendingWorkerQuery
 from threadshift.frames.codec import FROM_WORKER, FULL, INVOKE, LOAD, PROBE, encode
 from threadshift.gateway.base_front_end import JOIN_BATCH
 from threadshift.interface import MS, SECOND, Deployment, Effect, WorkerListing, NamespaceType, WorkerState
@@ -130,7 +130,7 @@
         self.platform.coordinator.events = [listed]
         self.enterContext(self.platform)
         self.node = self.platform.node
-        until(lambda: len(self.node.desk.dispatcher.ready_workers) == self.WORKERS)
+        until(lambda: len(self.node.engine.dispatcher.ready_workers) == self.WORKERS)
 
     def entry(self, number, state="Ready"):
         return instance(f"s-{number}", self.worker.address, state)
@@ -144,7 +144,7 @@
 
     def test_a_question_waits_for_its_dial(self):
         link = next(iter(self.node.links.values()))
-        self.assertIsNone(link.ask(Asked(self.node.desk, link.worker)))
+        self.assertIsNone(link.probe(PendingWorkerQuery(self.node.engine, link.worker)))
         self.assertEqual(len(link.queue), 1)
         until(lambda: len(self.worker.frames_with(PROBE)) == 1)
 
@@ -162,13 +162,13 @@
         new = range(self.WORKERS, self.WORKERS + 3 * JOIN_BATCH)
         update = parse_update(event(2, self.entry(0, "Terminating"), *map(self.entry, new)))
         self.node.on_list_update(update)
-        ready = {worker.name for worker in self.node.desk.dispatcher.ready_workers}
+        ready = {worker.name for worker in self.node.engine.dispatcher.ready_workers}
         self.assertEqual(len(ready), self.WORKERS - 1)
         self.assertNotIn("s-0", ready)
         last = new[-1]      # drains before its turn has come
         self.node.on_list_update(parse_update(event(3, self.entry(last, "Terminating"))))
         until(lambda: not self.node.joining)
-        ready = {worker.name for worker in self.node.desk.dispatcher.ready_workers}
+        ready = {worker.name for worker in self.node.engine.dispatcher.ready_workers}
         self.assertEqual(len(ready), self.WORKERS - 1 + len(new) - 1)
         self.assertNotIn(f"s-{last}", ready)
 
@@ -176,9 +176,9 @@
         new = range(self.WORKERS, self.WORKERS + 2 * JOIN_BATCH)
         self.node.on_list_update(parse_update(event(2, *map(self.entry, new))))
         gone = f"s-{new[-1]}"
-        self.node.change([self.node.membership.ends(gone, WorkerState.GONE)])      # as where a list lacks it at last
+        self.node.change([self.node.registry.ends(gone, WorkerState.GONE)])    # as where a list lacks it at last
         until(lambda: not self.node.joining)
-        self.assertNotIn(gone, {worker.name for worker in self.node.desk.dispatcher.ready_workers})
+        self.assertNotIn(gone, {worker.name for worker in self.node.engine.dispatcher.ready_workers})
 
     def test_connections_are_counted_as_they_come_and_go(self):
         for number in range(12):
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -1,4 +1,4 @@
-"""A front end in the emulator: the real desk, decisions, membership and admission behind modelled connections.
+"""A front end in the emulator: the real engine, decisions, worker registry and admission behind modelled connections.
 
 Its processor is one server, first come first served: what arrives while it is busy waits, and how long is the lag by
 which admission refuses at the door.
@@ -15,16 +15,16 @@
 
 from threadshift.choice import Dispatcher
 from threadshift.days.day import Day
-from threadshift.desk import earlier
-from threadshift.desk.desk import Asked, Call, Desk, Held
+from threadshift.engine import previous_process
+from threadshift.engine.engine import PendingWorkerQuery, Call, PendingRequest, RequestEngine
 from threadshift.emulator.clock import Clock
 from threadshift.emulator.network import Network
 from threadshift.emulator.worker import Job, ModelWorker
 from threadshift.interface import Copy, Deployment, Outcome, Report, WorkerState
 from threadshift.invoke.admission import READING_INTERVAL, Admission
 from threadshift.invoke.shares import weights
-from threadshift.links.redial import Redial
-from threadshift.roster.membership import Entry, Membership
+from threadshift.links.redial import ReconnectBackoff
+from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
 
 # ns of processor: a call read, parsed and placed, or refused at the door; what workers say is in network.py.
 # Together a served call costs 320 us, as measured at saturation with 12 workers.
@@ -37,7 +37,8 @@
     """One life of a front end; a restart makes a new one."""
 
     def __init__(self, clock: Clock, day: Day, name: str, zone: str, network: Network, seed: int,
-                 answered: Callable[[Held], None], refuse: Callable[[Any], None], policy: Policy = Dispatcher):
+                 answered: Callable[[PendingRequest], None], refuse: Callable[[Any], None],
+                 policy: Policy = Dispatcher):
         self.clock, self.day, self.name, self.zone, self.network = clock, day, name, zone, network
         chance = random.Random(f"{seed} {name} {clock.now}")
         self.chance = chance.random
@@ -45,9 +46,9 @@
         dispatcher = policy(chance.getrandbits(63), told, clock.now)
         if hasattr(dispatcher, "see"):
             dispatcher.see(network)         # an oracle
-        earlier.assume(dispatcher, told, clock.now)
-        self.desk = Desk(dispatcher, self, self, day.told.bounds.load_order)
-        self.membership = Membership(told.drain_grace)
+        previous_process.count_free_orders_as_given(dispatcher, told, clock.now)
+        self.engine = RequestEngine(dispatcher, self, self, day.told.bounds.load_order)
+        self.registry = WorkerRegistry(told.drain_grace)
         self.tell, self.refuse = answered, refuse
         self.admission = Admission(min(each.target_latency for each in told.types), weights(told.tenants))
         self.hall: Any = None        # its announcements, where it has any
@@ -58,7 +59,7 @@
         self.asks = 0                               # questions for load, in all
         self.backlog: list[tuple] | None = None     # what came while its process stood still
         self.held_up = 0                            # what is heard now may have waited so long unread
-        self.redials: dict[str, Redial] = {}
+        self.backoffs: dict[str, ReconnectBackoff] = {}
         self.links: dict[str, int] = {}             # worker: the start, by its hello, of the life that is linked
         self.dialling: set[str] = set()
         self.out: dict[str, dict[Any, None]] = {}       # worker: what waits for its answer
@@ -70,13 +71,13 @@
     def tick(self) -> None:
         if not self.alive or self.backlog is not None:
             return
-        if self.desk.due() <= self.clock.now:
-            self.desk.tick(self.clock.now)
-        self.apply_listings(self.membership.tick(self.clock.now))
+        if self.engine.due() <= self.clock.now:
+            self.engine.tick(self.clock.now)
+        self.apply_listings(self.registry.tick(self.clock.now))
         # The live timer comes every tick; nothing happens here in between, so the next due one will do.
-        due = max(self.clock.now + self.day.told.deployment.tick, self.desk.due())
-        if self.membership.empty_since is not None:
-            due = min(due, self.clock.now + self.membership.grace // 2)
+        due = max(self.clock.now + self.day.told.deployment.tick, self.engine.due())
+        if self.registry.empty_since is not None:
+            due = min(due, self.clock.now + self.registry.grace // 2)
         self.clock.at(due, self.tick)
 
     def hear(self, cost: int, act: Callable[..., None], *words: Any) -> None:
@@ -128,20 +129,20 @@
             return
         call = call._replace(left=call.left - self.held_up)
         self.serial += 1
-        self.desk.take(self.clock.now, f"{self.name}-{self.serial}", call, client)
+        self.engine.admit(self.clock.now, f"{self.name}-{self.serial}", call, client)
 
-    def listed(self, entries: list[Entry], full: bool) -> None:
-        self.apply_listings(self.membership.listed(self.clock.now, self.clock.now, entries, full))
+    def listed(self, entries: list[WorkerEntry], full: bool) -> None:
+        self.apply_listings(self.registry.listed(self.clock.now, self.clock.now, entries, full))
         for each in entries:
             if each.state is not WorkerState.GONE and each.worker not in self.links:
                 self.dial(each.worker)
 
     def apply_listings(self, listings: list) -> None:
         if listings:
-            self.desk.roster(self.clock.now, listings, full=False)
+            self.engine.update_workers(self.clock.now, listings, full=False)
 
     def drains(self, worker: str) -> None:
-        self.apply_listings(self.membership.draining(worker))
+        self.apply_listings(self.registry.draining(worker))
 
     def stop(self) -> None:
         if self.backlog is None:
@@ -181,7 +182,7 @@
             self.end_if_done()
 
     def end_if_done(self) -> None:
-        if self.closing and not self.desk.owed:
+        if self.closing and not self.engine.owed:
             self.end()
 
     def end(self) -> None:
@@ -198,17 +199,18 @@
         if not self.alive or worker in self.links or worker in self.dialling and not again:
             return
         self.dialling.discard(worker)
-        if self.membership.known[worker].entry.state is WorkerState.GONE:
+        if self.registry.known[worker].entry.state is WorkerState.GONE:
             return
         it = self.network.reach(worker)
         if it is None:
             self.dialling.add(worker)
-            self.clock.at(self.redials.setdefault(worker, Redial(self.chance)).broke(self.clock.now), self.dial,
-                          worker, True)
+            self.clock.at(
+                self.backoffs.setdefault(worker, ReconnectBackoff(self.chance)).on_disconnected(self.clock.now),
+                self.dial, worker, True)
             return
         self.links[worker] = it.started
-        self.redials.setdefault(worker, Redial(self.chance)).up(self.clock.now)
-        self.apply_listings(self.membership.hello(self.clock.now, self.clock.now, worker, it.started))
+        self.backoffs.setdefault(worker, ReconnectBackoff(self.chance)).on_connected(self.clock.now)
+        self.apply_listings(self.registry.hello(self.clock.now, self.clock.now, worker, it.started))
         if it.draining:
             self.drains(worker)
 
@@ -217,32 +219,33 @@
         it = self.network.workers.get(worker)
         return it if it is not None and self.links.get(worker) == it.started else None
 
-    def answered(self, held: Held) -> None:
+    def on_answered(self, pending: PendingRequest) -> None:
         if self.hall is not None:
-            self.hall.recent.record(self.clock.now, held)
-        self.tell(held)
+            self.hall.recent.record(self.clock.now, pending)
+        self.tell(pending)
         if self.closing:
             self.clock.after(0, self.end_if_done)
 
-    def left_unread(self, held: Held) -> bool:
+    def has_unread_disconnect(self, pending: PendingRequest) -> bool:
         return False        # word of it is heard in the order in which it came
 
-    def over(self, held: Held) -> None:
+    def on_finished(self, pending: PendingRequest) -> None:
         """Nothing is kept here."""
 
-    # The desk's port to workers.
+    # The engine's port to workers.
 
-    def send(self, worker: str, held: Held, number: int) -> Outcome | None:
+    def send(self, worker: str, pending: PendingRequest, number: int) -> Outcome | None:
         it = self.link(worker)
         if it is None:
             return Outcome.UNREACHABLE
-        key = (held, number)
+        key = (pending, number)
         self.out.setdefault(worker, {})[key] = None
-        mark, work = held.call.mark.split(" ")
-        job = Job(self.name, mark, held.call.function, held.act.type_stats.effect.value, int(work), held.deadline,
+        mark, work = pending.call.mark.split(" ")
+        job = Job(self.name, mark, pending.call.function, pending.activation.type_stats.effect.value, int(work),
+                  pending.deadline,
                   lambda outcome, copy, report: self.network.back(self, it, self.replied, worker, key, outcome, copy,
                                                                   report))
-        self.network.forth(self, it, it.invoke, job, held.call.work, max(1, held.call.lanes))
+        self.network.forth(self, it, it.invoke, job, pending.call.work, max(1, pending.call.lanes))
         return None
 
     def replied(self, worker: str, key: tuple, outcome: Outcome | None, copy: Copy, report: Report | None) -> None:
@@ -251,8 +254,8 @@
             return
         if self.out.get(worker, {}).pop(key, key) is not None:
             return
-        held, number = key
-        held.returned(self.clock.now, number, outcome, copy=copy, report=report)
+        pending, number = key
+        pending.on_send_ended(self.clock.now, number, outcome, copy=copy, report=report)
 
     def broke(self, worker: str) -> None:
         """The connection to a worker broke: all that waits there may have run."""
@@ -260,38 +263,39 @@
         self.links.pop(worker, None)
         if worker not in self.dialling:
             self.dialling.add(worker)
-            self.clock.at(self.redials.setdefault(worker, Redial(self.chance)).broke(self.clock.now), self.dial,
-                          worker, True)
+            self.clock.at(
+                self.backoffs.setdefault(worker, ReconnectBackoff(self.chance)).on_disconnected(self.clock.now),
+                self.dial, worker, True)
         for key in waiting:
-            if isinstance(key, Asked):
-                key.answered(self.clock.now, Outcome.RESET)
+            if isinstance(key, PendingWorkerQuery):
+                key.on_answered(self.clock.now, Outcome.RESET)
             else:
-                key[0].returned(self.clock.now, key[1], Outcome.RESET)
+                key[0].on_send_ended(self.clock.now, key[1], Outcome.RESET)
 
-    def cancel(self, worker: str, held: Held, number: int, tell: bool) -> Outcome:
-        self.out.get(worker, {}).pop((held, number), None)
+    def cancel(self, worker: str, pending: PendingRequest, number: int, tell: bool) -> Outcome:
+        self.out.get(worker, {}).pop((pending, number), None)
         it = self.link(worker)
         if tell and it is not None:
-            self.network.forth(self, it, it.cancel, self.name, held.call.mark.split(" ")[0])
+            self.network.forth(self, it, it.cancel, self.name, pending.call.mark.split(" ")[0])
         return Outcome.CANCELLED
 
-    def withdraw(self, worker: str, held: Held, number: int) -> bool:
+    def withdraw(self, worker: str, pending: PendingRequest, number: int) -> bool:
         return False        # a modelled connection takes everything at once
 
-    def hold(self, worker: str, order: Asked) -> Outcome | None:
+    def order_load(self, worker: str, order: PendingWorkerQuery) -> Outcome | None:
         it = self.link(worker)
         if it is None:
             return Outcome.UNREACHABLE
         self.out.setdefault(worker, {})[order] = None
-        self.network.forth(self, it, it.hold, self.name, order.fn, lambda outcome, copies: self.network.back(
+        self.network.forth(self, it, it.hold, self.name, order.function, lambda outcome, copies: self.network.back(
             self, it, self.held, worker, order, outcome, copies))
         return None
 
-    def held(self, worker: str, order: Asked, outcome: Outcome, copies: int) -> None:
+    def held(self, worker: str, order: PendingWorkerQuery, outcome: Outcome, copies: int) -> None:
         self.out.get(worker, {}).pop(order, None)
-        order.answered(self.clock.now, outcome, copies=copies)
+        order.on_answered(self.clock.now, outcome, copies=copies)
 
-    def ask(self, worker: str, question: Asked) -> Outcome | None:
+    def probe(self, worker: str, question: PendingWorkerQuery) -> Outcome | None:
         it = self.link(worker)
         self.asks += 1
         if it is None:
@@ -300,8 +304,8 @@
         self.network.forth(self, it, self.network.back, self, it, self.reported, worker, question)
         return None
 
-    def reported(self, worker: str, question: Asked) -> None:
+    def reported(self, worker: str, question: PendingWorkerQuery) -> None:
         self.out.get(worker, {}).pop(question, None)
         it = self.network.workers.get(worker)
-        question.answered(self.clock.now, Outcome.COMPLETED if it else Outcome.RESET,
+        question.on_answered(self.clock.now, Outcome.COMPLETED if it else Outcome.RESET,
                           report=it.report if it else None)
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -12,7 +12,7 @@
 from threadshift.days.day import Day
 from threadshift.days.orders import Order, names, orders
 from threadshift.days.traffic import ANY, Try, follower, tries
-from threadshift.desk.desk import Call, Final, Held
+from threadshift.engine.engine import Call, FinalKind, PendingRequest
 from threadshift.emulator.clock import Clock
 from threadshift.choice import Dispatcher
 from threadshift.emulator.front import CALL, ModelFront, Policy
@@ -22,7 +22,7 @@
 from threadshift.emulator.worker import ModelWorker
 from threadshift.gateway.service_announcer import OPERATOR_ORDERS
 from threadshift.interface import MS, SECOND, Effect, WorkerState
-from threadshift.roster.membership import Entry
+from threadshift.discovery.registry import WorkerEntry
 from threadshift.standins.worker import Machine
 
 START = 1_000 * SECOND     # virtual; times of 0 mean "never" in many places
@@ -41,7 +41,7 @@
         self.store = ModelStore(self.clock, day.store, self.noter("store"))
         self.network.fronts = self.fronts = dict[str, ModelFront]()
         self.lives: list[ModelFront] = []    # of front ends, one a start
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, WorkerEntry] = {}
         self.late = 0
         self.late_until = 0
         self.ended: set[str] = set()         # marks of tries that were answered
@@ -101,9 +101,9 @@
                           report_every=fleet.report_every, loads_on_miss=told.loads_on_miss)
         self.network.workers[name] = ModelWorker(self.clock, machine, self.store, self.noter(name, worker=name))
 
-    def entry(self, name: str, state: WorkerState = WorkerState.READY) -> Entry:
+    def entry(self, name: str, state: WorkerState = WorkerState.READY) -> WorkerEntry:
         it = self.network.workers[name]
-        return Entry(name, Address("127.0.0.1", 1), state, self.zones[name], 0, 1.0, it.started)
+        return WorkerEntry(name, Address("127.0.0.1", 1), state, self.zones[name], 0, 1.0, it.started)
 
     def start_front(self, n: int) -> None:
         name = f"front-{n}"
@@ -116,13 +116,13 @@
         self.noter("conductor")("front-up", front=n)
         self.tell(list(self.entries.values()), True, [name])
 
-    def tell(self, entries: list[Entry], full: bool, to: list[str] | None = None) -> None:
+    def tell(self, entries: list[WorkerEntry], full: bool, to: list[str] | None = None) -> None:
         """News from the roster, late where that is ordered."""
         late = self.late if self.clock.now < self.late_until and to is None else 0
         for name in to or list(self.fronts):
             self.clock.after(late + self.network.delay(), self.told, name, entries, full)
 
-    def told(self, name: str, entries: list[Entry], full: bool) -> None:
+    def told(self, name: str, entries: list[WorkerEntry], full: bool) -> None:
         front = self.fronts[name]
         if front.alive:
             self.noter("roster")("told", front=name, full=full,
@@ -170,9 +170,9 @@
         note("killing", who=who)
         if who.startswith("front"):
             self.fronts[who].end()
-            for held in self.fronts[who].desk.held.values():
-                if not held.settled:
-                    held.client[0]("broke", mark=held.client[1], problem="reset")
+            for pending in self.fronts[who].engine.requests.values():
+                if not pending.is_settled:
+                    pending.client[0]("broke", mark=pending.client[1], problem="reset")
         else:
             self.network.die(who)
         note("killed", who=who)
@@ -259,31 +259,33 @@
         front.hear(OTHER, self.leave, front, mark)
 
     def leave(self, front: ModelFront, mark: str) -> None:
-        held = next((each for each in front.desk.held.values() if each.client and each.client[1] == mark), None)
-        if held is not None:
-            held.left(self.clock.now)
+        pending = next((each for each in front.engine.requests.values()
+                        if each.client and each.client[1] == mark), None)
+        if pending is not None:
+            pending.on_client_gone(self.clock.now)
 
-    def answered(self, held: Held) -> None:
-        self.clock.after(self.network.delay(), self.received, held, held.client)
+    def answered(self, pending: PendingRequest) -> None:
+        self.clock.after(self.network.delay(), self.received, pending, pending.client)
 
     def refused(self, client: tuple) -> None:
         """At the door, as its time was up before it was read."""
         note, mark, it, number, n = client
         self.ended.add(mark)
-        note("answer", mark=mark, final=Final.REJECTED.value, status=503, may_have_run=False,
+        note("answer", mark=mark, final=FinalKind.REJECTED.value, status=503, may_have_run=False,
              served_by=f"front-{n}")
         self.again(it, number, note, True)
 
-    def received(self, held: Held, client: tuple) -> None:
+    def received(self, pending: PendingRequest, client: tuple) -> None:
         note, mark, it, number, n = client
         self.ended.add(mark)
-        answer = held.answer
+        answer = pending.answer
         assert answer is not None
-        note("answer", mark=mark, final=answer.final.value, status=200 if answer.final is Final.COMPLETED else 503,
+        note("answer", mark=mark, final=answer.final.value,
+             status=200 if answer.final is FinalKind.COMPLETED else 503,
              may_have_run=answer.may_have_run, served_by=f"front-{n}")
-        self.again(it, number, note, answer.final is Final.REJECTED
-                   or answer.final is Final.ABORTED and it.type.effect is Effect.REPEATABLE)
-        if answer.final is Final.COMPLETED and it.chain:
+        self.again(it, number, note, answer.final is FinalKind.REJECTED
+                   or answer.final is FinalKind.ABORTED and it.type.effect is Effect.REPEATABLE)
+        if answer.final is FinalKind.COMPLETED and it.chain:
             self.clock.after(0, self.ask, follower(it), 0, note)
 
     def again(self, it: Try, number: int, note: Callable[..., None], wanted: bool) -> None:
--- a/threadshift/fastcgi/requests.py
+++ b/threadshift/fastcgi/requests.py
@@ -9,8 +9,8 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from threadshift.desk.desk import Answer, Call, Final
-from threadshift.errors import Cause
+from threadshift.engine.engine import Answer, Call, FinalKind
+from threadshift.errors import ThreadshiftError
 from threadshift.fastcgi.codec import ProtocolError, pairs
 from threadshift.interface import MS, SECOND, NamespaceType
 
@@ -32,7 +32,7 @@
           b"HTTP_X_SIZE_MS", b"HTTP_X_SPEC", b"HTTP_X_TEAM", b"HTTP_X_UNIQUE"}
 
 
-class InvalidRequest(Cause):
+class InvalidRequest(ThreadshiftError):
     """A request that is refused for what it says: a status of 400 and up, and one sentence."""
 
     help = "none: its client is told what is wrong with it"
@@ -140,8 +140,8 @@
 
 def final(answer: Answer) -> bytes:
     """A final answer as it goes out."""
-    if answer.final is Final.COMPLETED:
+    if answer.final is FinalKind.COMPLETED:
         return DONE + answer.body
-    if answer.final is Final.REJECTED:
-        return busy(answer.reason, answer.come_back)
+    if answer.final is FinalKind.REJECTED:
+        return busy(answer.reason, answer.retry_after)
     return plain(b"502 Bad Gateway", answer.reason)
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -20,9 +20,9 @@
     CANCEL, ERROR, EXPIRED, FULL, HEALTHY, INVOKE, LOAD, MISS, OK, PROBE, UNHEALTHY, Frame, FrameDecoder,
     ProtocolError, encode)
 from threadshift.interface import MS, SECOND, Copy, Outcome
-from threadshift.links.redial import Redial
+from threadshift.links.redial import ReconnectBackoff
 from threadshift.links.sockets import Outgoing, connect, shows, since_ready
-from threadshift.log import fault_of
+from threadshift.log import exception_fields
 
 READ = 16 << 10            # bytes a read: many usual answers, and little memory a connection
 MAX_USED_IDS = 128         # ids remembered a connection that may not go over it again
@@ -71,12 +71,12 @@
 
 def order_frame(id_: bytes, asked: Any) -> bytes:
     """The frame of a load order, or of a question for a report."""
-    return encode(LOAD, id_, f"key={asked.fn},n=1") if asked.fn else encode(PROBE, id_)
+    return encode(LOAD, id_, f"key={asked.function},n=1") if asked.function else encode(PROBE, id_)
 
 
-def current_invoke_frame(id_: bytes, held: Any) -> bytes:
+def current_invoke_frame(id_: bytes, pending: Any) -> bytes:
     """The frame of a send that has waited: it says how much time is left now."""
-    return invoke_frame(id_, held.call, held.time_left(time.monotonic_ns()))
+    return invoke_frame(id_, pending.call, pending.time_left(time.monotonic_ns()))
 
 
 class Connection(Outgoing):
@@ -84,7 +84,7 @@
 
     def __init__(self, sock: socket.socket, settings: LinkSettings):
         super().__init__(sock, settings.max_buffered, settings.write_timeout)
-        self.in_flight: dict[bytes, Any] = {}   # (held, number) of a send, or an Asked
+        self.in_flight: dict[bytes, Any] = {}   # (pending, number) of a send, or an Asked
         self.used_ids: dict[bytes, None] = {}
         self.has_answered = self.suspected = False
         self.last_received_at = time.monotonic_ns()
@@ -105,7 +105,7 @@
                  chance: Callable[[], float], bits: Callable[[int], int]):
         self.worker, self.address, self.settings, self.owner, self.bits = worker, address, settings, owner, bits
         self.note = owner.note
-        self.redial = Redial(chance)
+        self.backoff = ReconnectBackoff(chance)
         self.dial_not_before = 0
         self.connections: list[Connection] = []
         self.queue: dict[bytes, Any] = {}       # what waits for the first connection, as in Connection.in_flight
@@ -115,11 +115,11 @@
         if owner.dials_ahead():
             self.dial()
 
-    # What the desk's port asks for.
+    # What the engine's port asks for.
 
-    def invoke(self, held: Any, number: int, left: int) -> Outcome | None:
-        id_ = bytes.fromhex(held.ivk)
-        outcome = self.transmit(id_, (held, number), invoke_frame(id_, held.call, left))
+    def invoke(self, pending: Any, number: int, left: int) -> Outcome | None:
+        id_ = bytes.fromhex(pending.id)
+        outcome = self.transmit(id_, (pending, number), invoke_frame(id_, pending.call, left))
         if self.connections and pool.should_dial(
                 self.connections, self.dialler is not None, self.settings.max_connections,
                 self.settings.dial_threshold):
@@ -147,7 +147,7 @@
             del connection.used_ids[next(iter(connection.used_ids))]
         connection.write()
         if isinstance(what, tuple):
-            self.routes[what[0].ivk, what[1]] = connection, id_
+            self.routes[what[0].id, what[1]] = connection, id_
         elif connection.outbox.withdraw(id_):
             # An order or a question leaves at once or not at all: late ones would come to the worker in a bunch.
             del connection.in_flight[id_]
@@ -162,7 +162,7 @@
             return Outcome.UNREACHABLE      # more than one connection takes: it never left
         self.queue[id_] = what
         if isinstance(what, tuple):
-            self.routes[what[0].ivk, what[1]] = None, id_
+            self.routes[what[0].id, what[1]] = None, id_
         self.dial()
         return None
 
@@ -174,12 +174,12 @@
                 return True
         return False
 
-    def order(self, asked: Any) -> Outcome | None:
+    def order_load(self, asked: Any) -> Outcome | None:
         id_ = self.new_id()
         return self.transmit(id_, asked, order_frame(id_, asked))
 
-    def ask(self, asked: Any) -> Outcome | None:
-        return self.order(asked)
+    def probe(self, asked: Any) -> Outcome | None:
+        return self.order_load(asked)
 
     def new_id(self) -> bytes:
         """An id of our own, which meets no other that is open here."""
@@ -194,11 +194,11 @@
             return True
         return shows(connection.sock, select.POLLRDHUP)
 
-    def cancel(self, held: Any, number: int, tell: bool) -> Outcome:
+    def cancel(self, pending: Any, number: int, tell: bool) -> Outcome:
         """Stops waiting for a send. MOOT where it never left. The worker is told in any case, or it works on."""
-        if self.withdraw(held, number):
+        if self.withdraw(pending, number):
             return Outcome.NEVER_SENT
-        connection, id_ = self.routes.pop((held.ivk, number), (None, b""))
+        connection, id_ = self.routes.pop((pending.id, number), (None, b""))
         if connection is None or connection.in_flight.pop(id_, None) is None:
             return Outcome.CANCELLED
         left = connection.outbox.left.pop(id_, 0)
@@ -209,15 +209,15 @@
             self.close_connection(connection)
         return Outcome.CANCELLED
 
-    def withdraw(self, held: Any, number: int) -> bool:
+    def withdraw(self, pending: Any, number: int) -> bool:
         """Takes back a send of which nothing has left, not even where it waits for a dial; False where it has."""
-        connection, id_ = self.routes.get((held.ivk, number), (None, b""))
+        connection, id_ = self.routes.get((pending.id, number), (None, b""))
         if not id_ or (self.queue.pop(id_, None) is None if connection is None
                        else not connection.outbox.withdraw(id_)):
             return False
         if connection is not None:
             del connection.in_flight[id_]
-        del self.routes[held.ivk, number]
+        del self.routes[pending.id, number]
         return True
 
     def take_back(self) -> None:
@@ -243,10 +243,10 @@
 
     def finish(self, what: Any, now: int, outcome: Outcome) -> None:
         if isinstance(what, tuple):
-            self.routes.pop((what[0].ivk, what[1]), None)
-            what[0].returned(now, what[1], outcome)
+            self.routes.pop((what[0].id, what[1]), None)
+            what[0].on_send_ended(now, what[1], outcome)
         else:
-            what.answered(now, outcome)
+            what.on_answered(now, outcome)
 
     # The connections.
 
@@ -278,7 +278,7 @@
                 if self.queue:
                     self.owner.catch_up_after_stall()
                 now = time.monotonic_ns()
-                self.dial_not_before = self.redial.broke(now)
+                self.dial_not_before = self.backoff.on_disconnected(now)
                 if not problem:
                     problem = str(failed)
                     self.note("link-down", worker=self.worker, problem=problem, sends=len(self.queue))
@@ -298,13 +298,13 @@
             return
         sock.settimeout(None)               # silence of a worker is judged by the decisions alone
         connection = Connection(sock, self.settings)
-        self.redial.up(connection.last_received_at)
+        self.backoff.on_connected(connection.last_received_at)
         self.connections.append(connection)
         self.dialler = None
         connection.reader = gevent.spawn(self.read, connection)
         queued, self.queue = self.queue, {}
         for id_, what in queued.items():
-            if not isinstance(what, tuple) and what.over:
+            if not isinstance(what, tuple) and what.is_done:
                 continue                        # its time is up
             # The time that is left is told as it is now, or the worker would work on for nobody.
             frame = current_invoke_frame(id_, what[0]) if isinstance(what, tuple) else order_frame(id_, what)
@@ -331,7 +331,7 @@
         except (OSError, ProtocolError) as failed:
             problem = str(failed) or type(failed).__name__
         except Exception as fault:          # ours; loud, and what waits here is not left waiting
-            self.note("fault", level="error", **fault_of(fault))
+            self.note("fault", level="error", **exception_fields(fault))
             problem = "a fault of ours"
         connection.suspected = True         # carries nothing new while catch_up_after_stall() waits
         if connection.in_flight:
@@ -357,15 +357,15 @@
         connection.has_answered = True
         left = connection.outbox.left.pop(it.id, now)
         if isinstance(what, tuple):
-            held, number = what
-            self.routes.pop((held.ivk, number), None)
+            pending, number = what
+            self.routes.pop((pending.id, number), None)
             # What we held it up ourselves is not the worker's, or at our own limit every worker would look slow.
-            held.returned(now, number, ENDS[it.code], body=it.body, copy=copy, report=load,
+            pending.on_send_ended(now, number, ENDS[it.code], body=it.body, copy=copy, report=load,
                           waited=max(0, now - since_ready() - left))
         elif what.fn:
-            what.answered(now, ORDERS[it.code], copies=int(copies))
+            what.on_answered(now, ORDERS[it.code], copies=int(copies))
         else:
-            what.answered(now, Outcome.COMPLETED, report=load)
+            what.on_answered(now, Outcome.COMPLETED, report=load)
         if connection.suspected and not connection.in_flight:
             connection.suspected = False      # it lives: what was given up was slow
 
@@ -380,7 +380,7 @@
         if problem or ended:
             self.note("link-broke", worker=self.worker, problem=problem or "closed", sends=len(ended))
         if not self.connections and not self.stopped:
-            self.dial_not_before = self.redial.broke(now) if problem or ended else now
+            self.dial_not_before = self.backoff.on_disconnected(now) if problem or ended else now
             if self.owner.dials_ahead():
                 self.dial()
         for id_, what in ended:
--- a/threadshift/gateway/batch_service.py
+++ b/threadshift/gateway/batch_service.py
@@ -1,4 +1,4 @@
-"""The batches of one front end: its queue and its shelf between the invoke API, the desk and the record.
+"""The batches of one front end: its queue and its shelf between the invoke API, the engine and the record.
 
 Nothing here decides. Whatever has to be kept before an act goes through one writer, which writes all that waits at
 once and then does what waited for it, in order; it writes on a thread, so that no call waits for an fsync."""
@@ -18,15 +18,15 @@
 from threadshift.batches.shelf import Kept, Shelf, record
 from threadshift.choice import NEVER_RAN
 from threadshift.conf.installation import Installation
-from threadshift.desk.desk import Answer, Call, Desk, Final, Held
-from threadshift.errors import Cause
+from threadshift.engine.engine import Answer, Call, FinalKind, RequestEngine, PendingRequest
+from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
 from threadshift.invoke.api import Invoke
 from threadshift.invoke.deferred import Deferral, InMemory
 from threadshift.invoke.http import Exchange
 from threadshift.invoke.requests import Problem, Response
-from threadshift.log import fault_of
+from threadshift.log import exception_fields
 from threadshift.peers.carrier import Carrier, NotHeard
 from threadshift.peers.carrier import now as clock
 
@@ -42,7 +42,7 @@
 STOPPED = ("waiting", "out", "parked", "done")
 
 
-class Unkept(Cause):
+class Unkept(ThreadshiftError):
     """A call that could not be kept, and so was not accepted."""
 
     help = "free disk space or mend the disk under 'peers folder', then restart the front end"
@@ -55,7 +55,7 @@
     told: Installation
     chance: Callable[[], float]
     api: Invoke
-    desk: Desk
+    engine: RequestEngine
     deferrals: InMemory
     links: dict[str, Any]
 
@@ -71,7 +71,7 @@
         self.shelf = Shelf(folder / f"{front.name}.calls", disk)
         self.queue = Queue(max(1, front.told.bounds.activations // PART))
         self.calls: dict[str, tuple[Waiting, Call, Deferral]] = {}
-        self.held: dict[str, Held] = {}
+        self.pending: dict[str, PendingRequest] = {}
         self.writes: list[tuple[list[dict[str, Any]], Callable[[bool], None]]] = []
         self.wake = Event()
         self.failed = ""
@@ -107,7 +107,7 @@
                     try:
                         then(good)
                     except Exception as fault:      # ours: one call's, and the others' acts still follow
-                        self.front.note("fault", level="error", **fault_of(fault))
+                        self.front.note("fault", level="error", **exception_fields(fault))
 
     def write(self, records: list[dict[str, Any]]) -> bool:
         pool = gevent.get_hub().threadpool
@@ -117,7 +117,7 @@
         if problem is not None:
             if str(problem) != self.failed:
                 self.failed = str(problem)
-                self.front.note("calls-not-kept", level="error", **problem.told())
+                self.front.note("calls-not-kept", level="error", **problem.as_fields())
             return False
         self.failed = ""
         return True
@@ -136,7 +136,7 @@
             self.queue.add(it)
             if kept.may_have_run:
                 self.queue.end(it)
-                self.final(it, Answer(Final.ABORTED, "front-end-died", may_have_run=True))
+                self.final(it, Answer(FinalKind.ABORTED, "front-end-died", may_have_run=True))
         if self.shelf.calls:
             self.front.note("calls-recovered", calls=len(self.calls), in_doubt=len(self.writes))
 
@@ -158,7 +158,7 @@
 
         def kept(good: bool) -> None:
             if not good:
-                self.front.deferrals.finish(time.monotonic_ns(), deferral, Answer(Final.REJECTED, "not-kept"))
+                self.front.deferrals.finish(time.monotonic_ns(), deferral, Answer(FinalKind.REJECTED, "not-kept"))
                 self.front.deferrals.forget(deferral)
                 exchange.respond(requests.problem(Problem(503, "cannot-be-kept", Unkept.help)))
                 return
@@ -170,7 +170,8 @@
 
     def tick(self, now: int) -> None:
         for it in self.queue.ended(now):
-            self.final(it, Answer(Final.REJECTED, "cancelled") if it.parked else Answer(Final.REJECTED, "time-up"))
+            self.final(it, Answer(FinalKind.REJECTED, "cancelled") if it.parked
+                       else Answer(FinalKind.REJECTED, "time-up"))
         if not self.front.api.closing and (
                 self.carrier.member.age(clock()) is not None or now - self.started >= HEAR_FIRST):
             out = []
@@ -200,22 +201,22 @@
             _, call, _ = self.calls[it.ivk]
             name = f"{it.ivk}~{it.tries}" if it.tries else it.ivk
             # taken may be answered before take() returns
-            self.held.pop(it.ivk, None)
-            held = self.front.desk.take(now, name, call._replace(left=it.ends - now, again=False), it)
-            if it.out and not held.settled:
-                self.held[it.ivk] = held
+            self.pending.pop(it.ivk, None)
+            pending = self.front.engine.admit(now, name, call._replace(left=it.ends - now, again=False), it)
+            if it.out and not pending.is_settled:
+                self.pending[it.ivk] = pending
 
-    def owns(self, held: Held) -> bool:
-        return isinstance(held.client, Waiting)
+    def owns(self, pending: PendingRequest) -> bool:
+        return isinstance(pending.client, Waiting)
 
-    def answered(self, held: Held) -> None:
+    def answered(self, pending: PendingRequest) -> None:
         """The decisions' final answer to a try."""
-        it, answer = held.client, held.answer
+        it, answer = pending.client, pending.answer
         assert answer is not None
-        self.held.pop(it.ivk, None)
+        self.pending.pop(it.ivk, None)
         now = time.monotonic_ns()
-        if self.queue.returned(it, now, answer.final is Final.COMPLETED, answer.final is Final.REJECTED,
-                               answer.reason, answer.come_back, now - held.taken):
+        if self.queue.returned(it, now, answer.final is FinalKind.COMPLETED, answer.final is FinalKind.REJECTED,
+                               answer.reason, answer.retry_after, now - pending.admitted_at):
             self.final(it, answer)
         else:
             self.back(it)
@@ -258,18 +259,18 @@
         if it.out and not self.take_back(it):
             return None
         self.queue.end(it)
-        answer = Answer(Final.REJECTED, "cancelled")
+        answer = Answer(FinalKind.REJECTED, "cancelled")
         self.final(it, answer)
         return answer
 
     def take_back(self, it: Waiting) -> bool:
         """Takes a call back from the decisions, where it provably never began."""
-        held = self.held.get(it.ivk)
-        if held is not None:
-            if any(sent.outcome not in NEVER_RAN for sent in held.sends):
+        pending = self.pending.get(it.ivk)
+        if pending is not None:
+            if any(sent.outcome not in NEVER_RAN for sent in pending.sends):
                 return False
-            self.held.pop(it.ivk)
-            held.left(time.monotonic_ns())
+            self.pending.pop(it.ivk)
+            pending.on_client_gone(time.monotonic_ns())
             self.front.api.places.give(it.tenant)
         self.queue.taken_back(it)
         return True
@@ -295,7 +296,7 @@
                 self.keep([record("free", cancel=cancel.id)], lambda good: None)
                 self.front.note("batch-restored", cancel=cancel.id, batch=cancel.batch, calls=len(restored))
             for each in over:
-                self.final(each, Answer(Final.REJECTED, "cancelled"))
+                self.final(each, Answer(FinalKind.REJECTED, "cancelled"))
             if over:
                 self.front.note("batch-closed", cancel=cancel.id, batch=cancel.batch, calls=len(over))
 
@@ -332,7 +333,7 @@
             except NotHeard as it:
                 exchange.respond(requests.problem(Problem(503, "record-not-heard", f"{it}; {it.help}",
                                                           headers=requests.retry_after(SECOND))))
-            except Cause as it:
+            except ThreadshiftError as it:
                 status = 404 if isinstance(it, NoSuchCancel) else 409
                 exchange.respond(requests.problem(Problem(status, kind_of(it), f"{it}; {it.help}")))
             finally:
@@ -400,11 +401,11 @@
         return {"batch": it.batch, "state": it.state, **more}
 
 
-def failure(act: Callable[..., None], *words: Any) -> Cause | None:
+def failure(act: Callable[..., None], *words: Any) -> ThreadshiftError | None:
     """What act() raised, if anything: handed back, as the pool of threads would print it with its lines."""
     try:
         act(*words)
-    except Cause as problem:
+    except ThreadshiftError as problem:
         return problem
     return None
 
@@ -413,7 +414,7 @@
     return {**{name: getattr(it, name) for name in STOPPED}, "nearest-end-ms": it.nearest // MS}
 
 
-def kind_of(it: Cause) -> str:
+def kind_of(it: ThreadshiftError) -> str:
     """'NoSuchCancel' as 'no-such-cancel'."""
     return "".join(f"-{letter.lower()}" if letter.isupper() else letter for letter in type(it).__name__).strip("-")
 
@@ -423,4 +424,4 @@
 
 
 def answer_of(told: dict[str, Any]) -> Answer:
-    return Answer(Final(told["final"]), told["reason"], told["body"], told["error"], 0, told["may_have_run"])
+    return Answer(FinalKind(told["final"]), told["reason"], told["body"], told["error"], 0, told["may_have_run"])
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -1,4 +1,4 @@
-"""One front end process: listeners, links, roster and the one timer around a desk.
+"""One front end process: listeners, links, roster and the one timer around an engine.
 
 Nothing here decides. run() returns once the front end was told to end and has drained, or its time for that is up.
 """
@@ -22,9 +22,9 @@
 from threadshift.conf.installation import Installation
 from threadshift.conf.reading import Mistake
 from threadshift.conf.values import Address
-from threadshift.desk import earlier
-from threadshift.desk.desk import Desk
-from threadshift.errors import Cause
+from threadshift.engine import previous_process
+from threadshift.engine.engine import RequestEngine
+from threadshift.errors import ThreadshiftError
 from threadshift.gateway.admin import Admin
 from threadshift.gateway.base_front_end import BaseFrontEnd
 from threadshift.gateway.recent_calls import ConnectionRate, RecentCalls
@@ -39,9 +39,9 @@
 from threadshift.links.codec import Frame
 from threadshift.links.link import Link
 from threadshift.links.sockets import arriving, listener
-from threadshift.log import Log, fault_of
-from threadshift.roster.membership import Entry, Membership
-from threadshift.roster.sources import Feed, WatchedFile
+from threadshift.log import Log, exception_fields
+from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
+from threadshift.discovery.sources import FeedSource, WatchedFile
 from threadshift.storage.journal import Taken
 from threadshift.timer import ticks
 
@@ -53,12 +53,12 @@
 
 
 class FrontEnd(BaseFrontEnd):
-    """Carries steps to links and answers to the desk; owns every greenlet of the process."""
+    """Carries steps to links and answers to the engine; owns every greenlet of the process."""
 
     def __init__(self, told: Installation, index: int, log: Log, seed: int | None = None, disk: Any = None,
                  version: str = "", ready: Callable[[], None] = lambda: None):
         """`version` is what of the installation's rollouts it runs; ready() is called once it serves."""
-        super().__init__(Membership(told.deployment.drain_grace), log)
+        super().__init__(WorkerRegistry(told.deployment.drain_grace), log)
         now = time.monotonic_ns()
         self.told, self.index = told, index
         self.name = told.front_end(index)
@@ -74,14 +74,14 @@
                           self.admission, log, self.status, weight)
         self.poll_monitor, self.api.read_updates = self.api.poll_monitor, self.read_updates
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
-        earlier.assume(dispatcher, told.deployment, now)
-        self.desk = self.api.desk = Desk(dispatcher, self, self.api, bounds.load_order)
+        previous_process.count_free_orders_as_given(dispatcher, told.deployment, now)
+        self.engine = self.api.engine = RequestEngine(dispatcher, self, self.api, bounds.load_order)
         self.listeners: list[socket.socket] = []
         self.connections = Group()
         self.operators = Group()
         self.full = cycle(FULL)
         self.greenlets = Group()
-        self.feed: Feed | None = None       # where the list of workers comes over the network
+        self.feed: FeedSource | None = None     # where the list of workers comes over the network
         self.ending = False
         self.recent = RecentCalls({each.name: each.utility for each in told.deployment.types})
         self.api.recent = self.recent
@@ -105,8 +105,8 @@
                     link.speaks = it.eviction_service
                 self.note("joined-in", version=self.version)
                 return
-            except Cause as problem:
-                waits, told = isinstance(problem, Taken), problem.told()
+            except ThreadshiftError as problem:
+                waits, told = isinstance(problem, Taken), problem.as_fields()
             except OSError as problem:
                 waits, told = problem.errno == errno.EADDRINUSE, {"problem": str(problem)}
             if not waits and said != told["problem"]:
@@ -140,7 +140,7 @@
         started = hello.get("started", 0)
         if not isinstance(started, int) or started < 0:
             return "'started' is not a time"
-        self.change(self.membership.hello(time.monotonic_ns(), time.time_ns(), worker, started))
+        self.change(self.registry.hello(time.monotonic_ns(), time.time_ns(), worker, started))
         self.note("link-up", worker=worker, level="debug")
         if hello.get("draining"):
             self.draining(worker)
@@ -150,12 +150,12 @@
         return self.feed is not None and self.feed.unread()
 
     def draining(self, worker: str) -> None:
-        listings = self.membership.draining(worker)
+        listings = self.registry.draining(worker)
         if listings:
             self.note("worker-drains", worker=worker)
         self.change(listings)
 
-    def link(self, it: Entry) -> Link:
+    def link(self, it: WorkerEntry) -> Link:
         return Link(it.worker, it.address, self.told.bounds, self.name, self.told.deployment.zone, self, self.chance,
                     self.replicated_services.eviction_service if self.replicated_services is not None else None)
 
@@ -181,7 +181,7 @@
             self.listeners.append(sock)
             self.greenlets.spawn(self.accept, sock)
         if isinstance(self.told.roster_at, Address):
-            self.feed = Feed(self.told.roster_at, self.name, self.told.bounds, self, self.chance)
+            self.feed = FeedSource(self.told.roster_at, self.name, self.told.bounds, self, self.chance)
             self.greenlets.spawn(self.feed.run)
         else:
             self.greenlets.spawn(WatchedFile(str(self.told.roster_at), self).run)
@@ -239,7 +239,7 @@
             Connection(client, application, self.told.bounds, self.watch, unread).serve()
         except Exception as fault:
             cause = fault.__context__ or fault      # a parser wraps what its callbacks raise
-            self.note("fault", level="error", **fault_of(cause))
+            self.note("fault", level="error", **exception_fields(cause))
 
     def keep_time(self, over: Callable[[], bool]) -> None:
         """The one timer: every tick, what is due; how late it comes tells how busy or stalled the process is.
@@ -256,7 +256,7 @@
 
     def drain(self) -> None:
         """No new calls; what is held gets its answers; then the end, within the stated time."""
-        self.note("draining", owed=self.desk.owed, connections=len(self.connections))
+        self.note("draining", owed=self.engine.owed, connections=len(self.connections))
         if self.service_announcer is not None:
             # Routes first: what still arrives by them is answered until routers have converged.
             self.service_announcer.leave(time.monotonic_ns())
@@ -267,7 +267,7 @@
         if self.replicated_services is not None:
             self.replicated_services.leave()
         until = time.monotonic_ns() + self.told.bounds.drain
-        self.keep_time(lambda: not self.desk.owed or time.monotonic_ns() >= until)
+        self.keep_time(lambda: not self.engine.owed or time.monotonic_ns() >= until)
         gevent.sleep(2 * self.told.deployment.tick / SECOND)     # the last answers leave their connections
         if self.replicated_services is not None:
             gevent.sleep(self.replicated_services.leaving / SECOND)
@@ -281,8 +281,8 @@
         self.greenlets.kill()
         self.api.poll_monitor.stop()
         self.api.log_refusals(time.monotonic_ns(), flush=True)
-        self.note("ended", owed=self.desk.owed, turned_away=self.api.refusal_counters.totals(),
-                  **{key.replace(" ", "_"): n for key, n in self.desk.counts.items()})
+        self.note("ended", owed=self.engine.owed, turned_away=self.api.refusal_counters.totals(),
+                  **{key.replace(" ", "_"): n for key, n in self.engine.counts.items()})
 
     def reload(self) -> None:
         """Reads the file again; takes over what may change while running, and says what may not."""
@@ -302,11 +302,11 @@
     def status(self) -> dict[str, Any]:
         """What this front end knows of itself, for GET /v1/status."""
         now = time.monotonic_ns()
-        believed = self.desk.dispatcher.workers
+        believed = self.engine.dispatcher.workers
         return {
             "front-end": self.name, "pid": os.getpid(), "up-s": round((now - self.started) / SECOND, 3),
-            "closing": self.api.closing, "owed": self.desk.owed, "held": len(self.desk.held),
-            "connections": len(self.connections), "counts": dict(sorted(self.desk.counts.items())),
+            "closing": self.api.closing, "owed": self.engine.owed, "held": len(self.engine.requests),
+            "connections": len(self.connections), "counts": dict(sorted(self.engine.counts.items())),
             "refused-at-door": self.admission.refused_count, "refused-part": round(self.admission.refused_share, 3),
             "turned-away": self.api.refusal_counters.totals(),
             "lag-ms": round(self.admission.smoothed_lag / MS, 3), "stalls": self.stalls,
@@ -319,12 +319,12 @@
                        "age-s": (round((now - self.list_applied_at) / SECOND, 3) if self.list_applied_at
                                  else None)},
             "workers": {name: {
-                "state": self.membership.state(one).value, "zone": one.entry.zone,
+                "state": self.registry.state(one).value, "zone": one.entry.zone,
                 "link": bool(name in self.links and self.links[name].up),
                 "in-flight": len(believed[name].sends) if name in believed else 0,
                 "suspended-ms": max(0, believed[name].suspended_until - now) // MS if name in believed else 0,
                 "pace": round(believed[name].relative_latency, 3) if name in believed else 0,
                 "copies-believed": sum(until > now for until in believed[name].warm_until.values())
                 if name in believed else 0,
-            } for name, one in sorted(self.membership.known.items())},
+            } for name, one in sorted(self.registry.known.items())},
         }
--- a/threadshift/gateway/rollout_service.py
+++ b/threadshift/gateway/rollout_service.py
@@ -19,8 +19,8 @@
 from threadshift.conf import installation, patch
 from threadshift.conf.peering import Peering
 from threadshift.conf.reading import Mistake, load
-from threadshift.desk.desk import Final, Held
-from threadshift.errors import Cause
+from threadshift.engine.engine import FinalKind, PendingRequest
+from threadshift.errors import ThreadshiftError
 from threadshift.gateway.batch_service import Front
 from threadshift.gateway.eviction_service import EvictionService
 from threadshift.gateway.version_files import VersionFiles
@@ -42,7 +42,7 @@
 BACK_VOTER = 4 * SECOND    # ... and after a voter, so that the next one finds it back
 
 
-class BadChange(Cause):
+class BadChange(ThreadshiftError):
     """A change that cannot be rolled out as it was told."""
 
     help = "see docs/operate/rollout.md for what a change may hold"
@@ -74,18 +74,18 @@
 
     # Calls, as they end: passed on to who counted them before.
 
-    def record(self, now: int, held: Held) -> None:
-        self.counts.record(now, held)
-        if held.answer is None:
+    def record(self, now: int, pending: PendingRequest) -> None:
+        self.counts.record(now, pending)
+        if pending.answer is None:
             return
-        sums = self.sums.setdefault(held.call.type, [0, 0, 0, 0, 0, [0] * BUCKETS])
-        took = now - held.taken
+        sums = self.sums.setdefault(pending.call.type, [0, 0, 0, 0, 0, [0] * BUCKETS])
+        took = now - pending.admitted_at
         sums[0] += 1
-        sums[1] += held.answer.final is Final.REJECTED
-        sums[2] += held.answer.final is Final.ABORTED
-        sums[3] += bool(held.answer.error)
-        if held.answer.final is Final.COMPLETED:
-            sums[4] += took > held.act.type_stats.target_latency
+        sums[1] += pending.answer.final is FinalKind.REJECTED
+        sums[2] += pending.answer.final is FinalKind.ABORTED
+        sums[3] += bool(pending.answer.error)
+        if pending.answer.final is FinalKind.COMPLETED:
+            sums[4] += took > pending.activation.type_stats.target_latency
             sums[5][bucket(took)] += 1
 
     # What it tells of itself.
@@ -96,12 +96,12 @@
         sums = {type_: [*row[:5], list(row[5])] for type_, row in self.sums.items()}
         turned = sum(count for kind, count in self.front.api.refusal_counters.totals().items()
                      if not kind.startswith(FINALS))
-        sums[DOOR] = [turned + self.front.desk.counts["taken"], turned, 0, 0, 0, [0] * BUCKETS]
+        sums[DOOR] = [turned + self.front.engine.counts["taken"], turned, 0, 0, 0, [0] * BUCKETS]
         return {"version": self.version, "life": self.carrier.life, "failed": self.versions.failed(),
                 "up": time.monotonic_ns() - self.started if heard else 0,
                 "can": self.can.get(it.id, "?") if it is not None else "",
                 "sums": sums,
-                "loads": self.front.desk.counts["orders"] + self.front.desk.counts["cold"]}
+                "loads": self.front.engine.counts["orders"] + self.front.engine.counts["cold"]}
 
     @staticmethod
     def read(told: dict[str, Any] | None) -> Report | None:
@@ -129,7 +129,7 @@
         try:
             ids = (*self.rollouts.done, it.id)
             self.can[it.id] = self.prepared(ids)[1]
-        except (Cause, OSError) as problem:
+        except (ThreadshiftError, OSError) as problem:
             self.can[it.id] = str(problem)[:300] or type(problem).__name__
         except Mistake as problem:
             self.can[it.id] = str(problem)[:300]
@@ -162,7 +162,7 @@
             return                  # the record has moved on; or it failed here, and that is told with each report
         try:
             it, problem = self.prepared(ids)
-        except (Cause, Mistake, OSError) as trouble:
+        except (ThreadshiftError, Mistake, OSError) as trouble:
             it, problem = Wanted(), str(trouble)
         if problem:
             self.front.note("version-not-taken", level="error", version="+".join(ids), problem=problem,
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -1,4 +1,4 @@
-"""The invoke API: exchanges to calls on the desk, final answers back to who waits for them."""
+"""The invoke API: exchanges to calls on the engine, final answers back to who waits for them."""
 from __future__ import annotations
 
 import json
@@ -11,7 +11,7 @@
 import gevent
 
 from threadshift.conf.installation import Installation
-from threadshift.desk.desk import Answer, Call, Desk, Final, Held
+from threadshift.engine.engine import Answer, Call, FinalKind, RequestEngine, PendingRequest
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
 from threadshift.invoke.admission import Admission
@@ -33,7 +33,7 @@
 
 def busy(status: int, kind: str, detail: str, pause: int = BUSY_PAUSE) -> Problem:
     """Not taken: a rejection at the door, which promises that nothing ran."""
-    return Problem(status, kind, detail, headers=[("Final", Final.REJECTED.value), *requests.retry_after(pause)])
+    return Problem(status, kind, detail, headers=[("Final", FinalKind.REJECTED.value), *requests.retry_after(pause)])
 
 
 def ready(response: Response) -> Response:
@@ -49,15 +49,15 @@
 class Counts(Protocol):
     """Who counts activations as they end."""
 
-    def record(self, now: int, held: Held) -> None: ...
+    def record(self, now: int, pending: PendingRequest) -> None: ...
 
 
 class Batches(Protocol):
     """Who keeps the calls of batches, where front ends hold anything in common."""
 
     def accept(self, exchange: Exchange, call: Call, batch: str) -> None: ...
-    def owns(self, held: Held) -> bool: ...
-    def answered(self, held: Held) -> None: ...
+    def owns(self, pending: PendingRequest) -> bool: ...
+    def answered(self, pending: PendingRequest) -> None: ...
     def handle(self, exchange: Exchange, act: Callable[[], dict[str, Any]]) -> None: ...
     def show(self, tenant: str, batch: str) -> dict[str, Any]: ...
     def cancel(self, tenant: str, batch: str) -> dict[str, Any]: ...
@@ -67,7 +67,7 @@
 
 
 class Invoke:
-    """Answers exchanges; the desk's port to clients."""
+    """Answers exchanges; the engine's port to clients."""
 
     def __init__(self, told: Installation, name: str, base: str, deferrals: Deferrals, admission: Admission,
                  log: Log, status: Callable[[], dict[str, Any]], weight: Mapping[str, float]):
@@ -81,7 +81,7 @@
         self.status_at, self.status_told = 0, b""
         self.poll_monitor = PollMonitor()
         self.read_updates: Callable[[], None] = lambda: None    # lets news of the roster that has arrived be read
-        self.desk: Desk
+        self.engine: RequestEngine
         self.batch_service: Batches | None = None
         self.recent: Counts
         boot = f"{time.time_ns() // MS:x}"
@@ -194,8 +194,8 @@
         if wish.deferred:
             self.take_deferred(exchange, call)
             return
-        exchange.held = True        # taken may be answered before take() returns
-        exchange.held = self.desk.take(time.monotonic_ns(), self.number(), call, exchange)
+        exchange.pending = True        # taken may be answered before admit() returns
+        exchange.pending = self.engine.admit(time.monotonic_ns(), self.number(), call, exchange)
 
     def turned_away(self, status: int, kind: str, detail: str, tenant: str) -> Problem:
         self.refusal_counters.record(time.monotonic_ns(), kind, self.places.who(tenant))
@@ -205,7 +205,7 @@
         ivk = self.number()
         it = self.deferrals.add(ivk, call.tenant)
         exchange.respond(requests.accepted(ivk, self.base))
-        self.desk.take(time.monotonic_ns(), ivk, call, it)
+        self.engine.admit(time.monotonic_ns(), ivk, call, it)
 
     def collect(self, exchange: Exchange, ivk: str) -> None:
         it = self.deferrals.find(ivk)
@@ -228,9 +228,9 @@
         """The client of an unanswered exchange is gone."""
         if exchange.waits is not None:
             exchange.waits.waiters.pop(exchange, None)
-        elif isinstance(exchange.held, Held) and not exchange.held.settled:
-            self.places.give(exchange.held.call.tenant)
-            exchange.held.left(time.monotonic_ns())
+        elif isinstance(exchange.pending, PendingRequest) and not exchange.pending.is_settled:
+            self.places.give(exchange.pending.call.tenant)
+            exchange.pending.on_client_gone(time.monotonic_ns())
 
     def tick(self, now: int) -> None:
         for exchange, it in self.deferrals.tick(now):
@@ -241,44 +241,47 @@
         for line in self.refusal_counters.due_reports(now, flush):
             self.log.note("turned-away", level="warning", **line)
 
-    # The desk's port.
+    # The engine's port.
 
-    def left_unread(self, held: Held) -> bool:
+    def has_unread_disconnect(self, pending: PendingRequest) -> bool:
         return False        # who has closed one direction may still read; a close of both is read as soon as it comes
 
-    def answered(self, held: Held) -> None:
-        answer = held.answer
+    def on_answered(self, pending: PendingRequest) -> None:
+        answer = pending.answer
         assert answer is not None
-        self.places.give(held.call.tenant)
-        if answer.final is not Final.COMPLETED:
-            self.refusal_counters.record(held.answered_at, f"{answer.final.value}-{answer.reason}",
-                                         self.places.who(held.call.tenant))
-        self.recent.record(held.answered_at, held)
-        if isinstance(held.client, Deferral):
-            for exchange in self.deferrals.finish(held.answered_at, held.client, answer):
-                exchange.respond(requests.final(answer, held.ivk))
-        elif self.batch_service is not None and self.batch_service.owns(held):
-            self.batch_service.answered(held)
+        self.places.give(pending.call.tenant)
+        if answer.final is not FinalKind.COMPLETED:
+            self.refusal_counters.record(pending.answered_at, f"{answer.final.value}-{answer.reason}",
+                                         self.places.who(pending.call.tenant))
+        self.recent.record(pending.answered_at, pending)
+        if isinstance(pending.client, Deferral):
+            for exchange in self.deferrals.finish(pending.answered_at, pending.client, answer):
+                exchange.respond(requests.final(answer, pending.id))
+        elif self.batch_service is not None and self.batch_service.owns(pending):
+            self.batch_service.answered(pending)
         else:
-            held.client.respond(requests.final(answer, held.ivk))
-        self.tell(held, answer)
+            pending.client.respond(requests.final(answer, pending.id))
+        self.tell(pending, answer)
 
-    def over(self, held: Held) -> None:
-        if held.gone and not (self.batch_service is not None and self.batch_service.owns(held)):
-            self.recent.record(self.desk.now, held)
-            self.tell(held, Answer(Final.ABORTED, "client-left"))
+    def on_finished(self, pending: PendingRequest) -> None:
+        if pending.client_gone and not (self.batch_service is not None and self.batch_service.owns(pending)):
+            self.recent.record(self.engine.now, pending)
+            self.tell(pending, Answer(FinalKind.ABORTED, "client-left"))
 
-    def tell(self, held: Held, answer: Answer) -> None:
+    def tell(self, pending: PendingRequest, answer: Answer) -> None:
         """The one event of a final answer; completed in time is the usual, and told only where all is."""
-        usual = answer.final is Final.COMPLETED and held.desk.now - held.taken <= held.act.type_stats.target_latency
+        usual = (answer.final is FinalKind.COMPLETED
+                 and pending.engine.now - pending.admitted_at <= pending.activation.type_stats.target_latency)
         level = "debug" if usual else "info"
-        if not self.log.wanted(level):
+        if not self.log.is_enabled(level):
             return
         self.log.note(
-            "final", level=level, activation=held.ivk, function=held.call.function, type=held.call.type,
-            tenant=held.call.tenant, final="left" if held.gone else answer.final.value, reason=answer.reason,
-            took_ms=round((held.desk.now - held.taken) / MS, 3), left_ms=held.time_left(held.desk.now) // MS,
+            "final", level=level, activation=pending.id, function=pending.call.function, type=pending.call.type,
+            tenant=pending.call.tenant, final="left" if pending.client_gone else answer.final.value,
+            reason=answer.reason,
+            took_ms=round((pending.engine.now - pending.admitted_at) / MS, 3),
+            left_ms=pending.time_left(pending.engine.now) // MS,
             may_have_run=answer.may_have_run,
-            sends=[{"worker": sent.worker, "after_ms": round((sent.at - held.taken) / MS, 3),
+            sends=[{"worker": sent.worker, "after_ms": round((sent.at - pending.admitted_at) / MS, 3),
                     "waited_ms": round(sent.waited / MS, 3), "copy": sent.copy.value,
-                    "outcome": sent.outcome.value if sent.outcome else "out"} for sent in held.sends])
+                    "outcome": sent.outcome.value if sent.outcome else "out"} for sent in pending.sends])
--- a/threadshift/invoke/client.py
+++ b/threadshift/invoke/client.py
@@ -9,7 +9,7 @@
 import httptools
 from gevent import socket
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.conf.values import Address
 from threadshift.interface import SECOND
 from threadshift.links.sockets import READ, connect, shows
@@ -18,7 +18,7 @@
 DEFAULT_TIMEOUT = 30 * SECOND
 
 
-class NoAnswer(Cause):
+class NoAnswer(ThreadshiftError):
     """The connection failed, or ended before the answer was complete."""
 
     help = "see whether the gateway runs and listens at that address"
--- a/threadshift/invoke/requests.py
+++ b/threadshift/invoke/requests.py
@@ -14,8 +14,8 @@
 from urllib.parse import unquote
 
 from threadshift.conf.installation import FunctionClass, Installation
-from threadshift.desk.desk import Answer, Call, Final
-from threadshift.errors import Cause
+from threadshift.engine.engine import Answer, Call, FinalKind
+from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND, Effect, NamespaceType
 
 FUNCTION = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@-]{0,127}")
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class Problem(Cause):
+class Problem(ThreadshiftError):
     """Why a request was not taken."""
 
     help = "none: its client is told what to change, and when to come back"
@@ -163,12 +163,12 @@
 def final(answer: Answer, ivk: str) -> Response:
     """A final answer as a response: 200; 429 or 503; 504 or 502."""
     marks = [("Activation", ivk), ("Final", answer.final.value)]
-    if answer.final is Final.COMPLETED:
+    if answer.final is FinalKind.COMPLETED:
         error = [("Function-Error", answer.error[:200])] if answer.error.isascii() and answer.error else []
         return Response(200, [("Content-Type", "application/octet-stream"), *marks, *error], answer.body)
     if answer.reason == "cancelled":
         status, detail = 410, "cancelled; it did not run"
-    elif answer.final is Final.REJECTED:
+    elif answer.final is FinalKind.REJECTED:
         status = 429 if answer.reason == "over-share" else 503
         detail = "not done; trying again is harmless"
     else:
@@ -177,7 +177,7 @@
     body = {"type": PROBLEM_TYPES + answer.final.value, "title": answer.final.value, "status": status,
             "detail": detail, "reason": answer.reason, "activation": ivk, "may-have-run": answer.may_have_run}
     return Response(status, [("Content-Type", "application/problem+json"), *marks,
-                             *retry_after(answer.come_back)], json.dumps(body).encode())
+                             *retry_after(answer.retry_after)], json.dumps(body).encode())
 
 
 def accepted(ivk: str, base: str) -> Response:
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -1,4 +1,4 @@
-"""One front end on the platform: listener, links to workers, the coordinator's stream and a timer around a desk.
+"""One front end on the platform: listener, links to workers, the coordinator's stream and a timer around an engine.
 
 Nothing here decides. run() returns once it was told to end and has left in order.
 """
@@ -18,8 +18,8 @@
 from threadshift.conf.settings import Malformed
 from threadshift.coordinator.events import ListUpdate
 from threadshift.coordinator.stream import CoordinatorStream
-from threadshift.desk import earlier
-from threadshift.desk.desk import Desk
+from threadshift.engine import previous_process
+from threadshift.engine.engine import RequestEngine
 from threadshift.fastcgi.listener import FastCgiListener
 from threadshift.frames import pool
 from threadshift.frames.link import Link
@@ -32,7 +32,7 @@
 from threadshift.node.descriptors import Descriptors
 from threadshift.node.shutdown import Shutdown, Stage
 from threadshift.node.front_end_config import FrontEndConfig
-from threadshift.roster.membership import Entry, Membership
+from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
 from threadshift.timer import ticks
 
 TICK = 5 * MS              # pace of the timer; what falls due between two ticks has one of its own
@@ -42,10 +42,11 @@
 
 
 class Node(BaseFrontEnd):
-    """Carries steps to links and answers to the desk; owns every greenlet of the process."""
+    """Carries steps to links and answers to the engine; owns every greenlet of the process."""
 
     def __init__(self, config: FrontEndConfig, environment: Mapping[str, str], log: Log):
-        super().__init__(Membership(config.deployment.drain_grace, same_start=0), log)  # starts are told by one clock
+        # Starts are told by one clock.
+        super().__init__(WorkerRegistry(config.deployment.drain_grace, same_start=0), log)
         now = time.monotonic_ns()
         self.known_updates, self.config = config.known_updates, config._replace(known_updates=())
         self.environment = environment
@@ -63,8 +64,8 @@
             config.deployment.max_retry_after, self.admission, self, self.note, self.chance)
         self.poll_monitor = self.listener.poll_monitor
         dispatcher = Dispatcher(chance.getrandbits(63), config.deployment, now)
-        earlier.assume(dispatcher, config.deployment, now)
-        self.desk = self.listener.desk = Desk(dispatcher, self, self.listener, config.load_timeout)
+        previous_process.count_free_orders_as_given(dispatcher, config.deployment, now)
+        self.engine = self.listener.engine = RequestEngine(dispatcher, self, self.listener, config.load_timeout)
         self.coordinator = CoordinatorStream(config.coordinator, self.on_list_update, self.on_coordinator_lost,
                                              self.note, self.chance)
         self.shutdown = Shutdown(max(each.action_timeout for each in types.values()))
@@ -78,9 +79,9 @@
 
     @property
     def ready_workers(self) -> int:
-        return len(self.desk.dispatcher.ready_workers)
+        return len(self.engine.dispatcher.ready_workers)
 
-    def link(self, it: Entry) -> Link:
+    def link(self, it: WorkerEntry) -> Link:
         return Link(it.worker, it.address, self.bounds, self, self.chance, self.bits)
 
     def apply_listings(self, listings: list[WorkerListing]) -> None:
@@ -92,7 +93,7 @@
     @property
     def listed_workers(self) -> int:
         """All that are not gone, those included that are still to be taken in."""
-        return len(self.membership.known) - len(self.membership.gone)
+        return len(self.registry.known) - len(self.registry.gone)
 
     def dials_ahead(self) -> bool:
         return self.descriptors.dials_ahead(self.listed_workers)
@@ -153,7 +154,7 @@
     def ready(self) -> bool:
         # A list that is late or empty is waited for, not for ever: refused for it, a whole fleet would never start.
         return self.listening_socket is not None and not self.shutdown.requested_at and not self.list_is_stale() and (
-            bool(self.desk.dispatcher.ready_workers) or time.monotonic_ns() >= self.ready_deadline)
+            bool(self.engine.dispatcher.ready_workers) or time.monotonic_ns() >= self.ready_deadline)
 
     # Signals.
 
@@ -162,7 +163,7 @@
         now = time.monotonic_ns()
         if not self.shutdown.requested_at:
             self.shutdown.begin(now)
-            self.desk.hasten(now, self.shutdown.answer_deadline)
+            self.engine.shorten_deadlines(now, self.shutdown.answer_deadline)
 
     def reload(self) -> None:
         """Told of another configuration; from a signal. What is bad leaves the old one in force."""
@@ -194,7 +195,7 @@
                   last_event=self.coordinator.sequence.last, prepared_ms=self.join_duration // MS)
         self.run_timer(lambda: self.stage() not in (Stage.RUNNING, Stage.ACCEPTING))
         self.listener.closing = True        # the listener stays: who still comes is refused in words, not by a reset
-        self.note("draining", owed=self.desk.owed, connections=len(self.listener.connections))
+        self.note("draining", owed=self.engine.owed, connections=len(self.listener.connections))
         self.run_timer(lambda: self.stage() is Stage.DONE)
         self.listener.end(sock)
         self.stop_all()
@@ -216,12 +217,12 @@
         self.join_duration = time.monotonic_ns() - since
 
     def stage(self) -> Stage:
-        return self.shutdown.stage(time.monotonic_ns(), self.desk.owed + self.listener.under_way)
+        return self.shutdown.stage(time.monotonic_ns(), self.engine.owed + self.listener.under_way)
 
     def run_timer(self, over: Callable[[], bool]) -> None:
         """The one timer: every tick, what is due."""
         told = 0
-        for now, late in ticks(TICK, over, self.desk.due):
+        for now, late in ticks(TICK, over, self.engine.due):
             now = self.on_tick(now, late)
             self.listener.tick(now)
             if now - told >= TELL:
@@ -230,9 +231,10 @@
 
     def state(self) -> dict[str, Any]:
         """How it goes, for one line of the log."""
-        dispatcher, now = self.desk.dispatcher, time.monotonic_ns()
+        dispatcher, now = self.engine.dispatcher, time.monotonic_ns()
         workers = dispatcher.workers.values()
-        return {"owed": self.desk.owed, "held": len(self.desk.held), "connections": len(self.listener.connections),
+        return {"owed": self.engine.owed, "held": len(self.engine.requests),
+                "connections": len(self.listener.connections),
                 "flying": len(dispatcher.in_flight), "links": len(self.links),
                 "up": sum(link.up for link in self.open_connections),
                 "worker_connections": self.worker_connections, "dialled_in_all": self.total_dials,
@@ -240,4 +242,4 @@
                 "functions": len(dispatcher.functions), "roster_lost": self.roster_lost,
                 "lag_ms": round(self.admission.smoothed_lag / MS, 1), "part": round(self.admission.refused_share, 3),
                 "stalls": self.stalls, "longest_stall_ms": self.longest_stall // MS,
-                "turned_away": self.listener.refusal_counters.totals(), "counts": dict(self.desk.counts)}
+                "turned_away": self.listener.refusal_counters.totals(), "counts": dict(self.engine.counts)}
