--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -38,7 +38,7 @@
                 headers = {"tenant": "a", "work_hint": "700"} | ({"prefer": prefer} if prefer else {})
                 jobs = [gevent.spawn(live.call, f"submit-{n}", time_left="900", **headers) for n in range(40)]
                 gevent.sleep(0.1)
-                self.assertLess(live.front.api.places.held["a"], 20)
+                self.assertLess(live.front.api.capacity.used_by["a"], 20)
                 headers["tenant"] = "b"
                 reply = live.call("f", time_left="900", **headers)
                 self.assertNotIn(b"too-many", reply.body, (prefer, most))       # it was let in
@@ -48,7 +48,7 @@
                 self.assertTrue(refused)
                 self.assertTrue(all("retry-after" in each.headers for each in refused))
                 until(lambda: not live.front.desk.owed)
-            self.assertEqual(live.front.api.places.all, 0)
+            self.assertEqual(live.front.api.capacity.used, 0)
             told = live.log.of("turned-away")
             self.assertTrue(any(each["reason"].startswith("too-many") and each["tenants"].get("a") for each in told))
 
--- a/tests/test_invoke.py
+++ b/tests/test_invoke.py
@@ -10,7 +10,7 @@
 from threadshift.desk.desk import Answer, Final
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.admission import READING_INTERVAL, Admission
-from threadshift.invoke.deferred import RECORD, InMemory
+from threadshift.invoke.deferred import ANSWER_OVERHEAD, InMemoryStore
 
 POST = "POST /v1/functions/f/calls HTTP/1.1\r\nHost: x\r\n"
 
@@ -161,20 +161,20 @@
             self.assertIn(got[-1].headers["retry-after"], ("1", "2"))
 
     def test_answers_are_kept_to_a_time_and_a_size(self):
-        each_takes = RECORD + 30
-        it = InMemory(10, 3 * each_takes + 10, 5 * SECOND)
+        each_takes = ANSWER_OVERHEAD + 30
+        it = InMemoryStore(10, 3 * each_takes + 10, 5 * SECOND)
         calls = [it.add(f"c{n}") for n in range(5)]
         for n, each in enumerate(calls):
-            self.assertTrue(it.room())
+            self.assertTrue(it.has_room())
             it.finish(n * SECOND, each, Answer(Final.COMPLETED, "completed", b"x" * 30))
-            each.collected = n == 1
+            each.is_collected = n == 1
         # The fourth passed the size: the collected one went first; the fifth took the oldest.
         self.assertEqual([it.find(f"c{n}") is not None for n in range(5)], [False, False, True, True, True])
-        self.assertEqual((it.kept.all, it.dropped), (3 * each_takes, 1))
+        self.assertEqual((it.answer_bytes.used, it.dropped), (3 * each_takes, 1))
         it.tick(8 * SECOND)
         self.assertEqual([it.find(f"c{n}") is not None for n in range(5)], [False, False, False, False, True])
         it.tick(9 * SECOND)
-        self.assertEqual((it.kept.all, it.waiting.all, it.calls), (0, 0, {}))
+        self.assertEqual((it.answer_bytes.used, it.pending.used, it.calls), (0, 0, {}))
 
 
 class Admissions(unittest.TestCase):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -10,9 +10,9 @@
 from threadshift.desk.desk import Answer, Final
 from threadshift.interface import MS, SECOND, Tenant
 from threadshift.invoke.admission import MAX_REFUSED_SHARE, READING_INTERVAL, Admission
-from threadshift.invoke.deferred import InMemory
+from threadshift.invoke.deferred import InMemoryStore
 from threadshift.invoke.refusal_counters import REPORT_INTERVAL, RefusalCounters
-from threadshift.invoke.shares import LEAST, NOBODY, Places, parts, weights
+from threadshift.invoke.shares import MIN_SHARE, NO_TENANT, SharedCapacity, shares_to_refuse, weights
 from threadshift.log import Log
 from threadshift.ration import A_SECOND, KINDS, Ration
 
@@ -53,7 +53,7 @@
            st.lists(st.floats(0.02, 5), min_size=4, max_size=4))
     def test_parts_add_up_and_favour_nobody_who_asks_more_than_its_due(self, came, refuse, weight):
         weight = dict(zip("abcd", weight, strict=True))
-        found = parts(came, weight, refuse)
+        found = shares_to_refuse(came, weight, refuse)
         self.assertEqual(set(found), set(came))
         refused = sum(found[name] * came[name] for name in came)
         self.assertAlmostEqual(refused, refuse * sum(came.values()), delta=1e-6 * sum(came.values()))
@@ -64,46 +64,46 @@
     def test_weights(self):
         self.assertEqual(weights(()), {})
         self.assertAlmostEqual(sum(WEIGHT.values()) / 4, 1)
-        self.assertAlmostEqual(WEIGHT["a"] / WEIGHT[NOBODY], 5)
-        self.assertGreaterEqual(weights([Tenant("a", 1.0, 9.0)])[NOBODY], LEAST)
+        self.assertAlmostEqual(WEIGHT["a"] / WEIGHT[NO_TENANT], 5)
+        self.assertGreaterEqual(weights([Tenant("a", 1.0, 9.0)])[NO_TENANT], MIN_SHARE)
         self.assertLess(MAX_REFUSED_SHARE, 1)
 
 
 class Held(unittest.TestCase):
     def test_one_tenant_leaves_room_for_the_others(self):
         """Before: `bounds activations`, `deferred` and `results` went to whoever came first."""
-        it = Places(1000, WEIGHT)
-        while it.room("c"):
-            it.take("c")
-        self.assertLess(it.all, 400)
+        it = SharedCapacity(1000, WEIGHT)
+        while it.has_room("c"):
+            it.acquire("c")
+        self.assertLess(it.used, 400)
         for name in ("a", "b", ""):
-            self.assertTrue(it.room(name), name)
-        while any(it.room(name) for name in ("a", "b", "c", "x")):
+            self.assertTrue(it.has_room(name), name)
+        while any(it.has_room(name) for name in ("a", "b", "c", "x")):
             for name in ("a", "b", "c", "x"):
-                if it.room(name):
-                    it.take(name)
-        self.assertLessEqual(it.all, 1000)
-        it.give("c", it.held["c"])
-        self.assertTrue(it.room("a"))
+                if it.has_room(name):
+                    it.acquire(name)
+        self.assertLessEqual(it.used, 1000)
+        it.release("c", it.used_by["c"])
+        self.assertTrue(it.has_room("a"))
 
     def test_who_keeps_most_loses_its_answers_first(self):
-        it = InMemory(100, 10_000, 60 * SECOND, WEIGHT)
+        it = InMemoryStore(100, 10_000, 60 * SECOND, WEIGHT)
         for n, tenant in enumerate(["a"] + ["c"] * 20):
             it.finish(n, it.add(f"c{n}", tenant), Answer(Final.COMPLETED, "completed", b"x" * 100))
         self.assertIsNotNone(it.find("c0"))
         self.assertIsNone(it.find("c1"))
 
     def test_without_tenants_all_is_for_everybody(self):
-        it = Places(10, {})
+        it = SharedCapacity(10, {})
         for n in range(10):
-            self.assertTrue(it.room(f"any{n}"))
-            it.take(f"any{n}")
-        self.assertFalse(it.room("any"))
-        self.assertEqual(list(it.held), [NOBODY])       # names that clients make up are not kept
+            self.assertTrue(it.has_room(f"any{n}"))
+            it.acquire(f"any{n}")
+        self.assertFalse(it.has_room("any"))
+        self.assertEqual(list(it.used_by), [NO_TENANT])       # names that clients make up are not kept
 
     def test_answers_without_a_body_have_a_bound_too(self):
         """Before: only bodies counted, so refusals that nobody collected piled up without end."""
-        it = InMemory(10, 100_000, 60 * SECOND)
+        it = InMemoryStore(10, 100_000, 60 * SECOND)
         taken = 0
         while taken < 10_000:
             it.finish(taken, it.add(f"c{taken}"), Answer(Final.REJECTED, "no-room"))
--- a/threadshift/gateway/batch_service.py
+++ b/threadshift/gateway/batch_service.py
@@ -23,7 +23,7 @@
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
 from threadshift.invoke.api import Invoke
-from threadshift.invoke.deferred import Deferral, InMemory
+from threadshift.invoke.deferred import DeferredCall, InMemoryStore
 from threadshift.invoke.http import Exchange
 from threadshift.invoke.requests import Problem, Response
 from threadshift.log import fault_of
@@ -56,7 +56,7 @@
     chance: Callable[[], float]
     api: Invoke
     desk: Desk
-    deferrals: InMemory
+    deferred_calls: InMemoryStore
     links: dict[str, Any]
 
     def read_updates(self) -> None: ...
@@ -70,7 +70,7 @@
         self.front, self.carrier, self.cancels, self.undo = front, carrier, cancels, undo
         self.shelf = Shelf(folder / f"{front.name}.calls", disk)
         self.queue = Queue(max(1, front.told.bounds.activations // PART))
-        self.calls: dict[str, tuple[Waiting, Call, Deferral]] = {}
+        self.calls: dict[str, tuple[Waiting, Call, DeferredCall]] = {}
         self.held: dict[str, Held] = {}
         self.writes: list[tuple[list[dict[str, Any]], Callable[[bool], None]]] = []
         self.wake = Event()
@@ -126,9 +126,9 @@
         """What an earlier life left."""
         now, wall = time.monotonic_ns(), time.time_ns()
         for kept in sorted(self.shelf.calls.values(), key=lambda each: each.order):
-            deferral = self.front.deferrals.add(kept.ivk, kept.tenant)
+            deferral = self.front.deferred_calls.add(kept.ivk, kept.tenant)
             if kept.answer is not None:
-                self.front.deferrals.finish(now, deferral, answer_of(kept.answer))
+                self.front.deferred_calls.finish(now, deferral, answer_of(kept.answer))
                 continue
             it = Waiting(kept.ivk, kept.tenant, kept.batch, kept.order, now + kept.remaining(wall), kept.call["type"],
                          kept.tries + kept.out, parked=kept.parked)
@@ -149,7 +149,7 @@
         now, ivk = time.monotonic_ns(), self.front.api.number()
         self.order += 1
         it = Waiting(ivk, call.tenant, batch, self.order, now + call.left, call.type)
-        deferral = self.front.deferrals.add(ivk, call.tenant)
+        deferral = self.front.deferred_calls.add(ivk, call.tenant)
         effect = next(each.effect for each in self.front.told.deployment.types if each.name == call.type)
         stopped = self.queue.stopped.get((call.tenant, batch))
         taken = record("take", ivk=ivk, tenant=call.tenant, batch=batch, order=it.order, at=time.time_ns(),
@@ -158,8 +158,8 @@
 
         def kept(good: bool) -> None:
             if not good:
-                self.front.deferrals.finish(time.monotonic_ns(), deferral, Answer(Final.REJECTED, "not-kept"))
-                self.front.deferrals.forget(deferral)
+                self.front.deferred_calls.finish(time.monotonic_ns(), deferral, Answer(Final.REJECTED, "not-kept"))
+                self.front.deferred_calls.forget(deferral)
                 exchange.respond(requests.problem(Problem(503, "cannot-be-kept", Unkept.help)))
                 return
             self.calls[ivk] = it, call, deferral
@@ -175,10 +175,10 @@
                 self.carrier.member.age(clock()) is not None or now - self.started >= HEAR_FIRST):
             out = []
             for it in self.queue.next(now):
-                if not self.front.api.places.room(it.tenant):
+                if not self.front.api.capacity.has_room(it.tenant):
                     self.queue.taken_back(it)
                     break
-                self.front.api.places.take(it.tenant)
+                self.front.api.capacity.acquire(it.tenant)
                 out.append(it)
             if out:
                 self.keep([record("out", ivk=each.ivk) for each in out], lambda good: self.release(out, good))
@@ -192,7 +192,7 @@
         now = time.monotonic_ns()
         for it in out:
             if it.over or not it.out or not good:
-                self.front.api.places.give(it.tenant)
+                self.front.api.capacity.release(it.tenant)
                 if not it.over:
                     self.queue.taken_back(it)
                     self.back(it)
@@ -229,7 +229,7 @@
         _, _, deferral = self.calls.pop(it.ivk)
         self.keep_final(it, answer, deferral)
 
-    def keep_final(self, it: Waiting, answer: Answer, deferral: Deferral) -> None:
+    def keep_final(self, it: Waiting, answer: Answer, deferral: DeferredCall) -> None:
         """Tries again where the disk fails, as long as its own time lasts: told and not kept, it could be told as
         something else after a crash."""
         told = record("end", ivk=it.ivk, at=time.time_ns(), answer={
@@ -240,7 +240,7 @@
             if not good and time.monotonic_ns() + AGAIN < it.ends:
                 gevent.spawn_later(AGAIN / SECOND, self.keep_final, it, answer, deferral)
                 return
-            for exchange in self.front.deferrals.finish(time.monotonic_ns(), deferral, answer):
+            for exchange in self.front.deferred_calls.finish(time.monotonic_ns(), deferral, answer):
                 exchange.respond(requests.final(answer, it.ivk))
 
         self.keep([told], kept)
@@ -270,7 +270,7 @@
                 return False
             self.held.pop(it.ivk)
             held.left(time.monotonic_ns())
-            self.front.api.places.give(it.tenant)
+            self.front.api.capacity.release(it.tenant)
         self.queue.taken_back(it)
         return True
 
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -33,7 +33,7 @@
 from threadshift.invoke.admission import Admission
 from threadshift.invoke import requests
 from threadshift.invoke.api import PAUSE_OF, Invoke, busy
-from threadshift.invoke.deferred import InMemory
+from threadshift.invoke.deferred import InMemoryStore
 from threadshift.invoke.http import Application, Connection, Watch, whole
 from threadshift.invoke.shares import weights
 from threadshift.links.codec import Frame
@@ -67,10 +67,10 @@
         bounds = told.bounds
         self.own = Address(told.listen[0].host, told.own_ports + index) if told.own_ports else None
         weight = weights(told.deployment.tenants)
-        self.deferrals = InMemory(bounds.deferred, bounds.results, bounds.keep_results, weight)
+        self.deferred_calls = InMemoryStore(bounds.deferred, bounds.results, bounds.keep_results, weight)
         self.admission = Admission(min(each.target_latency for each in told.deployment.types), weight)
         self.watch = Watch()
-        self.api = Invoke(told, self.name, f"http://{self.own}" if self.own else "", self.deferrals,
+        self.api = Invoke(told, self.name, f"http://{self.own}" if self.own else "", self.deferred_calls,
                           self.admission, log, self.status, weight)
         self.poll_monitor, self.api.read_updates = self.api.poll_monitor, self.read_updates
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
@@ -295,7 +295,7 @@
         self.told = installation.reloaded(self.told, new)
         self.api.reload(self.told)
         bounds = self.told.bounds
-        self.deferrals.waiting.most, self.deferrals.kept.most, self.deferrals.keep = (
+        self.deferred_calls.pending.limit, self.deferred_calls.answer_bytes.limit, self.deferred_calls.keep_time = (
             bounds.deferred, bounds.results, bounds.keep_results)
         self.note("reloaded", taken=taken, needs_restart=kept)
 
@@ -311,8 +311,8 @@
             "turned-away": self.api.refusal_counters.totals(),
             "lag-ms": round(self.admission.smoothed_lag / MS, 3), "stalls": self.stalls,
             "longest-stall-ms": self.longest_stall // MS,
-            "deferred": {"pending": self.deferrals.waiting.all, "bytes": self.deferrals.kept.all,
-                         "dropped": self.deferrals.dropped},
+            "deferred": {"pending": self.deferred_calls.pending.used, "bytes": self.deferred_calls.answer_bytes.used,
+                         "dropped": self.deferred_calls.dropped},
             "announcements": self.service_announcer.status(now) if self.service_announcer is not None else None,
             "together": self.replicated_services.status() if self.replicated_services is not None else None,
             "roster": {"kind": self.told.roster_kind,
--- a/threadshift/gateway/replicated_services.py
+++ b/threadshift/gateway/replicated_services.py
@@ -36,7 +36,7 @@
         self.carrier = Carrier(told, front.name, machines, self, front.chance, disk)
         self.eviction_service = EvictionService(front, self.carrier, self.forces)
         self.carrier.answers["policies"] = self.eviction_service.policies
-        front.deferrals.order = self.eviction_service.evictor.order
+        front.deferred_calls.eviction_order = self.eviction_service.evictor.order
         self.rollout_service = RolloutService(front, told, self.carrier, self.rollouts, self.eviction_service,
                                              version, front.api.recent)
         self.carrier.answers["report"] = self.rollout_service.report
--- a/threadshift/invoke/admission.py
+++ b/threadshift/invoke/admission.py
@@ -20,7 +20,7 @@
 from collections.abc import Mapping
 
 from threadshift.interface import MS, SECOND
-from threadshift.invoke.shares import NOBODY, known, parts
+from threadshift.invoke.shares import NO_TENANT, shares_to_refuse, tenant_key
 
 READING_INTERVAL = 10 * MS           # between two readings of the lag while it is short
 TARGET_LAG_SHARE = 0.2               # of the shortest target latency
@@ -41,7 +41,7 @@
 
     def __init__(self, target_latency: int, tenant_weights: Mapping[str, float] | None = None) -> None:
         self.target_lag = TARGET_LAG_SHARE * target_latency      # ns
-        self.tenant_weights = tenant_weights or {NOBODY: 1.0}
+        self.tenant_weights = tenant_weights or {NO_TENANT: 1.0}
         self.smoothed_lag, self.refused_share, self.refused_count, self.last_reading_at = 0.0, 0.0, 0, 0
         # By tenant: calls lately, the share to refuse, and the fraction of a refusal carried over.
         self.demand, self.refused_shares, self.carried = (
@@ -59,18 +59,18 @@
             # Tenants without recent calls are not refused, unless there is only the one that counts all calls.
             self.refused_shares = dict.fromkeys(
                 self.tenant_weights, self.refused_share if len(self.tenant_weights) == 1 else 0.0)
-            self.refused_shares |= parts({name: count for name, count in self.demand.items() if count},
-                                         self.tenant_weights, self.refused_share)
+            self.refused_shares |= shares_to_refuse({name: count for name, count in self.demand.items() if count},
+                                                    self.tenant_weights, self.refused_share)
         for name in self.demand:
             self.demand[name] *= 1 - passed * SECOND / DEMAND_WINDOW
 
     def read_pause(self, tenant: str) -> int:
         """The time, in ns, for which a connection is not read after a refusal; it grows with the refused share."""
-        return int(READ_PAUSE * min(MAX_REFUSED_SHARE, self.refused_shares[known(tenant, self.tenant_weights)]))
+        return int(READ_PAUSE * min(MAX_REFUSED_SHARE, self.refused_shares[tenant_key(tenant, self.tenant_weights)]))
 
-    def admit(self, is_client_retry: bool, tenant: str = NOBODY) -> bool:
+    def admit(self, is_client_retry: bool, tenant: str = NO_TENANT) -> bool:
         """Whether this call is admitted; counts it."""
-        key = known(tenant, self.tenant_weights)
+        key = tenant_key(tenant, self.tenant_weights)
         self.demand[key] += 1
         if not self.refused_share:
             return True
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -15,11 +15,11 @@
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
 from threadshift.invoke.admission import Admission
-from threadshift.invoke.deferred import Deferral, Deferrals
+from threadshift.invoke.deferred import DeferredCall, DeferredCallStore
 from threadshift.invoke.http import Exchange, whole
 from threadshift.invoke.poll_monitor import CATCH_UP_TIME, STALL_THRESHOLD, PollMonitor
 from threadshift.invoke.requests import BATCH, BATCH_CANCEL, CALLS, CANCEL, DEFERRED, Problem, Response
-from threadshift.invoke.shares import Places
+from threadshift.invoke.shares import SharedCapacity
 from threadshift.invoke.refusal_counters import RefusalCounters
 from threadshift.log import Log
 
@@ -69,13 +69,13 @@
 class Invoke:
     """Answers exchanges; the desk's port to clients."""
 
-    def __init__(self, told: Installation, name: str, base: str, deferrals: Deferrals, admission: Admission,
-                 log: Log, status: Callable[[], dict[str, Any]], weight: Mapping[str, float]):
-        self.told, self.base, self.deferrals, self.admission = told, base, deferrals, admission
+    def __init__(self, told: Installation, name: str, base: str, deferred_calls: DeferredCallStore,
+                 admission: Admission, log: Log, status: Callable[[], dict[str, Any]], weight: Mapping[str, float]):
+        self.told, self.base, self.deferred_calls, self.admission = told, base, deferred_calls, admission
         self.log, self.status = log, status
         self.functions = requests.Functions(told)
         self.closing = False
-        self.places = Places(told.bounds.activations, weight)       # of activations under way
+        self.capacity = SharedCapacity(told.bounds.activations, weight)   # for activations under way
         self.refusal_counters = RefusalCounters()
         self.overloaded, self.pauses = cycle(OVERLOADED), cycle(PAUSE_OF)
         self.status_at, self.status_told = 0, b""
@@ -92,7 +92,7 @@
     def reload(self, told: Installation) -> None:
         """Another configuration, for calls from now on."""
         self.told, self.functions = told, requests.Functions(told)
-        self.places.most = told.bounds.activations
+        self.capacity.limit = told.bounds.activations
 
     # Exchanges.
 
@@ -163,7 +163,7 @@
         tenant = exchange.headers.get("tenant", "")
         if not self.admission.admit(exchange.headers.get("repetition") == "?1", tenant):
             exchange.connection.pause = self.admission.read_pause(tenant)
-            self.refusal_counters.record(time.monotonic_ns(), "overloaded", self.places.who(tenant))
+            self.refusal_counters.record(time.monotonic_ns(), "overloaded", self.capacity.key(tenant))
             exchange.respond(next(self.overloaded))
             return
         call = requests.call_of(path, exchange.headers, exchange.body, self.functions)
@@ -181,16 +181,18 @@
             raise self.turned_away(503, "too-late", "its time left was up before it could be read", tenant)
         if self.closing:
             raise self.turned_away(503, "closing", "this front end is going down", tenant)
-        if not self.places.room(tenant):
-            raise self.turned_away(503, "too-many-activations", f"{self.places.all} are under way here, "
-                                   f"{self.places.held[self.places.who(tenant)]} of them on this behalf", tenant)
-        if wish.deferred and not self.deferrals.room(tenant):
+        if not self.capacity.has_room(tenant):
+            raise self.turned_away(503, "too-many-activations",
+                                   f"{self.capacity.used} are under way here, "
+                                   f"{self.capacity.used_by[self.capacity.key(tenant)]} of them on this behalf",
+                                   tenant)
+        if wish.deferred and not self.deferred_calls.has_room(tenant):
             raise self.turned_away(429, "too-many-deferred", "the waiting list is full", tenant)
         batch = requests.batch_of(exchange.headers, wish)
         if batch:
             self.batches().accept(exchange, call, batch)
             return
-        self.places.take(tenant)
+        self.capacity.acquire(tenant)
         if wish.deferred:
             self.take_deferred(exchange, call)
             return
@@ -198,26 +200,27 @@
         exchange.held = self.desk.take(time.monotonic_ns(), self.number(), call, exchange)
 
     def turned_away(self, status: int, kind: str, detail: str, tenant: str) -> Problem:
-        self.refusal_counters.record(time.monotonic_ns(), kind, self.places.who(tenant))
+        self.refusal_counters.record(time.monotonic_ns(), kind, self.capacity.key(tenant))
         return busy(status, kind, detail, next(self.pauses))
 
     def take_deferred(self, exchange: Exchange, call: Call) -> None:
         ivk = self.number()
-        it = self.deferrals.add(ivk, call.tenant)
+        it = self.deferred_calls.add(ivk, call.tenant)
         exchange.respond(requests.accepted(ivk, self.base))
         self.desk.take(time.monotonic_ns(), ivk, call, it)
 
     def collect(self, exchange: Exchange, ivk: str) -> None:
-        it = self.deferrals.find(ivk)
+        it = self.deferred_calls.find(ivk)
         if it is None:
             raise Problem(404, "no-such-call", "never accepted here, or no longer kept", "id")
         wish = requests.prefer(exchange.headers.get("prefer", ""))
         if it.answer is not None:
-            it.collected = True
+            it.is_collected = True
             exchange.respond(requests.final(it.answer, ivk))
         elif wish.wait:
             exchange.waits = it
-            self.deferrals.wait(it, exchange, time.monotonic_ns() + min(wish.wait, self.told.bounds.longest_wait))
+            self.deferred_calls.add_waiter(
+                it, exchange, time.monotonic_ns() + min(wish.wait, self.told.bounds.longest_wait))
         else:
             exchange.respond(self.pending(ivk))
 
@@ -229,12 +232,12 @@
         if exchange.waits is not None:
             exchange.waits.waiters.pop(exchange, None)
         elif isinstance(exchange.held, Held) and not exchange.held.settled:
-            self.places.give(exchange.held.call.tenant)
+            self.capacity.release(exchange.held.call.tenant)
             exchange.held.left(time.monotonic_ns())
 
     def tick(self, now: int) -> None:
-        for exchange, it in self.deferrals.tick(now):
-            exchange.respond(self.pending(it.ivk))
+        for exchange, it in self.deferred_calls.tick(now):
+            exchange.respond(self.pending(it.activation_id))
         self.log_refusals(now)
 
     def log_refusals(self, now: int, flush: bool = False) -> None:
@@ -249,13 +252,13 @@
     def answered(self, held: Held) -> None:
         answer = held.answer
         assert answer is not None
-        self.places.give(held.call.tenant)
+        self.capacity.release(held.call.tenant)
         if answer.final is not Final.COMPLETED:
             self.refusal_counters.record(held.answered_at, f"{answer.final.value}-{answer.reason}",
-                                         self.places.who(held.call.tenant))
+                                         self.capacity.key(held.call.tenant))
         self.recent.record(held.answered_at, held)
-        if isinstance(held.client, Deferral):
-            for exchange in self.deferrals.finish(held.answered_at, held.client, answer):
+        if isinstance(held.client, DeferredCall):
+            for exchange in self.deferred_calls.finish(held.answered_at, held.client, answer):
                 exchange.respond(requests.final(answer, held.ivk))
         elif self.batch_service is not None and self.batch_service.owns(held):
             self.batch_service.answered(held)
--- a/threadshift/invoke/shares.py
+++ b/threadshift/invoke/shares.py
@@ -1,14 +1,14 @@
-"""Whose calls are turned away where something at a front end is short. Free of I/O.
+"""Divides limited capacity of a front end between tenants, in proportion to their shares. Free of I/O.
 
-What is first come, first served belongs to whoever floods it. Two answers, both weighed by the tenants' shares, both
-without effect where no tenants are configured:
+What is served first come, first served belongs to whichever tenant floods it. There are two measures against that,
+both weighted by the tenants' shares and both without effect where no tenants are configured:
 
-- Places, of which there is a stated number: one tenant may hold no more than what is free, times its weight
-  (Choudhury and Hahne's dynamic threshold). A tenant alone gets about half of all; others always find the rest.
-- Parts of what comes, where a part must be refused: as max-min fairness has it, who asks for less than its due is
-  let in whole, and the others are cut to one level.
+- SharedCapacity, for a limited number of units: a tenant may hold no more than the free units times its weight
+  (Choudhury and Hahne's dynamic threshold). A tenant alone gets about half of all; the others always find the rest.
+- shares_to_refuse(), where a share of all calls must be refused: max-min fairness. A tenant that asks for less than
+  its share is admitted in full, and the others are limited to one common level.
 
-Calls that name no tenant, where tenants are configured, are together one more, with what the shares leave over.
+Where tenants are configured, calls that name none of them count as one more tenant, which has what the shares leave.
 """
 from __future__ import annotations
 
@@ -17,64 +17,66 @@
 
 from threadshift.interface import Tenant
 
-NOBODY = ""
-LEAST = 0.02               # share that calls of nobody have at the least, so that they are not shut out
-FEWEST = 4                 # places that any tenant may take while there are free ones; a bound may be small
+NO_TENANT = ""
+MIN_SHARE = 0.02           # of calls without a tenant, so that they are not shut out
+MIN_UNITS = 4              # that any tenant may hold while some are free, as the limit may be small
 
 
 def weights(tenants: Iterable[Tenant]) -> dict[str, float]:
-    """Each one's share over the mean share; empty where there are no tenants."""
-    shares = {each.name: max(each.share, LEAST) for each in tenants}
+    """Each tenant's share divided by the mean share; empty where there are no tenants."""
+    shares = {each.name: max(each.share, MIN_SHARE) for each in tenants}
     if not shares:
         return {}
-    shares[NOBODY] = max(LEAST, 1 - sum(shares.values()))
+    shares[NO_TENANT] = max(MIN_SHARE, 1 - sum(shares.values()))
     mean = sum(shares.values()) / len(shares)
     return {name: share / mean for name, share in shares.items()}
 
 
-def known(tenant: str, weight: Mapping[str, float]) -> str:
-    """The name that a call counts under: names that clients make up are nobody's."""
-    return tenant if tenant in weight else NOBODY
+def tenant_key(tenant: str, tenant_weights: Mapping[str, float]) -> str:
+    """The name that a call counts under: NO_TENANT for names that are not configured."""
+    return tenant if tenant in tenant_weights else NO_TENANT
 
 
-class Places:
-    """So many places, held by tenants. Amounts are places or bytes, as the owner has it."""
+class SharedCapacity:
+    """A limited number of units, held by tenants. What a unit is, such as a call or a byte, is up to the owner."""
 
-    def __init__(self, most: int, weight: Mapping[str, float]):
-        self.most, self.weight = most, weight
-        self.held: Counter[str] = Counter()
-        self.all = 0
+    def __init__(self, limit: int, tenant_weights: Mapping[str, float]):
+        self.limit, self.tenant_weights = limit, tenant_weights
+        self.used_by: Counter[str] = Counter()
+        self.used = 0
 
-    def who(self, tenant: str) -> str:
-        return known(tenant, self.weight)
+    def key(self, tenant: str) -> str:
+        return tenant_key(tenant, self.tenant_weights)
 
-    def room(self, tenant: str) -> bool:
-        """Whether this tenant may take one more."""
-        free, who = self.most - self.all, self.who(tenant)
-        return free > 0 and (not self.weight or self.held[who] < max(FEWEST, free * self.weight[who]))
+    def has_room(self, tenant: str) -> bool:
+        """Whether this tenant may take one more unit."""
+        free, key = self.limit - self.used, self.key(tenant)
+        return free > 0 and (not self.tenant_weights
+                             or self.used_by[key] < max(MIN_UNITS, free * self.tenant_weights[key]))
 
-    def over(self, tenant: str) -> float:
-        """What it holds for its weight, to be set against others'."""
-        who = self.who(tenant)
-        return self.held[who] / self.weight.get(who, 1.0)
+    def relative_use(self, tenant: str) -> float:
+        """What the tenant holds divided by its weight, to compare tenants."""
+        key = self.key(tenant)
+        return self.used_by[key] / self.tenant_weights.get(key, 1.0)
 
-    def take(self, tenant: str, amount: int = 1) -> None:
-        self.held[self.who(tenant)] += amount
-        self.all += amount
+    def acquire(self, tenant: str, amount: int = 1) -> None:
+        self.used_by[self.key(tenant)] += amount
+        self.used += amount
 
-    def give(self, tenant: str, amount: int = 1) -> None:
-        self.take(tenant, -amount)
+    def release(self, tenant: str, amount: int = 1) -> None:
+        self.acquire(tenant, -amount)
 
 
-def parts(came: Mapping[str, float], weight: Mapping[str, float], refuse: float) -> dict[str, float]:
-    """The part of each one's calls to refuse, so that `refuse` of all that came is refused together."""
-    let_in = (1 - refuse) * sum(came.values())
-    level, found, waiting = 0.0, {}, sorted(came, key=lambda name: came[name] / weight[name])
-    while waiting:
-        level = let_in / sum(weight[name] for name in waiting)
-        if came[waiting[0]] > level * weight[waiting[0]]:
+def shares_to_refuse(demand: Mapping[str, float], tenant_weights: Mapping[str, float],
+                   refused_share: float) -> dict[str, float]:
+    """The share of each tenant's calls to refuse, so that `refused_share` of all calls is refused."""
+    admitted = (1 - refused_share) * sum(demand.values())
+    level, shares, remaining = 0.0, {}, sorted(demand, key=lambda name: demand[name] / tenant_weights[name])
+    while remaining:
+        level = admitted / sum(tenant_weights[name] for name in remaining)
+        if demand[remaining[0]] > level * tenant_weights[remaining[0]]:
             break
-        name = waiting.pop(0)
-        found[name] = 0.0
-        let_in -= came[name]
-    return found | {name: 1 - level * weight[name] / came[name] for name in waiting}
+        name = remaining.pop(0)
+        shares[name] = 0.0
+        admitted -= demand[name]
+    return shares | {name: 1 - level * tenant_weights[name] / demand[name] for name in remaining}
