--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -11,7 +11,7 @@
 from gevent.event import Event
 
 from threadshift.conf.values import Address, address
-from threadshift.invoke.http import Connection, Watch
+from threadshift.invoke.http import Connection, TimeoutMonitor
 from threadshift.invoke.requests import Response
 from threadshift.links.codec import VERSION, Frames, encode
 from threadshift.links.sockets import READ, connect, listener
@@ -39,7 +39,7 @@
                                   effect="repeatable", left=10**9, body=exchange.body))
         self.wakes[n].set()
 
-    def gone(self, exchange):
+    def on_client_gone(self, exchange):
         pass
 
     def write(self, n):
@@ -67,11 +67,11 @@
     relay = Relay([address(each) for each in sys.argv[2:]])
     sock = listener(Address("127.0.0.1", int(sys.argv[1])), shared=False)
     print("listening", os.getpid(), flush=True)
-    watch = Watch()
+    timeout_monitor = TimeoutMonitor()
     while True:
         client, _ = sock.accept()
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        gevent.spawn(Connection(client, relay, bounds, watch).serve)
+        gevent.spawn(Connection(client, relay, bounds, timeout_monitor).serve)
 
 
 if __name__ == "__main__":
--- a/threadshift/gateway/admin.py
+++ b/threadshift/gateway/admin.py
@@ -70,5 +70,5 @@
         except (ValueError, KeyError, TypeError) as it:
             raise Problem(400, "bad-request", repr(it)[:300]) from None
 
-    def gone(self, exchange: Exchange) -> None:
+    def on_client_gone(self, exchange: Exchange) -> None:
         """Nothing here waits."""
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -34,7 +34,7 @@
 from threadshift.invoke import requests
 from threadshift.invoke.api import PAUSE_OF, Invoke, busy
 from threadshift.invoke.deferred import InMemoryStore
-from threadshift.invoke.http import Application, Connection, Watch, whole
+from threadshift.invoke.http import Application, Connection, TimeoutMonitor, serialize
 from threadshift.invoke.shares import weights
 from threadshift.links.codec import Frame
 from threadshift.links.link import Link
@@ -48,8 +48,8 @@
 JOIN = 50 * MS             # between two tries to open what the front end that is replaced still holds
 ROOM_WAIT = 2 * MS         # for connections that make room to end: two rounds of the loop
 OPERATORS = 32             # connections at the operators' listener; clients cannot take these, nor one operator all
-FULL = [whole(requests.problem(busy(503, "too-many-connections", "no more connections are kept here", pause)),
-              keep=False) for pause in PAUSE_OF]
+FULL = [serialize(requests.problem(busy(503, "too-many-connections", "no more connections are kept here", pause)),
+              keep_alive=False) for pause in PAUSE_OF]
 
 
 class FrontEnd(BaseFrontEnd):
@@ -69,7 +69,7 @@
         weight = weights(told.deployment.tenants)
         self.deferred_calls = InMemoryStore(bounds.deferred, bounds.results, bounds.keep_results, weight)
         self.admission = Admission(min(each.target_latency for each in told.deployment.types), weight)
-        self.watch = Watch()
+        self.timeout_monitor = TimeoutMonitor()
         self.api = Invoke(told, self.name, f"http://{self.own}" if self.own else "", self.deferred_calls,
                           self.admission, log, self.status, weight)
         self.poll_monitor, self.api.read_updates = self.api.poll_monitor, self.read_updates
@@ -211,7 +211,7 @@
             self.arrivals.record(time.monotonic_ns())
             if len(self.connections) >= self.told.bounds.connections:
                 # Who holds connections and asks nothing makes room for who asks.
-                self.watch.make_room(time.monotonic_ns())
+                self.timeout_monitor.make_room(time.monotonic_ns())
                 gevent.sleep(ROOM_WAIT / SECOND)
             if len(self.connections) >= self.told.bounds.connections:
                 self.api.refusal_counters.record(time.monotonic_ns(), "too-many-connections")
@@ -236,7 +236,7 @@
     def converse(self, client: socket.socket, application: Application, unread: int = 0) -> None:
         """One client's connection. What fails in it is a fault of ours, logged, and ends it alone."""
         try:
-            Connection(client, application, self.told.bounds, self.watch, unread).serve()
+            Connection(client, application, self.told.bounds, self.timeout_monitor, unread).serve()
         except Exception as fault:
             cause = fault.__context__ or fault      # a parser wraps what its callbacks raise
             self.note("fault", level="error", **fault_of(cause))
@@ -247,7 +247,7 @@
         A fault in what it calls is ours, and ends the process loudly: half a front end is worse than none."""
         for now, late in ticks(self.told.deployment.tick, over):
             now = self.on_tick(now, late)
-            self.watch.tick(now)
+            self.timeout_monitor.tick(now)
             self.api.tick(now)
             if self.replicated_services is not None:
                 self.replicated_services.tick(now)
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -16,7 +16,7 @@
 from threadshift.invoke import requests
 from threadshift.invoke.admission import Admission
 from threadshift.invoke.deferred import DeferredCall, DeferredCallStore
-from threadshift.invoke.http import Exchange, whole
+from threadshift.invoke.http import Exchange, serialize
 from threadshift.invoke.poll_monitor import CATCH_UP_TIME, STALL_THRESHOLD, PollMonitor
 from threadshift.invoke.requests import BATCH, BATCH_CANCEL, CALLS, CANCEL, DEFERRED, Problem, Response
 from threadshift.invoke.shares import SharedCapacity
@@ -38,7 +38,7 @@
 
 def ready(response: Response) -> Response:
     """Rendered once, for everybody who gets the same."""
-    response.ready = whole(response)
+    response.serialized = serialize(response)
     return response
 
 
@@ -162,14 +162,14 @@
         # First, as what is refused must cost as little as can be: at the limit all else is work for nothing.
         tenant = exchange.headers.get("tenant", "")
         if not self.admission.admit(exchange.headers.get("repetition") == "?1", tenant):
-            exchange.connection.pause = self.admission.read_pause(tenant)
+            exchange.connection.read_pause = self.admission.read_pause(tenant)
             self.refusal_counters.record(time.monotonic_ns(), "overloaded", self.capacity.key(tenant))
             exchange.respond(next(self.overloaded))
             return
         call = requests.call_of(path, exchange.headers, exchange.body, self.functions)
         wish = requests.prefer(exchange.headers.get("prefer", ""))
         # It may have lain unread since the event loop looked last: its client's time ran all the while.
-        unread = max(exchange.unread, self.poll_monitor.unread_time(time.monotonic_ns()))
+        unread = max(exchange.unread_time, self.poll_monitor.unread_time(time.monotonic_ns()))
         if unread >= STALL_THRESHOLD:
             # The roster's word, or a worker's, may lie unread too, and rule 3 counts from when it came. Found by a
             # hunt: calls read first after a standstill went to workers that had long been told of as draining.
@@ -196,8 +196,8 @@
         if wish.deferred:
             self.take_deferred(exchange, call)
             return
-        exchange.held = True        # taken may be answered before take() returns
-        exchange.held = self.desk.take(time.monotonic_ns(), self.number(), call, exchange)
+        exchange.pending = True        # taken may be answered before take() returns
+        exchange.pending = self.desk.take(time.monotonic_ns(), self.number(), call, exchange)
 
     def turned_away(self, status: int, kind: str, detail: str, tenant: str) -> Problem:
         self.refusal_counters.record(time.monotonic_ns(), kind, self.capacity.key(tenant))
@@ -218,7 +218,7 @@
             it.is_collected = True
             exchange.respond(requests.final(it.answer, ivk))
         elif wish.wait:
-            exchange.waits = it
+            exchange.awaited_call = it
             self.deferred_calls.add_waiter(
                 it, exchange, time.monotonic_ns() + min(wish.wait, self.told.bounds.longest_wait))
         else:
@@ -227,13 +227,13 @@
     def pending(self, ivk: str) -> Response:
         return requests.pending(ivk, self.batch_service.state_of(ivk) if self.batch_service is not None else None)
 
-    def gone(self, exchange: Exchange) -> None:
+    def on_client_gone(self, exchange: Exchange) -> None:
         """The client of an unanswered exchange is gone."""
-        if exchange.waits is not None:
-            exchange.waits.waiters.pop(exchange, None)
-        elif isinstance(exchange.held, Held) and not exchange.held.settled:
-            self.capacity.release(exchange.held.call.tenant)
-            exchange.held.left(time.monotonic_ns())
+        if exchange.awaited_call is not None:
+            exchange.awaited_call.waiters.pop(exchange, None)
+        elif isinstance(exchange.pending, Held) and not exchange.pending.settled:
+            self.capacity.release(exchange.pending.call.tenant)
+            exchange.pending.left(time.monotonic_ns())
 
     def tick(self, now: int) -> None:
         for exchange, it in self.deferred_calls.tick(now):
--- a/threadshift/invoke/requests.py
+++ b/threadshift/invoke/requests.py
@@ -53,7 +53,7 @@
     status: int
     headers: Headers
     body: bytes = b""
-    ready: bytes = b""           # the whole of it as bytes, where it is the same for everybody
+    serialized: bytes = b""      # all of it as bytes, where it is the same for all clients
 
 
 @dataclass(slots=True)
