--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,7 +18,7 @@
 from tests.live import Live, until
 from threadshift.conf.values import Address
 from threadshift.gateway.demo import Demo
-from threadshift.gateway.restart_backoff import FIRST, MOST, STEADY, RestartBackoff
+from threadshift.gateway.restart_backoff import FIRST_DELAY, MAX_DELAY, STABLE_RUNTIME, RestartBackoff
 from threadshift.interface import MS, SECOND, State
 from threadshift.invoke.client import Client, NoAnswer
 from threadshift.standins.common import Record
@@ -144,7 +144,7 @@
                 it.end()
                 self.assertEqual(it.process.returncode, 0)
                 pauses = [int(each) for each in re.findall(r'"again_ms": (\d+)', errors.read_text())]
-                self.assertEqual(pauses[:3], [0, FIRST // MS, 2 * FIRST // MS])
+                self.assertEqual(pauses[:3], [0, FIRST_DELAY // MS, 2 * FIRST_DELAY // MS])
                 self.assertIn("Address already in use", errors.read_text())
                 self.assertNotIn("Traceback", errors.read_text())
 
@@ -208,12 +208,12 @@
         it, now = RestartBackoff(), 100 * SECOND
         pauses = []
         for _ in range(12):
-            it.start(now)
-            pauses.append(it.died(now + MS) - now - MS)
-        self.assertEqual(pauses[:4], [0, FIRST, 2 * FIRST, 4 * FIRST])
-        self.assertEqual(pauses[-1], MOST)
-        it.start(now)
-        self.assertEqual(it.died(now + STEADY), now + STEADY)
+            it.on_started(now)
+            pauses.append(it.on_died(now + MS) - now - MS)
+        self.assertEqual(pauses[:4], [0, FIRST_DELAY, 2 * FIRST_DELAY, 4 * FIRST_DELAY])
+        self.assertEqual(pauses[-1], MAX_DELAY)
+        it.on_started(now)
+        self.assertEqual(it.on_died(now + STABLE_RUNTIME), now + STABLE_RUNTIME)
 
 
 class Membership(unittest.TestCase):
--- a/threadshift/gateway/demo.py
+++ b/threadshift/gateway/demo.py
@@ -1,4 +1,4 @@
-"""Everything at once on loopback, for a first look: the gateway with its stand-ins, each a process of its own."""
+"""A demonstration on loopback: the gateway and its stand-ins, each a process of its own."""
 from __future__ import annotations
 
 import time
@@ -10,7 +10,7 @@
 from threadshift.links.sockets import listener
 from threadshift.standins.rig import Rig, free_ports
 
-READY_LIMIT = 20           # s until the gateway must have links to all workers
+READY_TIMEOUT_S = 20       # until the gateway must have links to all workers
 CONF = """
 listen 127.0.0.1:{port}
 front-ends {front_ends}
@@ -39,7 +39,7 @@
 
 
 class Demo:
-    """Started with `with`; ended with it."""
+    """Runs as a context manager: __enter__ starts all processes, __exit__ ends them."""
 
     def __init__(self, folder: Path, port: int, workers: int, front_ends: int):
         self.rig, self.port, self.workers, self.front_ends = Rig(folder), port, workers, front_ends
@@ -66,28 +66,29 @@
             rig.standin(name, "worker", name=name, store=rig.at["store"])
         for name in names:
             rig.processes["roster"].order(f"worker {name} {rig.listening(name)}")
-        own = free_ports(1)[0] if self.front_ends == 1 else consecutive(self.front_ends)
+        own_port = free_ports(1)[0] if self.front_ends == 1 else consecutive_ports(self.front_ends)
         conf = rig.folder / "threadshift.conf"
-        conf.write_text(CONF.format(port=self.port, front_ends=self.front_ends, own=own, roster=rig.at["roster"]))
+        conf.write_text(CONF.format(port=self.port, front_ends=self.front_ends, own=own_port,
+                                    roster=rig.at["roster"]))
         rig.start("front", "run", str(conf))
-        for at in [self.port] if self.front_ends == 1 else range(own, own + self.front_ends):
-            self.ready(at)
+        for at in [self.port] if self.front_ends == 1 else range(own_port, own_port + self.front_ends):
+            self.wait_until_ready(at)
 
-    def ready(self, port: int) -> None:
-        if self.rig.linked("front", Address("127.0.0.1", port), self.workers, READY_LIMIT):
+    def wait_until_ready(self, port: int) -> None:
+        if self.rig.linked("front", Address("127.0.0.1", port), self.workers, READY_TIMEOUT_S):
             return
         errors = (self.rig.folder / "front.err").read_text().strip().splitlines()
-        raise RuntimeError(f"the gateway did not start: {errors[-1] if errors else 'it says nothing'}")
+        raise RuntimeError(f"the gateway did not start: {errors[-1] if errors else 'it wrote no message'}")
 
     def wait(self, seconds: float | None) -> None:
-        """Until the time is up, or the gateway ends."""
+        """Waits until the time is up or the gateway ends."""
         until = time.monotonic() + seconds if seconds is not None else float("inf")
         while time.monotonic() < until and self.rig.processes["front"].alive:
             gevent.sleep(0.1)
 
 
-def consecutive(count: int) -> int:
-    """The first of some ports in a row that nobody listened at a moment ago."""
+def consecutive_ports(count: int) -> int:
+    """The first of `count` consecutive ports that were free a moment ago."""
     for first in range(20_000, 30_000, count):
         try:
             for sock in [listener(Address("127.0.0.1", first + n), shared=False) for n in range(count)]:
@@ -95,4 +96,4 @@
             return first
         except OSError:
             continue
-    raise RuntimeError("no free ports in a row")
+    raise RuntimeError(f"found no {count} consecutive free ports")
--- a/threadshift/gateway/fitness.py
+++ b/threadshift/gateway/fitness.py
@@ -1,4 +1,4 @@
-"""How many workers are fit, and how warm: signs that a front end and its model in the emulator gather alike."""
+"""How many workers are fit, and how warm they are; gathered alike by a front end and by its model in the emulator."""
 from __future__ import annotations
 
 from collections.abc import Callable
@@ -9,8 +9,8 @@
 
 class Fitness(NamedTuple):
     workers: int             # listed as ready
-    fit: int                 # of them linked and not suspended
-    warmth: float            # 0 to 1, mean over the fit
+    fit: int                 # of these, connected and not suspended
+    warmth: float            # from 0 to 1: the mean over the fit workers
 
 
 def fitness(dispatcher: Dispatcher, linked: Callable[[str], bool], now: int) -> Fitness:
--- a/threadshift/gateway/recent_calls.py
+++ b/threadshift/gateway/recent_calls.py
@@ -7,16 +7,16 @@
 from threadshift.desk.desk import Final, Held
 from threadshift.interface import SECOND, Outcome
 
-BUCKETS = 10               # seconds looked back on; shorter and few calls judge, longer and a fall is seen late
-MOST_ARRIVALS = 1_000      # times kept; a rate above a thousand a second is told as a thousand
-NEVER_CAME = (Outcome.UNREACHABLE, Outcome.MOOT)
+BUCKETS = 10               # of one second; with fewer, few calls decide; with more, a fall is seen late
+MAX_ARRIVALS = 1_000       # whose times are kept; a rate above a thousand a second is reported as a thousand
+NEVER_REACHED = (Outcome.UNREACHABLE, Outcome.MOOT)
 
 
 class ConnectionRate:
-    """New connections at the listeners."""
+    """The rate of new connections at the listeners."""
 
     def __init__(self) -> None:
-        self.times: deque[int] = deque(maxlen=MOST_ARRIVALS)
+        self.times: deque[int] = deque(maxlen=MAX_ARRIVALS)
         self.last = 0
 
     def record(self, now: int) -> None:
@@ -29,36 +29,37 @@
 
 
 class RecentCalls:
-    """Counts final answers as they are given."""
+    """Counts calls as they get their final answers."""
 
     def __init__(self, utilities: dict[str, float]):
         self.utilities = utilities
         self.buckets: deque[tuple[int, dict[str, list[float]]]] = deque()
 
     def record(self, now: int, held: Held) -> None:
-        """One activation that ended: answered, or left by its client before its target latency was up."""
-        late = now - held.taken > held.act.kind.target
-        if held.gone and not late:
+        """Counts one activation that was answered, or whose client left; not if it left within the target latency."""
+        is_late = now - held.taken > held.act.kind.target
+        if held.gone and not is_late:
             return
         second = now // SECOND
         if not self.buckets or self.buckets[-1][0] != second:
             self.buckets.append((second, {}))
-            self.fade(second)
+            self.drop_old_buckets(second)
         row = self.buckets[-1][1].setdefault(held.call.type, [0, 0.0, 0.0, 0, 0])
         utility = self.utilities[held.call.type]
-        done = held.answer is not None and held.answer.final is Final.COMPLETED
+        is_completed = held.answer is not None and held.answer.final is Final.COMPLETED
         row[0] += 1
         row[1] += utility
-        row[2] += utility * (done and not late)
-        row[3] += done
-        row[4] += not done and all(sent.outcome in NEVER_CAME for sent in held.sends)
+        row[2] += utility * (is_completed and not is_late)
+        row[3] += is_completed
+        row[4] += not is_completed and all(sent.outcome in NEVER_REACHED for sent in held.sends)
 
-    def fade(self, second: int) -> None:
+    def drop_old_buckets(self, second: int) -> None:
         while self.buckets and self.buckets[0][0] <= second - BUCKETS:
             self.buckets.popleft()
 
     def service(self, now: int) -> dict[str, Service]:
-        self.fade(now // SECOND)
+        """What was served lately, by namespace type."""
+        self.drop_old_buckets(now // SECOND)
         sums: dict[str, list[float]] = {}
         for _, rows in self.buckets:
             for name, row in rows.items():
@@ -66,8 +67,10 @@
         return {name: Service(int(row[0]), row[1], row[2], int(row[3]), int(row[4])) for name, row in sums.items()}
 
     def per_second(self, now: int) -> float:
-        """Calls in the fullest second of those looked back on: what they were answered is judged by it, and a mean
-        that an overload has just left looks easy while its late answers still count (found by emulation: two of
-        three halls lowered their preference after a burst, when traffic had ended)."""
-        self.fade(now // SECOND)
+        """Calls in the busiest of these seconds.
+
+        The answers of all these seconds are judged by this rate: a mean would look low as soon as an overload has
+        ended, while its late answers still count. In emulation, two of three zones lowered their preference after a
+        burst for that reason, when traffic had ended."""
+        self.drop_old_buckets(now // SECOND)
         return max((sum(row[0] for row in rows.values()) for _, rows in self.buckets), default=0.0)
--- a/threadshift/gateway/rollout_service.py
+++ b/threadshift/gateway/rollout_service.py
@@ -68,7 +68,7 @@
         told = self.versions.read("installed")
         if not self.version:
             with suppress(OSError):
-                self.versions.put("installed", {"conf": os.path.abspath(self.front.told.file)})
+                self.versions.write("installed", {"conf": os.path.abspath(self.front.told.file)})
             return self.front.told.file
         return str(told.get("conf", self.front.told.file))
 
@@ -97,7 +97,7 @@
         turned = sum(count for kind, count in self.front.api.refusal_counters.totals().items()
                      if not kind.startswith(FINALS))
         sums[DOOR] = [turned + self.front.desk.counts["taken"], turned, 0, 0, 0, [0] * BUCKETS]
-        return {"version": self.version, "life": self.carrier.life, "failed": self.versions.failed(),
+        return {"version": self.version, "life": self.carrier.life, "failed": self.versions.read_failed(),
                 "up": time.monotonic_ns() - self.started if heard else 0,
                 "can": self.can.get(it.id, "?") if it is not None else "",
                 "sums": sums,
@@ -145,7 +145,7 @@
                 tree = what["tree"]
                 if digest_of(Path(tree)) != what["digest"]:
                     raise BadChange(f"the program is not the one that the rollout names: {what['digest'][:16]}", tree)
-        path = self.versions.conf(version)
+        path = self.versions.configuration_path(version)
         text = patch.text(patch.patched(load(self.installed), changes, self.installed))
         self.versions.disk.put(path, f"# {version or 'as installed'}, made from {self.installed}\n{text}".encode())
         installation.read_text(text, str(path))
@@ -158,7 +158,7 @@
         """Writes down what should run, and wakes the supervisor. On the way back each waits for its turn."""
         gevent.sleep(self.turn() / SECOND)
         wanted = self.rollouts.version_of(self.front.name)
-        if wanted.place != place or wanted.name == self.versions.failed() != "":
+        if wanted.place != place or wanted.name == self.versions.read_failed() != "":
             return                  # the record has moved on; or it failed here, and that is told with each report
         try:
             it, problem = self.prepared(ids)
@@ -168,10 +168,10 @@
             self.front.note("version-not-taken", level="error", version="+".join(ids), problem=problem,
                             help=BadChange.help)
             with suppress(OSError):
-                self.versions.note_failed("+".join(ids))
+                self.versions.write_failed("+".join(ids))
             return
         self.front.note("version-wanted", version=it.version, place=place)
-        self.versions.want(it._replace(place=place))
+        self.versions.write_wanted(it._replace(place=place))
         with suppress(OSError):
             os.kill(os.getppid(), signal.SIGUSR1)
 
--- a/threadshift/gateway/supervisor.py
+++ b/threadshift/gateway/supervisor.py
@@ -41,8 +41,8 @@
             from threadshift.rollout.swap import Swap, Wanted
             self.versions = VersionFiles(told.peering.folder, self.name)
             self.installed = Wanted(conf=told.file)
-            it = self.versions.wanted()
-            good = it is not None and it.version != self.versions.failed() and os.path.exists(it.conf)
+            it = self.versions.read_wanted()
+            good = it is not None and it.version != self.versions.read_failed() and os.path.exists(it.conf)
             self.swap = Swap(it if it is not None and good else self.installed)
 
     def spawn(self, conf: str, version: str = "", tree: str = "", ready: int = -1) -> subprocess.Popen:
@@ -55,7 +55,7 @@
                                 pass_fds=[ready] if ready >= 0 else [])
 
     def start(self) -> None:
-        self.restarts.start(time.monotonic_ns())
+        self.restarts.on_started(time.monotonic_ns())
         if self.swap is None:
             self.process = self.spawn(self.told.file)
         else:
@@ -72,7 +72,7 @@
             code = self.process.returncode
             self.process = None
             if not ending:
-                self.due = self.restarts.died(now)
+                self.due = self.restarts.on_died(now)
                 self.log.note("front-end-died", level="error", index=self.index, code=code,
                               again_ms=(self.due - now) // MS)
                 if self.swap is not None:
@@ -94,7 +94,7 @@
         swap = self.swap
         assert swap is not None
         acts = swap.tick(now)
-        if (it := self.versions.wanted()) is not None:
+        if (it := self.versions.read_wanted()) is not None:
             acts += swap.wanted(now, it)
         if self.coming is not None:
             if self.coming.poll() is not None:
@@ -120,7 +120,7 @@
                     self.process.send_signal(signal.SIGTERM)
                     self.old.append((self.process, now + self.told.bounds.drain + KILL_AFTER))
                 self.process, self.coming = self.coming, None
-                self.restarts.start(now)
+                self.restarts.on_started(now)
                 os.close(self.ready)
             elif act is Act.GIVE_UP and self.coming is not None:
                 self.coming.kill()
@@ -135,7 +135,7 @@
             self.log.note("version-failed", level="error", index=self.index, version=version,
                           runs=self.swap.running.version, help="see the log of the child that did not come up")
             with suppress(OSError):
-                self.versions.note_failed(version)
+                self.versions.write_failed(version)
 
 
 class Supervisor:
--- a/threadshift/gateway/version_files.py
+++ b/threadshift/gateway/version_files.py
@@ -1,4 +1,4 @@
-"""The files by which a front end and its supervisor tell each other which version should run, and which failed."""
+"""Files through which a front end and its supervisor exchange which version should run and which version failed."""
 from __future__ import annotations
 
 import json
@@ -7,44 +7,44 @@
 from threadshift.rollout.swap import Wanted
 from threadshift.storage.disk import Disk
 
-FORM = 1
+FORM = 1                   # of these files
 
 
 class VersionFiles:
-    """Of one front end."""
+    """The files of one front end."""
 
     def __init__(self, folder: Path, name: str):
         self.folder, self.name, self.disk = folder, name, Disk()
 
-    def wanted(self) -> Wanted | None:
-        told = self.read("version")
+    def read_wanted(self) -> Wanted | None:
+        fields = self.read("version")
         try:
-            return Wanted(int(told["place"]), str(told["version"]), str(told["conf"]), str(told["tree"]))
+            return Wanted(int(fields["place"]), str(fields["version"]), str(fields["conf"]), str(fields["tree"]))
         except (KeyError, ValueError):
             return None
 
-    def want(self, it: Wanted) -> None:
+    def write_wanted(self, wanted: Wanted) -> None:
         """Raises OSError."""
-        self.put("version", it._asdict())
+        self.write("version", wanted._asdict())
 
-    def failed(self) -> str:
+    def read_failed(self) -> str:
         return str(self.read("failed").get("version", ""))
 
-    def note_failed(self, version: str) -> None:
+    def write_failed(self, version: str) -> None:
         """Raises OSError."""
-        self.put("failed", {"version": version})
+        self.write("failed", {"version": version})
 
-    def conf(self, version: str) -> Path:
+    def configuration_path(self, version: str) -> Path:
         return self.folder / f"{self.name}.{version or 'installed'}.conf"
 
-    def read(self, what: str) -> dict:
-        """Empty where there is none, or it is of another form: then what is installed runs."""
+    def read(self, kind: str) -> dict:
+        """The fields of a file; empty if there is none or its form is another: then the installed version runs."""
         try:
-            told = json.loads(self.disk.read(self.folder / f"{self.name}.{what}"))
-            return told if isinstance(told, dict) and told.get("form") == FORM else {}
+            fields = json.loads(self.disk.read(self.folder / f"{self.name}.{kind}"))
+            return fields if isinstance(fields, dict) and fields.get("form") == FORM else {}
         except (OSError, ValueError):
             return {}
 
-    def put(self, what: str, told: dict) -> None:
+    def write(self, kind: str, fields: dict) -> None:
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.disk.put(self.folder / f"{self.name}.{what}", json.dumps({"form": FORM, **told}).encode())
+        self.disk.put(self.folder / f"{self.name}.{kind}", json.dumps({"form": FORM, **fields}).encode())
