--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -274,10 +274,10 @@
             told, most = self.follow(it, ["f3", "f0"], ("done", "back"), 60)
             self.assertEqual((told["state"], most), ("back", 0), told)
             self.assertIn("could not start it", told["why"])
-            fails = it.tree("fails", [("invoke/api.py", "        call = requests.call_of(", """
+            fails = it.tree("fails", [("invoke/api.py", "        call = requests.parse_call(", """
         if time.time_ns() // 1000 % 3 == 0:
             raise self.turned_away(503, 'planted', 'one call in three', tenant)
-        call = requests.call_of(""")])
+        call = requests.parse_call(""")])
             self.order(it, "f3", "/v1/rollouts", {"tree": str(fails), "hold-s": 6, "stages": [0, 1]})
             told, most = self.follow(it, ["f3", "f0"], ("done", "back"), 90)
             self.assertEqual(told["state"], "back", told)
--- a/threadshift/gateway/admin.py
+++ b/threadshift/gateway/admin.py
@@ -34,7 +34,7 @@
             exchange.respond(Response(200, [("Content-Type", "application/json")],
                                       json.dumps(self.answer(exchange)).encode()))
         except Problem as it:
-            exchange.respond(requests.problem(it))
+            exchange.respond(requests.problem_response(it))
 
     def answer(self, exchange: Exchange) -> object:
         if exchange.path == "/v1/status" and exchange.method == "GET":
--- a/threadshift/gateway/batch_service.py
+++ b/threadshift/gateway/batch_service.py
@@ -160,11 +160,11 @@
             if not good:
                 self.front.deferred_calls.finish(time.monotonic_ns(), deferral, Answer(Final.REJECTED, "not-kept"))
                 self.front.deferred_calls.forget(deferral)
-                exchange.respond(requests.problem(Problem(503, "cannot-be-kept", Unkept.help)))
+                exchange.respond(requests.problem_response(Problem(503, "cannot-be-kept", Unkept.help)))
                 return
             self.calls[ivk] = it, call, deferral
             self.queue.add(it)
-            exchange.respond(requests.accepted(ivk, self.front.api.base))
+            exchange.respond(requests.accepted_response(ivk, self.front.api.base))
 
         self.keep([taken], kept)
 
@@ -241,7 +241,7 @@
                 gevent.spawn_later(AGAIN / SECOND, self.keep_final, it, answer, deferral)
                 return
             for exchange in self.front.deferred_calls.finish(time.monotonic_ns(), deferral, answer):
-                exchange.respond(requests.final(answer, it.ivk))
+                exchange.respond(requests.final_response(answer, it.ivk))
 
         self.keep([told], kept)
 
@@ -321,20 +321,20 @@
         """Does what a client asks of batches, on a greenlet of its own: it may take some seconds."""
         if self.under_way >= WORDS:
             raise Problem(503, "too-many-orders", f"{WORDS} orders on batches are under way here",
-                          headers=requests.retry_after(SECOND))
+                          headers=requests.retry_headers(SECOND))
         self.under_way += 1
 
         def run() -> None:
             try:
                 exchange.respond(Response(200, [("Content-Type", "application/json")], json.dumps(act()).encode()))
             except Problem as it:
-                exchange.respond(requests.problem(it))
+                exchange.respond(requests.problem_response(it))
             except NotHeard as it:
-                exchange.respond(requests.problem(Problem(503, "record-not-heard", f"{it}; {it.help}",
-                                                          headers=requests.retry_after(SECOND))))
+                exchange.respond(requests.problem_response(Problem(503, "record-not-heard", f"{it}; {it.help}",
+                                                          headers=requests.retry_headers(SECOND))))
             except Cause as it:
                 status = 404 if isinstance(it, NoSuchCancel) else 409
-                exchange.respond(requests.problem(Problem(status, kind_of(it), f"{it}; {it.help}")))
+                exchange.respond(requests.problem_response(Problem(status, kind_of(it), f"{it}; {it.help}")))
             finally:
                 self.under_way -= 1
 
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -48,8 +48,9 @@
 JOIN = 50 * MS             # between two tries to open what the front end that is replaced still holds
 ROOM_WAIT = 2 * MS         # for connections that make room to end: two rounds of the loop
 OPERATORS = 32             # connections at the operators' listener; clients cannot take these, nor one operator all
-FULL = [serialize(requests.problem(busy(503, "too-many-connections", "no more connections are kept here", pause)),
-              keep_alive=False) for pause in PAUSE_OF]
+FULL = [serialize(requests.problem_response(
+    busy(503, "too-many-connections", "the limit of connections is reached", pause)), keep_alive=False)
+        for pause in PAUSE_OF]
 
 
 class FrontEnd(BaseFrontEnd):
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -18,7 +18,8 @@
 from threadshift.invoke.deferred import DeferredCall, DeferredCallStore
 from threadshift.invoke.http import Exchange, serialize
 from threadshift.invoke.poll_monitor import CATCH_UP_TIME, STALL_THRESHOLD, PollMonitor
-from threadshift.invoke.requests import BATCH, BATCH_CANCEL, CALLS, CANCEL, DEFERRED, Problem, Response
+from threadshift.invoke.requests import (
+    BATCH_CANCEL_PATH, BATCH_PATH, CALL_PATH, CALLS_PATH, CANCEL_RESTORE_PATH, Problem, Response)
 from threadshift.invoke.shares import SharedCapacity
 from threadshift.invoke.refusal_counters import RefusalCounters
 from threadshift.log import Log
@@ -33,7 +34,7 @@
 
 def busy(status: int, kind: str, detail: str, pause: int = BUSY_PAUSE) -> Problem:
     """Not taken: a rejection at the door, which promises that nothing ran."""
-    return Problem(status, kind, detail, headers=[("Final", Final.REJECTED.value), *requests.retry_after(pause)])
+    return Problem(status, kind, detail, headers=[("Final", Final.REJECTED.value), *requests.retry_headers(pause)])
 
 
 def ready(response: Response) -> Response:
@@ -42,7 +43,7 @@
     return response
 
 
-OVERLOADED = [ready(requests.problem(busy(503, "overloaded", "this front end is at its limit", pause)))
+OVERLOADED = [ready(requests.problem_response(busy(503, "overloaded", "this front end is at its limit", pause)))
               for pause in PAUSE_OF]
 
 
@@ -73,7 +74,7 @@
                  admission: Admission, log: Log, status: Callable[[], dict[str, Any]], weight: Mapping[str, float]):
         self.told, self.base, self.deferred_calls, self.admission = told, base, deferred_calls, admission
         self.log, self.status = log, status
-        self.functions = requests.Functions(told)
+        self.functions = requests.FunctionTable(told)
         self.closing = False
         self.capacity = SharedCapacity(told.bounds.activations, weight)   # for activations under way
         self.refusal_counters = RefusalCounters()
@@ -91,7 +92,7 @@
 
     def reload(self, told: Installation) -> None:
         """Another configuration, for calls from now on."""
-        self.told, self.functions = told, requests.Functions(told)
+        self.told, self.functions = told, requests.FunctionTable(told)
         self.capacity.limit = told.bounds.activations
 
     # Exchanges.
@@ -100,14 +101,14 @@
         try:
             self.route(exchange)
         except Problem as it:
-            exchange.respond(requests.problem(it))
+            exchange.respond(requests.problem_response(it))
 
     def route(self, exchange: Exchange) -> None:
         path = exchange.path.split("?")[0]
-        if CALLS.fullmatch(path):
+        if CALLS_PATH.fullmatch(path):
             self.only(exchange, "POST")
             self.take(exchange, path)
-        elif match := DEFERRED.fullmatch(path):
+        elif match := CALL_PATH.fullmatch(path):
             if exchange.method == "DELETE":
                 self.drop(exchange, match[1])
                 return
@@ -116,7 +117,8 @@
         elif path == "/v1/status":
             self.only(exchange, "GET")
             exchange.respond(Response(200, [("Content-Type", "application/json")], self.status_now()))
-        elif match := BATCH_CANCEL.fullmatch(path) or CANCEL.fullmatch(path) or BATCH.fullmatch(path):
+        elif match := (BATCH_CANCEL_PATH.fullmatch(path) or CANCEL_RESTORE_PATH.fullmatch(path)
+                       or BATCH_PATH.fullmatch(path)):
             self.of_batches(exchange, match)
         else:
             raise Problem(404, "no-such-path", f"nothing stands at {path[:100]}")
@@ -144,8 +146,8 @@
     def of_batches(self, exchange: Exchange, match: re.Match[str]) -> None:
         """An order on a batch, or a question about one. Its tenant is that of the header."""
         it, tenant, name = self.batches(), exchange.headers.get("tenant", ""), match[1]
-        self.only(exchange, "GET" if match.re is BATCH else "POST")
-        act = {BATCH: it.show, BATCH_CANCEL: it.cancel, CANCEL: it.restore}[match.re]
+        self.only(exchange, "GET" if match.re is BATCH_PATH else "POST")
+        act = {BATCH_PATH: it.show, BATCH_CANCEL_PATH: it.cancel, CANCEL_RESTORE_PATH: it.restore}[match.re]
         it.handle(exchange, lambda: act(tenant, name))
 
     def drop(self, exchange: Exchange, ivk: str) -> None:
@@ -156,7 +158,7 @@
             raise Problem(404, "no-such-call", "no call of a batch with this id waits here", "id") from None
         if answer is None:
             raise Problem(409, "under-way", "it is out at a worker and may have begun; its answer will stand")
-        exchange.respond(requests.final(answer, ivk))
+        exchange.respond(requests.final_response(answer, ivk))
 
     def take(self, exchange: Exchange, path: str) -> None:
         # First, as what is refused must cost as little as can be: at the limit all else is work for nothing.
@@ -166,8 +168,8 @@
             self.refusal_counters.record(time.monotonic_ns(), "overloaded", self.capacity.key(tenant))
             exchange.respond(next(self.overloaded))
             return
-        call = requests.call_of(path, exchange.headers, exchange.body, self.functions)
-        wish = requests.prefer(exchange.headers.get("prefer", ""))
+        call = requests.parse_call(path, exchange.headers, exchange.body, self.functions)
+        wish = requests.parse_preference(exchange.headers.get("prefer", ""))
         # It may have lain unread since the event loop looked last: its client's time ran all the while.
         unread = max(exchange.unread_time, self.poll_monitor.unread_time(time.monotonic_ns()))
         if unread >= STALL_THRESHOLD:
@@ -188,7 +190,7 @@
                                    tenant)
         if wish.deferred and not self.deferred_calls.has_room(tenant):
             raise self.turned_away(429, "too-many-deferred", "the waiting list is full", tenant)
-        batch = requests.batch_of(exchange.headers, wish)
+        batch = requests.batch_name(exchange.headers, wish)
         if batch:
             self.batches().accept(exchange, call, batch)
             return
@@ -206,17 +208,17 @@
     def take_deferred(self, exchange: Exchange, call: Call) -> None:
         ivk = self.number()
         it = self.deferred_calls.add(ivk, call.tenant)
-        exchange.respond(requests.accepted(ivk, self.base))
+        exchange.respond(requests.accepted_response(ivk, self.base))
         self.desk.take(time.monotonic_ns(), ivk, call, it)
 
     def collect(self, exchange: Exchange, ivk: str) -> None:
         it = self.deferred_calls.find(ivk)
         if it is None:
             raise Problem(404, "no-such-call", "never accepted here, or no longer kept", "id")
-        wish = requests.prefer(exchange.headers.get("prefer", ""))
+        wish = requests.parse_preference(exchange.headers.get("prefer", ""))
         if it.answer is not None:
             it.is_collected = True
-            exchange.respond(requests.final(it.answer, ivk))
+            exchange.respond(requests.final_response(it.answer, ivk))
         elif wish.wait:
             exchange.awaited_call = it
             self.deferred_calls.add_waiter(
@@ -225,7 +227,8 @@
             exchange.respond(self.pending(ivk))
 
     def pending(self, ivk: str) -> Response:
-        return requests.pending(ivk, self.batch_service.state_of(ivk) if self.batch_service is not None else None)
+        return requests.pending_response(
+            ivk, self.batch_service.state_of(ivk) if self.batch_service is not None else None)
 
     def on_client_gone(self, exchange: Exchange) -> None:
         """The client of an unanswered exchange is gone."""
@@ -259,11 +262,11 @@
         self.recent.record(held.answered_at, held)
         if isinstance(held.client, DeferredCall):
             for exchange in self.deferred_calls.finish(held.answered_at, held.client, answer):
-                exchange.respond(requests.final(answer, held.ivk))
+                exchange.respond(requests.final_response(answer, held.ivk))
         elif self.batch_service is not None and self.batch_service.owns(held):
             self.batch_service.answered(held)
         else:
-            held.client.respond(requests.final(answer, held.ivk))
+            held.client.respond(requests.final_response(answer, held.ivk))
         self.tell(held, answer)
 
     def over(self, held: Held) -> None:
--- a/threadshift/invoke/http.py
+++ b/threadshift/invoke/http.py
@@ -20,7 +20,7 @@
 
 from threadshift.conf.installation import Bounds
 from threadshift.interface import MS, SECOND
-from threadshift.invoke.requests import Problem, Response, problem
+from threadshift.invoke.requests import Problem, Response, problem_response
 
 READ_SIZE = 64 << 10                     # bytes
 NO_DEADLINE = 1 << 62
@@ -182,7 +182,7 @@
             if refusal is not None:
                 last = Exchange(self, "", "", {}, b"", False)
                 self.exchanges.append(last)
-                last.respond(problem(refusal))
+                last.respond(problem_response(refusal))
                 writer.join((self.bounds.longest_wait + self.bounds.write) / SECOND)
                 self.linger()
         finally:
--- a/threadshift/invoke/requests.py
+++ b/threadshift/invoke/requests.py
@@ -1,7 +1,7 @@
-"""The invoke API's words: HTTP requests as calls, final answers as responses. Free of I/O.
+"""The invoke API's requests and responses: parses HTTP requests into calls, renders final answers. Free of I/O.
 
-docs/invoke-api.md has the whole of it. A request that cannot be understood is a `Problem` that names its field
-(RFC 9457); it was not taken, so no final answer is owed for it.
+docs/invoke-api.md describes the API. A request that cannot be parsed raises a `Problem` that names the field at fault
+(RFC 9457). It was not accepted, so no final answer is owed for it.
 """
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 from threadshift.errors import Cause
 from threadshift.interface import MS, SECOND, Effect, NamespaceType
 
-FUNCTION = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@-]{0,127}")
-MARK = re.compile(r"[\x21-\x7e]{1,128}")       # of an idempotency key, quoted or not
-CALLS = re.compile(r"/v1/functions/([^/?]+)/calls")
-DEFERRED = re.compile(r"/v1/calls/([A-Za-z0-9._:-]{1,128})")
-NAMED = r"([A-Za-z0-9][A-Za-z0-9._:-]{0,127})"
-BATCH = re.compile(rf"/v1/batches/{NAMED}")
-BATCH_CANCEL = re.compile(rf"/v1/batches/{NAMED}/cancel")
-CANCEL = re.compile(rf"/v1/cancels/{NAMED}/restore")
-MOST_NAMES = 10_000        # functions whose look-up is remembered at once
-PROBLEM_TYPES = "urn:threadshift:problem:"      # a URN needs no page behind it (RFC 9457, section 3.1.1)
+FUNCTION_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@-]{0,127}")
+IDEMPOTENCY_KEY = re.compile(r"[\x21-\x7e]{1,128}")       # without the quotes that may surround it
+CALLS_PATH = re.compile(r"/v1/functions/([^/?]+)/calls")
+CALL_PATH = re.compile(r"/v1/calls/([A-Za-z0-9._:-]{1,128})")
+NAME_PATTERN = r"([A-Za-z0-9][A-Za-z0-9._:-]{0,127})"
+BATCH_PATH = re.compile(rf"/v1/batches/{NAME_PATTERN}")
+BATCH_CANCEL_PATH = re.compile(rf"/v1/batches/{NAME_PATTERN}/cancel")
+CANCEL_RESTORE_PATH = re.compile(rf"/v1/cancels/{NAME_PATTERN}/restore")
+MAX_CACHED_NAMES = 10_000
+PROBLEM_TYPE_PREFIX = "urn:threadshift:problem:"     # a URN need not resolve to a page (RFC 9457, section 3.1.1)
 
 Headers = list[tuple[str, str]]
 
 
 @dataclass
 class Problem(Cause):
-    """Why a request was not taken."""
+    """Why a request was not accepted."""
 
-    help = "none: its client is told what to change, and when to come back"
+    help = "none: the answer tells the client what to change and when to retry"
 
     status: int
     kind: str
     detail: str
-    where: str = ""             # the field that is wrong
+    where: str = ""             # the header or field at fault
     headers: Headers = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -50,6 +50,8 @@
 
 @dataclass(slots=True)
 class Response:
+    """A response to a client."""
+
     status: int
     headers: Headers
     body: bytes = b""
@@ -58,13 +60,14 @@
 
 @dataclass(slots=True)
 class Preference:
-    """RFC 7240: what the Prefer header asks for."""
+    """What the Prefer header asks for (RFC 7240)."""
 
     deferred: bool = False
     wait: int | None = None      # ns
 
 
-def prefer(text: str) -> Preference:
+def parse_preference(text: str) -> Preference:
+    """Parses a Prefer header. Raises Problem."""
     found = Preference()
     for part in text.split(","):
         name, _, value = part.split(";")[0].partition("=")
@@ -73,120 +76,124 @@
             found.deferred = True
         elif name == "wait":
             if not re.fullmatch(r"\d{1,6}", value):
-                raise Problem(400, "bad-request", "Prefer: wait takes whole seconds", "Prefer")
+                raise Problem(400, "bad-request", "Prefer: wait must be a whole number of seconds", "Prefer")
             found.wait = int(value) * SECOND
     return found
 
 
-def batch_of(headers: Mapping[str, str], wish: Preference) -> str:
-    """The batch that a call belongs to, empty: none. Raises Problem."""
+def batch_name(headers: Mapping[str, str], preference: Preference) -> str:
+    """The batch that a call belongs to; empty if none. Raises Problem."""
     name = headers.get("batch", "")
-    if name and not re.fullmatch(NAMED, name):
-        raise Problem(400, "bad-request", "Batch takes a name of letters, digits and . _ : -, 128 at most", "Batch")
-    if name and not wish.deferred:
-        raise Problem(400, "bad-request", "only deferred calls belong to a batch: Prefer: respond-async", "Batch")
+    if name and not re.fullmatch(NAME_PATTERN, name):
+        raise Problem(400, "bad-request", "Batch must be a name of at most 128 letters, digits and . _ : -", "Batch")
+    if name and not preference.deferred:
+        raise Problem(400, "bad-request", "only deferred calls may belong to a batch; add Prefer: respond-async",
+                      "Batch")
     return name
 
 
-def whole_ms(headers: Mapping[str, str], name: str) -> int | None:
-    """A header of whole milliseconds, as ns; None where it is absent."""
+def parse_milliseconds(headers: Mapping[str, str], name: str) -> int | None:
+    """A header that holds whole milliseconds, in ns; None if it is absent. Raises Problem."""
     text = headers.get(name.lower())
     if text is None:
         return None
     if not re.fullmatch(r"\d{1,9}", text):
-        raise Problem(400, "bad-request", f"{name} takes whole milliseconds, found {text[:40]!r}", name)
+        raise Problem(400, "bad-request", f"{name} must be a whole number of milliseconds, not {text[:40]!r}", name)
     return int(text) * MS
 
 
-def call_of(path: str, headers: Mapping[str, str], body: bytes, functions: Functions) -> Call:
-    """A POST to a function as the call it asks for. Raises Problem."""
-    match = CALLS.fullmatch(path)
+def parse_call(path: str, headers: Mapping[str, str], body: bytes, functions: FunctionTable) -> Call:
+    """Parses a POST to a function into a call. Raises Problem."""
+    match = CALLS_PATH.fullmatch(path)
     name = unquote(match[1]) if match else ""
-    known, type_ = functions.find(name)
-    tenants = functions.told.deployment.tenants
-    left = whole_ms(headers, "Time-Left")
+    function_class, type_ = functions.find(name)
+    tenants = functions.config.deployment.tenants
+    left = parse_milliseconds(headers, "Time-Left")
     if left == 0:
-        raise Problem(400, "bad-request", "Time-Left is used up", "Time-Left")
+        raise Problem(400, "bad-request", "Time-Left is 0", "Time-Left")
     mark = headers.get("idempotency-key", "").strip('"')
-    if mark and not MARK.fullmatch(mark):
-        raise Problem(400, "bad-request", "Idempotency-Key takes 1 to 128 visible characters", "Idempotency-Key")
+    if mark and not IDEMPOTENCY_KEY.fullmatch(mark):
+        raise Problem(400, "bad-request", "Idempotency-Key must have 1 to 128 visible ASCII characters",
+                      "Idempotency-Key")
     if type_.effect is Effect.DEDUPLICATED and not mark:
-        raise Problem(400, "bad-request", f"calls of type {type_.name} need one", "Idempotency-Key")
+        raise Problem(400, "bad-request", f"calls of type {type_.name} require an Idempotency-Key", "Idempotency-Key")
     tenant = headers.get("tenant", "")
     if tenant and tenants and tenant not in (each.name for each in tenants):
-        raise Problem(403, "no-such-tenant", f"no tenant {tenant[:64]!r} here", "Tenant")
-    again = headers.get("repetition", "?0")
-    if again not in ("?0", "?1"):
-        raise Problem(400, "bad-request", "Repetition takes ?0 or ?1", "Repetition")
+        raise Problem(403, "no-such-tenant", f"tenant {tenant[:64]!r} is not configured", "Tenant")
+    repetition = headers.get("repetition", "?0")
+    if repetition not in ("?0", "?1"):
+        raise Problem(400, "bad-request", "Repetition must be ?0 or ?1", "Repetition")
     return Call(type_.name, name, min(left or type_.action_timeout, type_.action_timeout), body, tenant, mark,
-                whole_ms(headers, "Work-Hint") or 0, known.lanes, known.load_time, again == "?1")
+                parse_milliseconds(headers, "Work-Hint") or 0, function_class.lanes,
+                function_class.load_time, repetition == "?1")
 
 
-class Functions:
-    """What the configuration says of each function, remembered by name: patterns are matched one by one."""
+class FunctionTable:
+    """Looks up functions in the configuration. Results are cached by name, as patterns are matched one by one."""
 
-    def __init__(self, told: Installation):
-        self.told = told
-        self.known: dict[str, tuple[FunctionClass, NamespaceType]] = {}
+    def __init__(self, config: Installation):
+        self.config = config
+        self.cache: dict[str, tuple[FunctionClass, NamespaceType]] = {}
 
     def find(self, name: str) -> tuple[FunctionClass, NamespaceType]:
         """Raises Problem."""
-        found = self.known.get(name)
+        found = self.cache.get(name)
         if found is not None:
             return found
-        if not FUNCTION.fullmatch(name):
-            raise Problem(400, "bad-request", "a function's name has letters, digits and . _ : @ -, 128 at most",
+        if not FUNCTION_NAME.fullmatch(name):
+            raise Problem(400, "bad-request", "a function name must have at most 128 letters, digits and . _ : @ -",
                           "name")
-        found = self.told.function(name)
+        found = self.config.function(name)
         if found is None:
             raise Problem(404, "no-such-function", f"no 'functions' block matches {name}", "name")
-        if len(self.known) >= MOST_NAMES:
-            self.known.clear()
-        self.known[name] = found
+        if len(self.cache) >= MAX_CACHED_NAMES:
+            self.cache.clear()
+        self.cache[name] = found
         return found
 
 
-def problem(it: Problem) -> Response:
-    fields = {"type": PROBLEM_TYPES + it.kind, "title": it.kind.replace("-", " "), "status": it.status,
-              "detail": it.detail}
-    if it.where:
-        fields["field"] = it.where
-    return Response(it.status, [("Content-Type", "application/problem+json"), *it.headers],
+def problem_response(problem: Problem) -> Response:
+    fields = {"type": PROBLEM_TYPE_PREFIX + problem.kind, "title": problem.kind.replace("-", " "),
+              "status": problem.status, "detail": problem.detail}
+    if problem.where:
+        fields["field"] = problem.where
+    return Response(problem.status, [("Content-Type", "application/problem+json"), *problem.headers],
                     json.dumps(fields).encode())
 
 
-def retry_after(ns: int) -> Headers:
-    """Whole seconds for everybody (RFC 9110), the exact time beside it for those who know threadshift."""
+def retry_headers(ns: int) -> Headers:
+    """Retry-After in whole seconds (RFC 9110) and the exact Retry-After-Ms; no headers for 0 ns."""
     return [("Retry-After", str(math.ceil(ns / SECOND))), ("Retry-After-Ms", str(math.ceil(ns / MS)))] if ns else []
 
 
-def final(answer: Answer, ivk: str) -> Response:
-    """A final answer as a response: 200; 429 or 503; 504 or 502."""
-    marks = [("Activation", ivk), ("Final", answer.final.value)]
+def final_response(answer: Answer, activation_id: str) -> Response:
+    """A final answer as a response: 200; 410; 429 or 503; 504 or 502."""
+    marks = [("Activation", activation_id), ("Final", answer.final.value)]
     if answer.final is Final.COMPLETED:
         error = [("Function-Error", answer.error[:200])] if answer.error.isascii() and answer.error else []
         return Response(200, [("Content-Type", "application/octet-stream"), *marks, *error], answer.body)
     if answer.reason == "cancelled":
-        status, detail = 410, "cancelled; it did not run"
+        status, detail = 410, "cancelled; the call did not run"
     elif answer.final is Final.REJECTED:
         status = 429 if answer.reason == "over-share" else 503
-        detail = "not done; trying again is harmless"
+        detail = "rejected; the call was not completed, and retrying it is safe"
     else:
         status = 504 if answer.reason in ("time-up", "overdue", "last-send-timeout") else 502
-        detail = "given up; it may have run" if answer.may_have_run else "given up; it did not run"
-    body = {"type": PROBLEM_TYPES + answer.final.value, "title": answer.final.value, "status": status,
-            "detail": detail, "reason": answer.reason, "activation": ivk, "may-have-run": answer.may_have_run}
+        detail = "aborted; the call may have run" if answer.may_have_run else "aborted; the call did not run"
+    body = {"type": PROBLEM_TYPE_PREFIX + answer.final.value, "title": answer.final.value, "status": status,
+            "detail": detail, "reason": answer.reason, "activation": activation_id,
+            "may-have-run": answer.may_have_run}
     return Response(status, [("Content-Type", "application/problem+json"), *marks,
-                             *retry_after(answer.come_back)], json.dumps(body).encode())
+                             *retry_headers(answer.come_back)], json.dumps(body).encode())
 
 
-def accepted(ivk: str, base: str) -> Response:
-    where = f"{base}/v1/calls/{ivk}"
-    return Response(202, [("Content-Type", "application/json"), ("Location", where), ("Activation", ivk),
-                          ("Preference-Applied", "respond-async")],
-                    json.dumps({"activation": ivk, "state": "pending"}).encode())
+def accepted_response(activation_id: str, base_url: str) -> Response:
+    location = f"{base_url}/v1/calls/{activation_id}"
+    return Response(202, [("Content-Type", "application/json"), ("Location", location),
+                          ("Activation", activation_id), ("Preference-Applied", "respond-async")],
+                    json.dumps({"activation": activation_id, "state": "pending"}).encode())
 
 
-def pending(ivk: str, more: dict[str, Any] | None = None) -> Response:
-    return Response(202, [("Content-Type", "application/json"), ("Activation", ivk)],
-                    json.dumps({"activation": ivk, "state": "pending", **(more or {})}).encode())
+def pending_response(activation_id: str, more: dict[str, Any] | None = None) -> Response:
+    return Response(202, [("Content-Type", "application/json"), ("Activation", activation_id)],
+                    json.dumps({"activation": activation_id, "state": "pending", **(more or {})}).encode())
