--- a/threadshift/gateway/admin.py
+++ b/threadshift/gateway/admin.py
@@ -34,7 +34,7 @@
             exchange.respond(Response(200, [("Content-Type", "application/json")],
                                       json.dumps(self.answer(exchange)).encode()))
         except Problem as it:
-            exchange.respond(requests.problem(it))
+            exchange.respond(requests.problem_response(it))
 
     def answer(self, exchange: Exchange) -> object:
         if exchange.path == "/v1/status" and exchange.method == "GET":
@@ -70,5 +70,5 @@
         except (ValueError, KeyError, TypeError) as it:
             raise Problem(400, "bad-request", repr(it)[:300]) from None
 
-    def gone(self, exchange: Exchange) -> None:
+    def on_client_gone(self, exchange: Exchange) -> None:
         """Nothing here waits."""
--- a/threadshift/gateway/batch_service.py
+++ b/threadshift/gateway/batch_service.py
@@ -23,7 +23,7 @@
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
 from threadshift.invoke.api import Invoke
-from threadshift.invoke.deferred import Deferral, InMemory
+from threadshift.invoke.deferred import DeferredCall, InMemoryStore
 from threadshift.invoke.http import Exchange
 from threadshift.invoke.requests import Problem, Response
 from threadshift.log import exception_fields
@@ -56,7 +56,7 @@
     chance: Callable[[], float]
     api: Invoke
     engine: RequestEngine
-    deferrals: InMemory
+    deferred_calls: InMemoryStore
     links: dict[str, Any]
 
     def read_updates(self) -> None: ...
@@ -70,7 +70,7 @@
         self.front, self.carrier, self.cancels, self.undo = front, carrier, cancels, undo
         self.shelf = Shelf(folder / f"{front.name}.calls", disk)
         self.queue = Queue(max(1, front.told.bounds.activations // PART))
-        self.calls: dict[str, tuple[Waiting, Call, Deferral]] = {}
+        self.calls: dict[str, tuple[Waiting, Call, DeferredCall]] = {}
         self.pending: dict[str, PendingRequest] = {}
         self.writes: list[tuple[list[dict[str, Any]], Callable[[bool], None]]] = []
         self.wake = Event()
@@ -126,9 +126,9 @@
         """What an earlier life left."""
         now, wall = time.monotonic_ns(), time.time_ns()
         for kept in sorted(self.shelf.calls.values(), key=lambda each: each.order):
-            deferral = self.front.deferrals.add(kept.ivk, kept.tenant)
+            deferral = self.front.deferred_calls.add(kept.ivk, kept.tenant)
             if kept.answer is not None:
-                self.front.deferrals.finish(now, deferral, answer_of(kept.answer))
+                self.front.deferred_calls.finish(now, deferral, answer_of(kept.answer))
                 continue
             it = Waiting(kept.ivk, kept.tenant, kept.batch, kept.order, now + kept.remaining(wall), kept.call["type"],
                          kept.tries + kept.out, parked=kept.parked)
@@ -149,7 +149,7 @@
         now, ivk = time.monotonic_ns(), self.front.api.number()
         self.order += 1
         it = Waiting(ivk, call.tenant, batch, self.order, now + call.left, call.type)
-        deferral = self.front.deferrals.add(ivk, call.tenant)
+        deferral = self.front.deferred_calls.add(ivk, call.tenant)
         effect = next(each.effect for each in self.front.told.deployment.types if each.name == call.type)
         stopped = self.queue.stopped.get((call.tenant, batch))
         taken = record("take", ivk=ivk, tenant=call.tenant, batch=batch, order=it.order, at=time.time_ns(),
@@ -158,13 +158,13 @@
 
         def kept(good: bool) -> None:
             if not good:
-                self.front.deferrals.finish(time.monotonic_ns(), deferral, Answer(FinalKind.REJECTED, "not-kept"))
-                self.front.deferrals.forget(deferral)
-                exchange.respond(requests.problem(Problem(503, "cannot-be-kept", Unkept.help)))
+                self.front.deferred_calls.finish(time.monotonic_ns(), deferral, Answer(FinalKind.REJECTED, "not-kept"))
+                self.front.deferred_calls.forget(deferral)
+                exchange.respond(requests.problem_response(Problem(503, "cannot-be-kept", Unkept.help)))
                 return
             self.calls[ivk] = it, call, deferral
             self.queue.add(it)
-            exchange.respond(requests.accepted(ivk, self.front.api.base))
+            exchange.respond(requests.accepted_response(ivk, self.front.api.base))
 
         self.keep([taken], kept)
 
@@ -176,10 +176,10 @@
                 self.carrier.member.age(clock()) is not None or now - self.started >= HEAR_FIRST):
             out = []
             for it in self.queue.next(now):
-                if not self.front.api.places.room(it.tenant):
+                if not self.front.api.capacity.has_room(it.tenant):
                     self.queue.taken_back(it)
                     break
-                self.front.api.places.take(it.tenant)
+                self.front.api.capacity.acquire(it.tenant)
                 out.append(it)
             if out:
                 self.keep([record("out", ivk=each.ivk) for each in out], lambda good: self.release(out, good))
@@ -193,7 +193,7 @@
         now = time.monotonic_ns()
         for it in out:
             if it.over or not it.out or not good:
-                self.front.api.places.give(it.tenant)
+                self.front.api.capacity.release(it.tenant)
                 if not it.over:
                     self.queue.taken_back(it)
                     self.back(it)
@@ -230,7 +230,7 @@
         _, _, deferral = self.calls.pop(it.ivk)
         self.keep_final(it, answer, deferral)
 
-    def keep_final(self, it: Waiting, answer: Answer, deferral: Deferral) -> None:
+    def keep_final(self, it: Waiting, answer: Answer, deferral: DeferredCall) -> None:
         """Tries again where the disk fails, as long as its own time lasts: told and not kept, it could be told as
         something else after a crash."""
         told = record("end", ivk=it.ivk, at=time.time_ns(), answer={
@@ -241,8 +241,8 @@
             if not good and time.monotonic_ns() + AGAIN < it.ends:
                 gevent.spawn_later(AGAIN / SECOND, self.keep_final, it, answer, deferral)
                 return
-            for exchange in self.front.deferrals.finish(time.monotonic_ns(), deferral, answer):
-                exchange.respond(requests.final(answer, it.ivk))
+            for exchange in self.front.deferred_calls.finish(time.monotonic_ns(), deferral, answer):
+                exchange.respond(requests.final_response(answer, it.ivk))
 
         self.keep([told], kept)
 
@@ -271,7 +271,7 @@
                 return False
             self.pending.pop(it.ivk)
             pending.on_client_gone(time.monotonic_ns())
-            self.front.api.places.give(it.tenant)
+            self.front.api.capacity.release(it.tenant)
         self.queue.taken_back(it)
         return True
 
@@ -322,20 +322,20 @@
         """Does what a client asks of batches, on a greenlet of its own: it may take some seconds."""
         if self.under_way >= WORDS:
             raise Problem(503, "too-many-orders", f"{WORDS} orders on batches are under way here",
-                          headers=requests.retry_after(SECOND))
+                          headers=requests.retry_headers(SECOND))
         self.under_way += 1
 
         def run() -> None:
             try:
                 exchange.respond(Response(200, [("Content-Type", "application/json")], json.dumps(act()).encode()))
             except Problem as it:
-                exchange.respond(requests.problem(it))
+                exchange.respond(requests.problem_response(it))
             except NotHeard as it:
-                exchange.respond(requests.problem(Problem(503, "record-not-heard", f"{it}; {it.help}",
-                                                          headers=requests.retry_after(SECOND))))
+                exchange.respond(requests.problem_response(Problem(503, "record-not-heard", f"{it}; {it.help}",
+                                                          headers=requests.retry_headers(SECOND))))
             except ThreadshiftError as it:
                 status = 404 if isinstance(it, NoSuchCancel) else 409
-                exchange.respond(requests.problem(Problem(status, kind_of(it), f"{it}; {it.help}")))
+                exchange.respond(requests.problem_response(Problem(status, kind_of(it), f"{it}; {it.help}")))
             finally:
                 self.under_way -= 1
 
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -33,8 +33,8 @@
 from threadshift.invoke.admission import Admission
 from threadshift.invoke import requests
 from threadshift.invoke.api import PAUSE_OF, Invoke, busy
-from threadshift.invoke.deferred import InMemory
-from threadshift.invoke.http import Application, Connection, Watch, whole
+from threadshift.invoke.deferred import InMemoryStore
+from threadshift.invoke.http import Application, Connection, TimeoutMonitor, serialize
 from threadshift.invoke.shares import weights
 from threadshift.links.codec import Frame
 from threadshift.links.link import Link
@@ -48,8 +48,9 @@
 JOIN = 50 * MS             # between two tries to open what the front end that is replaced still holds
 ROOM_WAIT = 2 * MS         # for connections that make room to end: two rounds of the loop
 OPERATORS = 32             # connections at the operators' listener; clients cannot take these, nor one operator all
-FULL = [whole(requests.problem(busy(503, "too-many-connections", "no more connections are kept here", pause)),
-              keep=False) for pause in PAUSE_OF]
+FULL = [serialize(requests.problem_response(
+    busy(503, "too-many-connections", "the limit of connections is reached", pause)), keep_alive=False)
+        for pause in PAUSE_OF]
 
 
 class FrontEnd(BaseFrontEnd):
@@ -67,10 +68,10 @@
         bounds = told.bounds
         self.own = Address(told.listen[0].host, told.own_ports + index) if told.own_ports else None
         weight = weights(told.deployment.tenants)
-        self.deferrals = InMemory(bounds.deferred, bounds.results, bounds.keep_results, weight)
+        self.deferred_calls = InMemoryStore(bounds.deferred, bounds.results, bounds.keep_results, weight)
         self.admission = Admission(min(each.target_latency for each in told.deployment.types), weight)
-        self.watch = Watch()
-        self.api = Invoke(told, self.name, f"http://{self.own}" if self.own else "", self.deferrals,
+        self.timeout_monitor = TimeoutMonitor()
+        self.api = Invoke(told, self.name, f"http://{self.own}" if self.own else "", self.deferred_calls,
                           self.admission, log, self.status, weight)
         self.poll_monitor, self.api.read_updates = self.api.poll_monitor, self.read_updates
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
@@ -211,7 +212,7 @@
             self.arrivals.record(time.monotonic_ns())
             if len(self.connections) >= self.told.bounds.connections:
                 # Who holds connections and asks nothing makes room for who asks.
-                self.watch.make_room(time.monotonic_ns())
+                self.timeout_monitor.make_room(time.monotonic_ns())
                 gevent.sleep(ROOM_WAIT / SECOND)
             if len(self.connections) >= self.told.bounds.connections:
                 self.api.refusal_counters.record(time.monotonic_ns(), "too-many-connections")
@@ -236,7 +237,7 @@
     def converse(self, client: socket.socket, application: Application, unread: int = 0) -> None:
         """One client's connection. What fails in it is a fault of ours, logged, and ends it alone."""
         try:
-            Connection(client, application, self.told.bounds, self.watch, unread).serve()
+            Connection(client, application, self.told.bounds, self.timeout_monitor, unread).serve()
         except Exception as fault:
             cause = fault.__context__ or fault      # a parser wraps what its callbacks raise
             self.note("fault", level="error", **exception_fields(cause))
@@ -247,7 +248,7 @@
         A fault in what it calls is ours, and ends the process loudly: half a front end is worse than none."""
         for now, late in ticks(self.told.deployment.tick, over):
             now = self.on_tick(now, late)
-            self.watch.tick(now)
+            self.timeout_monitor.tick(now)
             self.api.tick(now)
             if self.replicated_services is not None:
                 self.replicated_services.tick(now)
@@ -295,7 +296,7 @@
         self.told = installation.reloaded(self.told, new)
         self.api.reload(self.told)
         bounds = self.told.bounds
-        self.deferrals.waiting.most, self.deferrals.kept.most, self.deferrals.keep = (
+        self.deferred_calls.pending.limit, self.deferred_calls.answer_bytes.limit, self.deferred_calls.keep_time = (
             bounds.deferred, bounds.results, bounds.keep_results)
         self.note("reloaded", taken=taken, needs_restart=kept)
 
@@ -311,8 +312,8 @@
             "turned-away": self.api.refusal_counters.totals(),
             "lag-ms": round(self.admission.smoothed_lag / MS, 3), "stalls": self.stalls,
             "longest-stall-ms": self.longest_stall // MS,
-            "deferred": {"pending": self.deferrals.waiting.all, "bytes": self.deferrals.kept.all,
-                         "dropped": self.deferrals.dropped},
+            "deferred": {"pending": self.deferred_calls.pending.used, "bytes": self.deferred_calls.answer_bytes.used,
+                         "dropped": self.deferred_calls.dropped},
             "announcements": self.service_announcer.status(now) if self.service_announcer is not None else None,
             "together": self.replicated_services.status() if self.replicated_services is not None else None,
             "roster": {"kind": self.told.roster_kind,
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -15,11 +15,12 @@
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
 from threadshift.invoke.admission import Admission
-from threadshift.invoke.deferred import Deferral, Deferrals
-from threadshift.invoke.http import Exchange, whole
+from threadshift.invoke.deferred import DeferredCall, DeferredCallStore
+from threadshift.invoke.http import Exchange, serialize
 from threadshift.invoke.poll_monitor import CATCH_UP_TIME, STALL_THRESHOLD, PollMonitor
-from threadshift.invoke.requests import BATCH, BATCH_CANCEL, CALLS, CANCEL, DEFERRED, Problem, Response
-from threadshift.invoke.shares import Places
+from threadshift.invoke.requests import (
+    BATCH_CANCEL_PATH, BATCH_PATH, CALL_PATH, CALLS_PATH, CANCEL_RESTORE_PATH, Problem, Response)
+from threadshift.invoke.shares import SharedCapacity
 from threadshift.invoke.refusal_counters import RefusalCounters
 from threadshift.log import Log
 
@@ -33,16 +34,16 @@
 
 def busy(status: int, kind: str, detail: str, pause: int = BUSY_PAUSE) -> Problem:
     """Not taken: a rejection at the door, which promises that nothing ran."""
-    return Problem(status, kind, detail, headers=[("Final", FinalKind.REJECTED.value), *requests.retry_after(pause)])
+    return Problem(status, kind, detail, headers=[("Final", FinalKind.REJECTED.value), *requests.retry_headers(pause)])
 
 
 def ready(response: Response) -> Response:
     """Rendered once, for everybody who gets the same."""
-    response.ready = whole(response)
+    response.serialized = serialize(response)
     return response
 
 
-OVERLOADED = [ready(requests.problem(busy(503, "overloaded", "this front end is at its limit", pause)))
+OVERLOADED = [ready(requests.problem_response(busy(503, "overloaded", "this front end is at its limit", pause)))
               for pause in PAUSE_OF]
 
 
@@ -69,13 +70,13 @@
 class Invoke:
     """Answers exchanges; the engine's port to clients."""
 
-    def __init__(self, told: Installation, name: str, base: str, deferrals: Deferrals, admission: Admission,
-                 log: Log, status: Callable[[], dict[str, Any]], weight: Mapping[str, float]):
-        self.told, self.base, self.deferrals, self.admission = told, base, deferrals, admission
+    def __init__(self, told: Installation, name: str, base: str, deferred_calls: DeferredCallStore,
+                 admission: Admission, log: Log, status: Callable[[], dict[str, Any]], weight: Mapping[str, float]):
+        self.told, self.base, self.deferred_calls, self.admission = told, base, deferred_calls, admission
         self.log, self.status = log, status
-        self.functions = requests.Functions(told)
+        self.functions = requests.FunctionTable(told)
         self.closing = False
-        self.places = Places(told.bounds.activations, weight)       # of activations under way
+        self.capacity = SharedCapacity(told.bounds.activations, weight)   # for activations under way
         self.refusal_counters = RefusalCounters()
         self.overloaded, self.pauses = cycle(OVERLOADED), cycle(PAUSE_OF)
         self.status_at, self.status_told = 0, b""
@@ -91,8 +92,8 @@
 
     def reload(self, told: Installation) -> None:
         """Another configuration, for calls from now on."""
-        self.told, self.functions = told, requests.Functions(told)
-        self.places.most = told.bounds.activations
+        self.told, self.functions = told, requests.FunctionTable(told)
+        self.capacity.limit = told.bounds.activations
 
     # Exchanges.
 
@@ -100,14 +101,14 @@
         try:
             self.route(exchange)
         except Problem as it:
-            exchange.respond(requests.problem(it))
+            exchange.respond(requests.problem_response(it))
 
     def route(self, exchange: Exchange) -> None:
         path = exchange.path.split("?")[0]
-        if CALLS.fullmatch(path):
+        if CALLS_PATH.fullmatch(path):
             self.only(exchange, "POST")
             self.take(exchange, path)
-        elif match := DEFERRED.fullmatch(path):
+        elif match := CALL_PATH.fullmatch(path):
             if exchange.method == "DELETE":
                 self.drop(exchange, match[1])
                 return
@@ -116,7 +117,8 @@
         elif path == "/v1/status":
             self.only(exchange, "GET")
             exchange.respond(Response(200, [("Content-Type", "application/json")], self.status_now()))
-        elif match := BATCH_CANCEL.fullmatch(path) or CANCEL.fullmatch(path) or BATCH.fullmatch(path):
+        elif match := (BATCH_CANCEL_PATH.fullmatch(path) or CANCEL_RESTORE_PATH.fullmatch(path)
+                       or BATCH_PATH.fullmatch(path)):
             self.of_batches(exchange, match)
         else:
             raise Problem(404, "no-such-path", f"nothing stands at {path[:100]}")
@@ -144,8 +146,8 @@
     def of_batches(self, exchange: Exchange, match: re.Match[str]) -> None:
         """An order on a batch, or a question about one. Its tenant is that of the header."""
         it, tenant, name = self.batches(), exchange.headers.get("tenant", ""), match[1]
-        self.only(exchange, "GET" if match.re is BATCH else "POST")
-        act = {BATCH: it.show, BATCH_CANCEL: it.cancel, CANCEL: it.restore}[match.re]
+        self.only(exchange, "GET" if match.re is BATCH_PATH else "POST")
+        act = {BATCH_PATH: it.show, BATCH_CANCEL_PATH: it.cancel, CANCEL_RESTORE_PATH: it.restore}[match.re]
         it.handle(exchange, lambda: act(tenant, name))
 
     def drop(self, exchange: Exchange, ivk: str) -> None:
@@ -156,20 +158,20 @@
             raise Problem(404, "no-such-call", "no call of a batch with this id waits here", "id") from None
         if answer is None:
             raise Problem(409, "under-way", "it is out at a worker and may have begun; its answer will stand")
-        exchange.respond(requests.final(answer, ivk))
+        exchange.respond(requests.final_response(answer, ivk))
 
     def take(self, exchange: Exchange, path: str) -> None:
         # First, as what is refused must cost as little as can be: at the limit all else is work for nothing.
         tenant = exchange.headers.get("tenant", "")
         if not self.admission.admit(exchange.headers.get("repetition") == "?1", tenant):
-            exchange.connection.pause = self.admission.read_pause(tenant)
-            self.refusal_counters.record(time.monotonic_ns(), "overloaded", self.places.who(tenant))
+            exchange.connection.read_pause = self.admission.read_pause(tenant)
+            self.refusal_counters.record(time.monotonic_ns(), "overloaded", self.capacity.key(tenant))
             exchange.respond(next(self.overloaded))
             return
-        call = requests.call_of(path, exchange.headers, exchange.body, self.functions)
-        wish = requests.prefer(exchange.headers.get("prefer", ""))
+        call = requests.parse_call(path, exchange.headers, exchange.body, self.functions)
+        wish = requests.parse_preference(exchange.headers.get("prefer", ""))
         # It may have lain unread since the event loop looked last: its client's time ran all the while.
-        unread = max(exchange.unread, self.poll_monitor.unread_time(time.monotonic_ns()))
+        unread = max(exchange.unread_time, self.poll_monitor.unread_time(time.monotonic_ns()))
         if unread >= STALL_THRESHOLD:
             # The roster's word, or a worker's, may lie unread too, and rule 3 counts from when it came. Found by a
             # hunt: calls read first after a standstill went to workers that had long been told of as draining.
@@ -181,16 +183,18 @@
             raise self.turned_away(503, "too-late", "its time left was up before it could be read", tenant)
         if self.closing:
             raise self.turned_away(503, "closing", "this front end is going down", tenant)
-        if not self.places.room(tenant):
-            raise self.turned_away(503, "too-many-activations", f"{self.places.all} are under way here, "
-                                   f"{self.places.held[self.places.who(tenant)]} of them on this behalf", tenant)
-        if wish.deferred and not self.deferrals.room(tenant):
+        if not self.capacity.has_room(tenant):
+            raise self.turned_away(503, "too-many-activations",
+                                   f"{self.capacity.used} are under way here, "
+                                   f"{self.capacity.used_by[self.capacity.key(tenant)]} of them on this behalf",
+                                   tenant)
+        if wish.deferred and not self.deferred_calls.has_room(tenant):
             raise self.turned_away(429, "too-many-deferred", "the waiting list is full", tenant)
-        batch = requests.batch_of(exchange.headers, wish)
+        batch = requests.batch_name(exchange.headers, wish)
         if batch:
             self.batches().accept(exchange, call, batch)
             return
-        self.places.take(tenant)
+        self.capacity.acquire(tenant)
         if wish.deferred:
             self.take_deferred(exchange, call)
             return
@@ -198,43 +202,45 @@
         exchange.pending = self.engine.admit(time.monotonic_ns(), self.number(), call, exchange)
 
     def turned_away(self, status: int, kind: str, detail: str, tenant: str) -> Problem:
-        self.refusal_counters.record(time.monotonic_ns(), kind, self.places.who(tenant))
+        self.refusal_counters.record(time.monotonic_ns(), kind, self.capacity.key(tenant))
         return busy(status, kind, detail, next(self.pauses))
 
     def take_deferred(self, exchange: Exchange, call: Call) -> None:
         ivk = self.number()
-        it = self.deferrals.add(ivk, call.tenant)
-        exchange.respond(requests.accepted(ivk, self.base))
+        it = self.deferred_calls.add(ivk, call.tenant)
+        exchange.respond(requests.accepted_response(ivk, self.base))
         self.engine.admit(time.monotonic_ns(), ivk, call, it)
 
     def collect(self, exchange: Exchange, ivk: str) -> None:
-        it = self.deferrals.find(ivk)
+        it = self.deferred_calls.find(ivk)
         if it is None:
             raise Problem(404, "no-such-call", "never accepted here, or no longer kept", "id")
-        wish = requests.prefer(exchange.headers.get("prefer", ""))
+        wish = requests.parse_preference(exchange.headers.get("prefer", ""))
         if it.answer is not None:
-            it.collected = True
-            exchange.respond(requests.final(it.answer, ivk))
+            it.is_collected = True
+            exchange.respond(requests.final_response(it.answer, ivk))
         elif wish.wait:
-            exchange.waits = it
-            self.deferrals.wait(it, exchange, time.monotonic_ns() + min(wish.wait, self.told.bounds.longest_wait))
+            exchange.awaited_call = it
+            self.deferred_calls.add_waiter(
+                it, exchange, time.monotonic_ns() + min(wish.wait, self.told.bounds.longest_wait))
         else:
             exchange.respond(self.pending(ivk))
 
     def pending(self, ivk: str) -> Response:
-        return requests.pending(ivk, self.batch_service.state_of(ivk) if self.batch_service is not None else None)
+        return requests.pending_response(
+            ivk, self.batch_service.state_of(ivk) if self.batch_service is not None else None)
 
-    def gone(self, exchange: Exchange) -> None:
+    def on_client_gone(self, exchange: Exchange) -> None:
         """The client of an unanswered exchange is gone."""
-        if exchange.waits is not None:
-            exchange.waits.waiters.pop(exchange, None)
+        if exchange.awaited_call is not None:
+            exchange.awaited_call.waiters.pop(exchange, None)
         elif isinstance(exchange.pending, PendingRequest) and not exchange.pending.is_settled:
-            self.places.give(exchange.pending.call.tenant)
+            self.capacity.release(exchange.pending.call.tenant)
             exchange.pending.on_client_gone(time.monotonic_ns())
 
     def tick(self, now: int) -> None:
-        for exchange, it in self.deferrals.tick(now):
-            exchange.respond(self.pending(it.ivk))
+        for exchange, it in self.deferred_calls.tick(now):
+            exchange.respond(self.pending(it.activation_id))
         self.log_refusals(now)
 
     def log_refusals(self, now: int, flush: bool = False) -> None:
@@ -249,18 +255,18 @@
     def on_answered(self, pending: PendingRequest) -> None:
         answer = pending.answer
         assert answer is not None
-        self.places.give(pending.call.tenant)
+        self.capacity.release(pending.call.tenant)
         if answer.final is not FinalKind.COMPLETED:
             self.refusal_counters.record(pending.answered_at, f"{answer.final.value}-{answer.reason}",
-                                         self.places.who(pending.call.tenant))
+                                         self.capacity.key(pending.call.tenant))
         self.recent.record(pending.answered_at, pending)
-        if isinstance(pending.client, Deferral):
-            for exchange in self.deferrals.finish(pending.answered_at, pending.client, answer):
-                exchange.respond(requests.final(answer, pending.id))
+        if isinstance(pending.client, DeferredCall):
+            for exchange in self.deferred_calls.finish(pending.answered_at, pending.client, answer):
+                exchange.respond(requests.final_response(answer, pending.id))
         elif self.batch_service is not None and self.batch_service.owns(pending):
             self.batch_service.answered(pending)
         else:
-            pending.client.respond(requests.final(answer, pending.id))
+            pending.client.respond(requests.final_response(answer, pending.id))
         self.tell(pending, answer)
 
     def on_finished(self, pending: PendingRequest) -> None:
