--- a/threadshift/gateway/batch_service.py
+++ b/threadshift/gateway/batch_service.py
@@ -158,7 +158,8 @@
 
         def kept(good: bool) -> None:
             if not good:
-                self.front.deferred_calls.finish(time.monotonic_ns(), deferral, Answer(FinalKind.REJECTED, "not-kept"))
+                self.front.deferred_calls.finish(
+                    time.monotonic_ns(), deferral, Answer(FinalKind.REJECTED, "not-kept"))
                 self.front.deferred_calls.forget(deferral)
                 exchange.respond(requests.problem_response(Problem(503, "cannot-be-kept", Unkept.help)))
                 return
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -34,7 +34,8 @@
 
 def busy(status: int, kind: str, detail: str, pause: int = BUSY_PAUSE) -> Problem:
     """Not taken: a rejection at the door, which promises that nothing ran."""
-    return Problem(status, kind, detail, headers=[("Final", FinalKind.REJECTED.value), *requests.retry_headers(pause)])
+    return Problem(status, kind, detail,
+                   headers=[("Final", FinalKind.REJECTED.value), *requests.retry_headers(pause)])
 
 
 def ready(response: Response) -> Response:
