--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -220,7 +220,7 @@
         del self.routes[pending.id, number]
         return True
 
-    def take_back(self) -> None:
+    def withdraw_unsent(self) -> None:
         """Ends all that waits here and of which nothing is written: it never ran. Called when nothing more may go to
         this worker."""
         now = time.monotonic_ns()
@@ -410,6 +410,6 @@
         if self.dialler is not None:
             self.dialler.kill(block=False)
             self.end_dial()
-        self.take_back()
+        self.withdraw_unsent()
         for connection in list(self.connections):
             self.on_connection_lost(connection, "stopped")
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -144,7 +144,7 @@
         if self.up and self.outbox.put(None, encode("ping", **self.more())):
             self.wake.set()
 
-    def take_back(self) -> None:
+    def withdraw_unsent(self) -> None:
         """Ends all that waits here and of which nothing is written: it never ran. Called when nothing more may go to
         this worker, so that what a full socket held up does not leave once the grace is over."""
         now = time.monotonic_ns()
@@ -229,7 +229,7 @@
         started = hello.get("started", 0)
         if hello.get("draining") or self.started and started > self.started:
             # What waited for the link was meant for the life before, warm as it was; this one is cold, or drains.
-            self.take_back()
+            self.withdraw_unsent()
         self.started = started or self.started
         self.heard = time.monotonic_ns()
         self.up = True
