--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -6,7 +6,7 @@
 
 from threadshift.frames import pool
 from threadshift.frames.codec import (
-    ERROR, FROM_WORKER, HEAD, HEALTHY, OK, FrameDecoder, ProtocolError, encode, parse_fields)
+    ERROR, FROM_WORKER, HEADER, HEALTHY, OK, FrameDecoder, ProtocolError, encode, parse_fields)
 from threadshift.interface import SECOND
 
 ID = bytes(range(8))
@@ -23,7 +23,7 @@
             at += size
         self.assertEqual([answer.body for answer in got], bodies)
         self.assertTrue(all(answer.fields == {"how": "reused", "same": "2"} for answer in got))
-        self.assertFalse(it.torn)
+        self.assertFalse(it.is_mid_frame)
 
     @settings(max_examples=400, deadline=None, derandomize=True)
     @given(st.binary(max_size=120), st.sampled_from((OK, ERROR, HEALTHY, 10, 255)))
@@ -38,9 +38,9 @@
         good = encode(OK, ID, "", b"good", FROM_WORKER)
         cases = (
             (encode(OK, ID), "mark 1"), (encode(10, ID, sender=FROM_WORKER), "code 10"),
-            (HEAD.pack(FROM_WORKER, OK, 0, 3 << 30, ID), "over the bound"), (good[:-1] + b"?", "check"),
-            (encode(OK, ID, "how", sender=FROM_WORKER), "is no field"),
-            (encode(OK, ID, "a=1,a=2", sender=FROM_WORKER), "stands twice"),
+            (HEADER.pack(FROM_WORKER, OK, 0, 3 << 30, ID), "over the bound"), (good[:-1] + b"?", "check"),
+            (encode(OK, ID, "how", sender=FROM_WORKER), "is not a field"),
+            (encode(OK, ID, "a=1,a=2", sender=FROM_WORKER), "appears twice"),
             (encode(OK, ID, ",".join(["a=1"] * 70), sender=FROM_WORKER), "70 fields"))
         for data, words in cases:
             with self.assertRaises(ProtocolError) as caught:
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -336,7 +336,7 @@
         connection.suspected = True         # carries nothing new while catch_up_after_stall() waits
         if connection.in_flight:
             self.owner.catch_up_after_stall()
-        self.on_connection_lost(connection, problem or ("closed inside a frame" if frames.torn else ""))
+        self.on_connection_lost(connection, problem or ("closed inside a frame" if frames.is_mid_frame else ""))
 
     def on_frame(self, connection: Connection, it: Frame) -> None:
         """One answer as the call on the handle that it belongs to; one that nobody waits for is dropped."""
