--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -23,8 +23,8 @@
 from tests.processes import FrontEndProcess
 from threadshift.coordinator import freshness
 from threadshift.coordinator.freshness import (
-    ANSWER, CONNECT, LONGEST_PAUSE, NOTIFIED_AFTER_BREAK, NOTIFIED_AFTER_SILENCE, PATIENT, SILENCE, SILENCE_AGAIN,
-    Freshness)
+    CONNECT_TIMEOUT, MAX_RETRY_PAUSE, NOTIFIED_AFTER_BREAK, NOTIFIED_AFTER_SILENCE, PATIENT_TIMEOUT,
+    REPEATED_SILENCE_TIMEOUT, RESPONSE_TIMEOUT, SILENCE_TIMEOUT, Freshness)
 from threadshift.fastcgi.codec import Records
 from threadshift.frames import link
 from threadshift.frames.codec import INVOKE, LOAD
@@ -337,11 +337,11 @@
 class FindingTheCoordinatorAgain(unittest.TestCase):
     """From when the coordinator has a change, or is said to have told it, to when it is read here."""
 
-    FAILURES = (CONNECT, ANSWER)        # a dial that hangs; one that is answered by nothing
+    FAILURES = (CONNECT_TIMEOUT, RESPONSE_TIMEOUT)     # a dial that hangs; one that is answered by nothing
 
     def found_after(self, begun, failures):
         """When a try is made that succeeds, after so many failures; each pause as long as it may be."""
-        backoff, now = ReconnectBackoff(lambda: 1.0, LONGEST_PAUSE), begun
+        backoff, now = ReconnectBackoff(lambda: 1.0, MAX_RETRY_PAUSE), begun
         now = backoff.on_disconnected(now)
         for took in failures:
             now = backoff.on_disconnected(now + took)
@@ -353,8 +353,9 @@
     def test_two_failures_in_a_row_leave_the_whole_grace_and_three_all_but_140_ms(self, grace_ms, how, failures):
         grace = grace_ms * MS
         told, begun, most = {
-            "break": (NOTIFIED_AFTER_BREAK, 0, 2), "silence": (NOTIFIED_AFTER_SILENCE, SILENCE, 2),
-            "silence twice": (NOTIFIED_AFTER_SILENCE, self.found_after(SILENCE, []) + SILENCE_AGAIN, 1),
+            "break": (NOTIFIED_AFTER_BREAK, 0, 2), "silence": (NOTIFIED_AFTER_SILENCE, SILENCE_TIMEOUT, 2),
+            "silence twice": (
+                NOTIFIED_AFTER_SILENCE, self.found_after(SILENCE_TIMEOUT, []) + REPEATED_SILENCE_TIMEOUT, 1),
             "configuration": (NOTIFIED_AFTER_SILENCE, 0, 2)}[how]
         found = self.found_after(begun, failures)
         if len(failures) <= most:
@@ -364,7 +365,7 @@
             self.assertLessEqual(found, told + 140 * MS)
 
     def test_a_coordinator_that_accepts_and_does_not_answer_is_dialled_anew(self):
-        with mock.patch.object(freshness, "ANSWER", 100 * MS), Platform(answering=False) as it:
+        with mock.patch.object(freshness, "RESPONSE_TIMEOUT", 100 * MS), Platform(answering=False) as it:
             until(lambda: len(it.coordinator.last_event_ids) == 2, seconds=1.0)
             self.assertEqual(it.log.of("coordinator-lost")[0]["problem"], "no answer in time")
 
@@ -372,26 +373,26 @@
         it = Freshness()
         limits = []
         for _ in range(5):
-            limits.append(it.dialled())
-            it.lost(silent=False, answered=False)
-        self.assertEqual(limits, [CONNECT] * 3 + [PATIENT] * 2)
-        it.received(SECOND)
-        self.assertEqual(it.dialled(), CONNECT)
+            limits.append(it.attempt_timeout())
+            it.on_lost(silent=False, answered=False)
+        self.assertEqual(limits, [CONNECT_TIMEOUT] * 3 + [PATIENT_TIMEOUT] * 2)
+        it.on_bytes(SECOND)
+        self.assertEqual(it.attempt_timeout(), CONNECT_TIMEOUT)
 
     def test_since_when_news_counts_as_told(self):
         it = Freshness()
         self.assertEqual(it.notified_since(5 * SECOND, 0), 0)       # before the start, for all that is known
-        it.received(6 * SECOND)
-        it.caught_up()
-        it.received(7 * SECOND)
+        it.on_bytes(6 * SECOND)
+        it.on_caught_up()
+        it.on_bytes(7 * SECOND)
         self.assertEqual(it.notified_since(8 * SECOND, 30 * MS), 8 * SECOND - 30 * MS)
-        it.lost(silent=False, answered=True)
-        it.received(9 * SECOND)
+        it.on_lost(silent=False, answered=True)
+        it.on_bytes(9 * SECOND)
         self.assertEqual(it.notified_since(9 * SECOND, 0), 7 * SECOND)
-        it.lost(silent=False, answered=True)                    # lost again before it had caught up
+        it.on_lost(silent=False, answered=True)                 # lost again before it had caught up
         self.assertEqual(it.notified_since(9 * SECOND, 0), 7 * SECOND)
-        it.received(10 * SECOND)
-        it.caught_up()
+        it.on_bytes(10 * SECOND)
+        it.on_caught_up()
         self.assertEqual(it.notified_since(11 * SECOND, 0), 11 * SECOND)
 
 
@@ -411,7 +412,7 @@
         node.ready_deadline = time.monotonic_ns() + SECOND
         self.assertTrue(node.list_is_stale())
         self.assertFalse(node.ready())
-        node.coordinator.freshness.caught_up()
+        node.coordinator.freshness.on_caught_up()
         self.assertFalse(node.list_is_stale())
 
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -448,8 +448,11 @@
 
     def test_after_a_silence_less_is_waited_for_until_the_stream_speaks(self):
         # Two silent connections in a row took 4.2 s; word counts as told after four.
-        self.assertLess(freshness.SILENCE + freshness.SILENCE_AGAIN + 2 * freshness.CONNECT, 4 * SECOND + 50 * MS)
-        with mock.patch.multiple(freshness, SILENCE=400 * MS, SILENCE_AGAIN=300 * MS), Platform() as it:
+        self.assertLess(
+            freshness.SILENCE_TIMEOUT + freshness.REPEATED_SILENCE_TIMEOUT + 2 * freshness.CONNECT_TIMEOUT,
+            4 * SECOND + 50 * MS)
+        with mock.patch.multiple(
+                freshness, SILENCE_TIMEOUT=400 * MS, REPEATED_SILENCE_TIMEOUT=300 * MS), Platform() as it:
             def waits():
                 sock = it.node.coordinator.sock
                 return sock and sock.gettimeout()
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -334,9 +334,9 @@
 
     def test_a_head_without_end_is_refused(self):
         response = Response()
-        with self.assertRaisesRegex(OSError, "a head over"):
+        with self.assertRaisesRegex(OSError, "response head is over"):
             for _ in range(64):
-                response.feed(b"X-Filler: " + b"x" * 1_000 + b"\r\n" if response.size else self.HEAD[:-2])
+                response.feed(b"X-Filler: " + b"x" * 1_000 + b"\r\n" if response.head_size else self.HEAD[:-2])
 
 
 if __name__ == "__main__":
--- a/threadshift/coordinator/stream.py
+++ b/threadshift/coordinator/stream.py
@@ -1,4 +1,4 @@
-"""Follows the coordinator's stream of events, over HTTP/1.1; dialled anew when it breaks or falls silent."""
+"""Follows the coordinator's event stream over HTTP/1.1, and dials it again when it breaks or falls silent."""
 from __future__ import annotations
 
 import select
@@ -14,15 +14,15 @@
 
 from threadshift.conf.values import Address
 from threadshift.coordinator.events import EventParser, EventSequence, InvalidEvent, ListUpdate, MissingEvents
-from threadshift.coordinator.freshness import LONGEST_PAUSE, Freshness
+from threadshift.coordinator.freshness import MAX_RETRY_PAUSE, Freshness
 from threadshift.interface import MS, SECOND
 from threadshift.links.redial import ReconnectBackoff
 from threadshift.links.sockets import READ, connect, shows
 from threadshift.log import exception_fields
 
 PATH = "/v2/stream"
-LONGEST_HEAD = 16 << 10    # bytes before the first event
-CATCH_UP = 10 * MS         # after the head, for the events that were missed: they are written right behind it
+MAX_HEAD_SIZE = 16 << 10   # bytes of the response before the first event
+CATCH_UP_WAIT = 10 * MS    # for the events that were missed: they are written right behind the head
 
 
 class Response:
@@ -31,147 +31,150 @@
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
         self.body: list[bytes] = []
-        self.begun = self.ended = False
-        self.size = 0
+        self.headers_complete = self.message_complete = False
+        self.head_size = 0         # bytes received before the head was complete
 
     def on_headers_complete(self) -> None:
-        self.begun = True
+        self.headers_complete = True
 
     def on_body(self, data: bytes) -> None:
         self.body.append(data)
 
     def on_message_complete(self) -> None:
-        self.ended = True
+        self.message_complete = True
 
     def feed(self, data: bytes) -> bytes:
-        """What of the body is in data, which may hold the end of the head, too. Raises OSError."""
+        """Returns the part of the body in data, which may begin with the end of the head. Raises OSError."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as problem:
             raise OSError(f"not HTTP/1.1: {str(problem)[:100]}") from None
-        if not self.begun:
-            self.size += len(data)
-            if self.size > LONGEST_HEAD:
-                raise OSError(f"a head over {LONGEST_HEAD} bytes")
-        if self.begun and self.parser.get_status_code() != 200:
+        if not self.headers_complete:
+            self.head_size += len(data)
+            if self.head_size > MAX_HEAD_SIZE:
+                raise OSError(f"response head is over {MAX_HEAD_SIZE} bytes")
+        if self.headers_complete and self.parser.get_status_code() != 200:
             raise OSError(f"status {self.parser.get_status_code()}")
         body, self.body = b"".join(self.body), []
         return body
 
 
 class CoordinatorStream:
-    """One front end's stream. What it says of workers goes to `on_update`, in order, each event once."""
+    """The stream of one front end. Its updates of the list are passed to `on_update`, in order, each event once."""
 
     def __init__(self, address: Address, on_update: Callable[[ListUpdate], None], on_lost: Callable[[], None],
                  note: Callable[..., None], chance: Callable[[], float]):
         self.address, self.on_update, self.on_lost, self.note = address, on_update, on_lost, note
         self.sequence, self.freshness = EventSequence(), Freshness()
-        self.backoff = ReconnectBackoff(chance, LONGEST_PAUSE)
+        self.backoff = ReconnectBackoff(chance, MAX_RETRY_PAUSE)
         self.sock: socket.socket | None = None
-        self.moved = Event()
+        self.address_changed = Event()
 
     def apply_known(self, events: Iterable[Any]) -> None:
-        """The events of a configuration."""
+        """Applies the events of a configuration."""
         for update in self.sequence.accept_known(events):
             if isinstance(update, InvalidEvent):
                 self.note("event-unreadable", level="warning", problem=str(update))
             else:
-                self.hand_on(update)
+                self.deliver(update)
 
     def apply(self, id_: str, data: str) -> None:
-        """One event of the stream. Raises MissingEvents."""
+        """Applies one event of the stream. Raises MissingEvents."""
         try:
             update = self.sequence.accept(id_, data)
         except InvalidEvent as problem:
             self.note("event-unreadable", level="warning", problem=str(problem))
             return
         if update is not None:
-            self.hand_on(update)
+            self.deliver(update)
 
-    def hand_on(self, update: ListUpdate) -> None:
+    def deliver(self, update: ListUpdate) -> None:
+        """Passes an update on, and logs the entries in it that could not be parsed."""
         if update.problems:
             self.note("event-unreadable", level="warning", problem="; ".join(update.problems)[:500],
                       entries=len(update.problems))
         try:
             self.on_update(update)
-        except Exception as fault:      # ours, and loud: the next event is followed all the same
+        except Exception as fault:      # a bug of this program is logged, and the next event is still applied
             self.note("fault", level="error", **exception_fields(fault))
 
     def has_unread_data(self) -> bool:
-        """Whether something of the coordinator has arrived and is not read yet."""
+        """Whether data of the coordinator has arrived and has not been read yet."""
         return self.sock is not None and shows(self.sock, select.POLLIN)
 
     def move(self, address: Address) -> None:
-        """Goes on at another address, at once, with the numbers kept."""
+        """Continues the stream at another address at once, from the last event on."""
         if address == self.address:
             return
         self.address = address
-        self.backoff = ReconnectBackoff(self.backoff.chance, LONGEST_PAUSE)
+        self.backoff = ReconnectBackoff(self.backoff.chance, MAX_RETRY_PAUSE)
         self.freshness.failures = 0
-        self.moved.set()
+        self.address_changed.set()
         if self.sock is not None:
             with suppress(OSError):
                 self.sock.shutdown(socket.SHUT_RDWR)
 
     def run(self) -> None:
+        """Follows the stream for ever, with pauses between attempts that failed."""
         while True:
-            self.moved.clear()
+            self.address_changed.clear()
             address = self.address
-            problem = self.follow(address)
+            problem = self.follow_connection(address)
             if address != self.address:
                 continue
             self.on_lost()
             pause = self.backoff.on_disconnected(time.monotonic_ns()) - time.monotonic_ns()
             self.note("coordinator-lost", level="warning", problem=problem, again_ms=max(0, pause) // MS)
-            self.moved.wait(max(0, pause) / SECOND)
+            self.address_changed.wait(max(0, pause) / SECOND)
 
-    def follow(self, address: Address) -> str:
-        """One connection until it ends; why it ended."""
+    def follow_connection(self, address: Address) -> str:
+        """Reads one connection until it ends; returns why it ended."""
         sock, response, silent = None, Response(), False
         try:
-            sock = connect(address, self.freshness.dialled())
+            sock = connect(address, self.freshness.attempt_timeout())
             if address != self.address:
                 return "moved"
             self.sock = sock
             sock.sendall(f"GET {PATH} HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\n"
                          f"Last-Event-ID: {self.sequence.last}\r\n\r\n".encode())
-            sock.settimeout(self.freshness.dialled() / SECOND)
+            sock.settimeout(self.freshness.attempt_timeout() / SECOND)
             self.read(sock, response)
-            return "ended by the coordinator" if response.ended else "closed by the coordinator"
+            return "ended by the coordinator" if response.message_complete else "closed by the coordinator"
         except TimeoutError:
-            silent = response.begun
+            silent = response.headers_complete
             return "silent" if silent else "no connection in time" if self.sock is None else "no answer in time"
         except (OSError, InvalidEvent, MissingEvents) as failed:
             return str(failed) or type(failed).__name__
         finally:
             self.sock = None
-            self.freshness.lost(silent, response.begun)
+            self.freshness.on_lost(silent, response.headers_complete)
             if sock is not None:
                 sock.close()
 
     def read(self, sock: socket.socket, response: Response) -> None:
         """Applies the events of one connection until it ends. Raises OSError, InvalidEvent, MissingEvents."""
         parser = EventParser()
-        while not response.ended and (data := sock.recv(READ)):
+        while not response.message_complete and (data := sock.recv(READ)):
             body = response.feed(data)
-            if response.begun:
-                self.freshness.received(time.monotonic_ns())
+            if response.headers_complete:
+                self.freshness.on_bytes(time.monotonic_ns())
             if body:
-                self.freshness.spoke()
+                self.freshness.on_body()
             events = parser.feed(body)
             if events:
                 self.backoff.on_connected(time.monotonic_ns())
             for event in events:
                 self.apply(event.id, event.data)
-            if response.begun:
-                sock.settimeout(self.freshness.silence() / SECOND)
+            if response.headers_complete:
+                sock.settimeout(self.freshness.silence_timeout() / SECOND)
                 self.catch_up(sock)
 
     def catch_up(self, sock: socket.socket) -> None:
-        """The list is current once all that was missed, which is written right behind the head, has been read."""
+        """Records that the list is current once the missed events, which are written right behind the head, have been
+        read."""
         if self.freshness.current:
             return
-        gevent.sleep(CATCH_UP / SECOND)
+        gevent.sleep(CATCH_UP_WAIT / SECOND)
         if not shows(sock, select.POLLIN):
             self.note("coordinator-current", last_event=self.sequence.last, failures=self.freshness.failures)
-            self.freshness.caught_up()
+            self.freshness.on_caught_up()
