--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -7,7 +7,7 @@
 
 from tests.platform import event, instance
 from threadshift.coordinator.events import (
-    LONGEST_LINE, EventParser, EventSequence, InvalidEvent, MissingEvents, ServerSentEvent, parse_update)
+    MAX_EVENT_SIZE, EventParser, EventSequence, InvalidEvent, MissingEvents, ServerSentEvent, parse_update)
 from threadshift.coordinator.stream import Response
 from threadshift.interface import MS, WorkerState
 
@@ -46,9 +46,9 @@
     def test_a_line_without_end_is_refused(self):
         parser = EventParser()
         with self.assertRaises(InvalidEvent):
-            for _ in range(LONGEST_LINE // 1_000 + 1):
+            for _ in range(MAX_EVENT_SIZE // 1_000 + 1):
                 parser.feed(b"x" * 1_000)
-        self.assertLessEqual(parser.size, LONGEST_LINE + 1_000)
+        self.assertLessEqual(parser.size, MAX_EVENT_SIZE + 1_000)
 
     def test_an_event_that_ends_in_the_middle_is_none(self):
         self.assertEqual(EventParser().feed(b"id: 1\ndata: {}\n"), [])
--- a/threadshift/coordinator/freshness.py
+++ b/threadshift/coordinator/freshness.py
@@ -4,8 +4,8 @@
 
 - It counts as notified once the coordinator has the change, whether or not the front end is connected then.
 - If the coordinator has broken the connection, the front end counts as notified 2 s after the break. If the
-  coordinator has fallen silent, or a new configuration has moved it, the front end counts as notified after 4 s. In any
-  case it counts as notified as soon as it has sent its next request.
+  coordinator has fallen silent, or a new configuration has moved it, the front end counts as notified after 4 s. In
+  any case it counts as notified as soon as it has sent its next request.
 
 So for a change that is read while the stream is in order, the front end counts as notified since the change arrived.
 For a change that is read first on a new connection, it may count as notified since the last byte of the last current
