--- a/threadshift/coordinator/events.py
+++ b/threadshift/coordinator/events.py
@@ -1,8 +1,8 @@
 """Parses server-sent events and the list of workers in them. Free of I/O.
 
 Events are numbered. An incomplete event is not applied, an event whose number has been seen is dropped as a repeat,
-and an event that is invalid as a whole is dropped, so that the last list stays in force. An invalid entry affects that
-entry only, and if it can still be read that its worker drains or is gone, that is applied. The format of the stream
+and an event that is invalid as a whole is dropped, so that the last list stays in force. An invalid entry affects no
+other entry, and if it can still be read that its worker drains or is gone, that is applied. The format of the stream
 is defined by the HTML standard, section 9.2.
 """
 from __future__ import annotations
@@ -109,7 +109,8 @@
         raise InvalidEvent("an instance is not an object")
     worker = instance.get("instanceId")
     if not isinstance(worker, str) or not 0 < len(worker) <= MAX_ID_LENGTH or not worker.isprintable():
-        raise InvalidEvent(f"instanceId {str(worker)[:64]!r} is not a printable text of 1 to {MAX_ID_LENGTH} characters")
+        raise InvalidEvent(
+            f"instanceId {str(worker)[:64]!r} is not a printable text of 1 to {MAX_ID_LENGTH} characters")
     return worker
 
 
