--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -344,12 +344,12 @@
         if what is None:
             return
         now = time.monotonic_ns()
-        if it.code not in (ENDS if isinstance(what, tuple) else ORDERS if what.fn else PROBES):
+        if it.code not in (ENDS if isinstance(what, tuple) else ORDERS if what.function else PROBES):
             raise ProtocolError(f"code {it.code} answers something else")
         load = report(it.fields["stats"], ";") if "stats" in it.fields else None
         if isinstance(what, tuple):
             copy = COPIES.get(it.fields.get("how", ""), Copy.UNKNOWN)
-        elif what.fn:
+        elif what.function:
             copies = it.fields.get("n", "0")
             if not (copies.isascii() and copies.isdigit() and len(copies) < 6):
                 raise ProtocolError(f"n={copies[:20]} is no number of copies")
@@ -362,7 +362,7 @@
             # What we held it up ourselves is not the worker's, or at our own limit every worker would look slow.
             pending.on_send_ended(now, number, ENDS[it.code], body=it.body, copy=copy, report=load,
                           waited=max(0, now - since_ready() - left))
-        elif what.fn:
+        elif what.function:
             what.on_answered(now, ORDERS[it.code], copies=int(copies))
         else:
             what.on_answered(now, Outcome.COMPLETED, report=load)
