--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -1,7 +1,8 @@
-"""One worker that speaks binary frames: its connections, what waits on each, and what a break proves.
+"""The connections to one worker that speaks binary frames, what is in flight on each, and what a break proves.
 
-A Link owns its greenlets, ended by stop(): one a connection that reads, one that dials, and one that writes while a
-socket is full. What comes in becomes a call on the handle it belongs to; nothing here decides what follows.
+A Link owns its greenlets and ends them in stop(): a reader for each connection, one that dials, and one that writes
+while a socket is full. Each answer becomes a call of the request or query it belongs to. Nothing here decides what
+follows from it.
 """
 from __future__ import annotations
 
@@ -24,34 +25,39 @@
 from threadshift.links.sockets import Outgoing, connect, shows, since_ready
 from threadshift.log import exception_fields
 
-READ = 16 << 10            # bytes a read: many usual answers, and little memory a connection
-MAX_USED_IDS = 128         # ids remembered a connection that may not go over it again
-COPIES = {"reused": Copy.FOUND, "init": Copy.LOAD_STARTED, "shared_init": Copy.WAITED, "init_error": Copy.LOAD_FAILED}
-ENDS = {OK: Outcome.COMPLETED, MISS: Outcome.MISS, FULL: Outcome.FULL, ERROR: Outcome.ERROR,
-        EXPIRED: Outcome.NEVER_SENT}
-ORDERS = {OK: Outcome.COMPLETED, FULL: Outcome.FULL, ERROR: Outcome.ERROR}
-PROBES = (HEALTHY, UNHEALTHY)
+READ_SIZE = 16 << 10       # bytes per read: enough for many usual answers, and little memory per connection
+MAX_USED_IDS = 128         # ids remembered for each connection, on which they may not be sent again
+
+# The field `how` of an answer, and the codes that may answer a send, a load order and a probe.
+COPY_BY_NAME = {"reused": Copy.FOUND, "init": Copy.LOAD_STARTED, "shared_init": Copy.WAITED,
+                "init_error": Copy.LOAD_FAILED}
+SEND_OUTCOMES = {OK: Outcome.COMPLETED, MISS: Outcome.MISS, FULL: Outcome.FULL, ERROR: Outcome.ERROR,
+                 EXPIRED: Outcome.NEVER_SENT}
+LOAD_OUTCOMES = {OK: Outcome.COMPLETED, FULL: Outcome.FULL, ERROR: Outcome.ERROR}
+PROBE_ANSWERS = (HEALTHY, UNHEALTHY)
 
 
 class LinkSettings(NamedTuple):
-    """What is told of workers' connections at start, and bounds derived from it."""
+    """Limits of the connections to one worker, in ns and bytes."""
 
-    connect_timeout: int     # ns until a connection that is not up counts as unreachable
-    write_timeout: int       # ns without progress until one that takes no bytes is broken off
-    idle_timeout: int        # ns after which workers close an idle one
-    max_sends: int           # sends on one at once
-    max_connections: int     # connections to each worker
-    dial_threshold: int      # sends on each from which another is dialled
-    max_buffered: int        # bytes waiting to be written to one
-    max_body: int            # bytes of an answer's body
+    connect_timeout: int     # until a connection that is not up counts as unreachable
+    write_timeout: int       # without progress, until a connection that takes no bytes is closed
+    idle_timeout: int        # after which workers close an idle connection
+    max_sends: int           # in flight on one connection
+    max_connections: int     # to each worker
+    dial_threshold: int      # sends on each connection from which another is dialled
+    max_buffered: int        # waiting to be written to one connection
+    max_body: int            # of an answer
 
 
 class Owner(Protocol):
-    """Whose link it is. catch_up_after_stall() is called before what answers bring, or a dial that came up, is
-    acted upon: it may wait a moment. make_room_for_connection() makes room for one
-    more connection, by ending others only where it is wanted for something that waits; False where there is none.
-    dials_ahead() tells whether connections are dialled before anything waits for them: not where workers are too many
-    to have one each. Each dial is counted as a connection from its begin on."""
+    """The owner of a link.
+
+    catch_up_after_stall() is called before an answer or a new connection is acted upon, and may wait a moment.
+    make_room_for_connection() makes room for one more connection and returns False if there is none; it closes other
+    connections only if something waits for the new one. dials_ahead() returns whether connections are dialled before
+    anything waits for them, which is not the case if there are too many workers to have a connection each.
+    connection_opened() is called when a dial begins: a dial counts as a connection from then on."""
 
     def catch_up_after_stall(self) -> None: ...
     def make_room_for_connection(self, wanted: bool) -> bool: ...
@@ -62,20 +68,20 @@
 
 
 def invoke_frame(id_: bytes, call: Any, left: int) -> bytes:
-    """The frame of a send with so much time left."""
+    """The frame of a send with `left` ns until its deadline."""
     fields = f"class={call.type},key={call.function},wait={max(1, left // MS)}"
     if call.mark:
-        fields += f",once={call.mark}"          # by which a worker knows a repeat
+        fields += f",once={call.mark}"          # lets the worker recognize a repeat
     return encode(INVOKE, id_, fields, call.body)
 
 
-def order_frame(id_: bytes, asked: Any) -> bytes:
-    """The frame of a load order, or of a question for a report."""
-    return encode(LOAD, id_, f"key={asked.function},n=1") if asked.function else encode(PROBE, id_)
+def order_frame(id_: bytes, query: Any) -> bytes:
+    """The frame of a load order, or of a probe for a load report."""
+    return encode(LOAD, id_, f"key={query.function},n=1") if query.function else encode(PROBE, id_)
 
 
 def current_invoke_frame(id_: bytes, pending: Any) -> bytes:
-    """The frame of a send that has waited: it says how much time is left now."""
+    """The frame of a send that has waited, with the time that is left now."""
     return invoke_frame(id_, pending.call, pending.time_left(time.monotonic_ns()))
 
 
@@ -84,40 +90,43 @@
 
     def __init__(self, sock: socket.socket, settings: LinkSettings):
         super().__init__(sock, settings.max_buffered, settings.write_timeout)
-        self.in_flight: dict[bytes, Any] = {}   # (pending, number) of a send, or an Asked
+        self.in_flight: dict[bytes, Any] = {}   # (pending, number) of a send, or a PendingWorkerQuery
         self.used_ids: dict[bytes, None] = {}
         self.has_answered = self.suspected = False
         self.last_received_at = time.monotonic_ns()
         self.reader: gevent.Greenlet | None = None
 
     def refresh(self) -> None:
-        """Requests that waited for the socket say how much time is left now, not when they were queued."""
+        """Updates the time left in the requests that waited for the socket to become writable."""
         for id_ in self.outbox.unwritten:
-            what = self.in_flight.get(id_)
-            if isinstance(what, tuple):
-                self.outbox.replace(id_, current_invoke_frame(id_, what[0]))
+            waiter = self.in_flight.get(id_)
+            if isinstance(waiter, tuple):
+                self.outbox.replace(id_, current_invoke_frame(id_, waiter[0]))
 
 
 class Link:
     """All connections to one worker."""
 
     def __init__(self, worker: str, address: Address, settings: LinkSettings, owner: Owner,
-                 chance: Callable[[], float], bits: Callable[[int], int]):
-        self.worker, self.address, self.settings, self.owner, self.bits = worker, address, settings, owner, bits
+                 chance: Callable[[], float], random_bits: Callable[[int], int]):
+        self.worker, self.address, self.settings = worker, address, settings
+        self.owner, self.random_bits = owner, random_bits
         self.note = owner.note
         self.backoff = ReconnectBackoff(chance)
         self.dial_not_before = 0
         self.connections: list[Connection] = []
-        self.queue: dict[bytes, Any] = {}       # what waits for the first connection, as in Connection.in_flight
-        self.routes: dict[tuple[str, int], tuple[Connection | None, bytes]] = {}   # where a send waits, for cancels
+        self.queue: dict[bytes, Any] = {}       # as Connection.in_flight, waiting for the first connection
+        # The connection of each send, None while it is queued, and its id there; by request id and send number.
+        self.routes: dict[tuple[str, int], tuple[Connection | None, bytes]] = {}
         self.dialler: gevent.Greenlet | None = None
         self.stopped = False
         if owner.dials_ahead():
             self.dial()
 
-    # What the engine's port asks for.
+    # Requests of the engine's worker port.
 
     def invoke(self, pending: Any, number: int, left: int) -> Outcome | None:
+        """Sends a request, and dials another connection if all are busy."""
         id_ = bytes.fromhex(pending.id)
         outcome = self.transmit(id_, (pending, number), invoke_frame(id_, pending.call, left))
         if self.connections and pool.should_dial(
@@ -126,91 +135,96 @@
             self.dial()
         return outcome
 
-    def transmit(self, id_: bytes, what: Any, frame: bytes) -> Outcome | None:
-        """Puts a frame on the connection that fits and notes where it waits: the one way for all frames that are
-        answered. Idle connections that were closed meanwhile are ended on the way. Nothing of a request whose time
-        is up while it waited here is written."""
-        if isinstance(what, tuple) and what[0].time_left(time.monotonic_ns()) <= 0:
+    def transmit(self, id_: bytes, waiter: Any, frame: bytes) -> Outcome | None:
+        """Puts a frame that will be answered on the connection that fits, and records where it is in flight.
+
+        Idle connections that the worker has closed in the meantime are closed here, too. A request whose deadline has
+        passed while it waited is not written."""
+        if isinstance(waiter, tuple) and waiter[0].time_left(time.monotonic_ns()) <= 0:
             return Outcome.NEVER_SENT
         while (connection := pool.choose_connection(self.connections, id_, self.settings.max_sends)) is not None and (
                 not connection.in_flight and self.is_closing(connection)):
             self.close_connection(connection)
-        if connection is None and (isinstance(what, tuple) or not (self.connections or self.owner.dials_ahead())):
-            return self.queue_until_connected(what, id_)
+        if connection is None and (isinstance(waiter, tuple) or not (self.connections or self.owner.dials_ahead())):
+            return self.queue_until_connected(waiter, id_)
         if connection is None or not connection.outbox.put(id_, frame):
             if not self.connections:
                 self.dial()
-            return Outcome.UNREACHABLE      # a worker that does not read: what fits no more never left
-        connection.in_flight[id_] = what
+            return Outcome.UNREACHABLE      # the worker does not read; what no longer fits has not been sent
+        connection.in_flight[id_] = waiter
         connection.used_ids[id_] = None
         if len(connection.used_ids) > MAX_USED_IDS:
             del connection.used_ids[next(iter(connection.used_ids))]
         connection.write()
-        if isinstance(what, tuple):
-            self.routes[what[0].id, what[1]] = connection, id_
+        if isinstance(waiter, tuple):
+            self.routes[waiter[0].id, waiter[1]] = connection, id_
         elif connection.outbox.withdraw(id_):
-            # An order or a question leaves at once or not at all: late ones would come to the worker in a bunch.
+            # A load order or a probe is sent at once or not at all: late ones would reach the worker in a burst.
             del connection.in_flight[id_]
             return Outcome.UNREACHABLE
         return None
 
-    def queue_until_connected(self, what: Any, id_: bytes) -> Outcome | None:
+    def queue_until_connected(self, waiter: Any, id_: bytes) -> Outcome | None:
+        """Queues a send or query until a connection comes up, and dials one."""
         if self.stopped or time.monotonic_ns() < self.dial_not_before or id_ in self.queue or (
                 len(self.connections) >= self.settings.max_connections and not self.close_idle_connection()):
             return Outcome.UNREACHABLE
         if len(self.queue) >= self.settings.max_sends:
-            return Outcome.UNREACHABLE      # more than one connection takes: it never left
-        self.queue[id_] = what
-        if isinstance(what, tuple):
-            self.routes[what[0].id, what[1]] = None, id_
+            return Outcome.UNREACHABLE      # one connection could not carry more; it has not been sent
+        self.queue[id_] = waiter
+        if isinstance(waiter, tuple):
+            self.routes[waiter[0].id, waiter[1]] = None, id_
         self.dial()
         return None
 
     def close_idle_connection(self) -> bool:
-        """Ends a connection that carries nothing, where all that there may be stand and none can be used."""
+        """Closes a connection with nothing in flight, when all connections are in use and none fits."""
         for connection in self.connections:
             if not connection.in_flight:
                 self.close_connection(connection)
                 return True
         return False
 
-    def order_load(self, asked: Any) -> Outcome | None:
+    def order_load(self, query: Any) -> Outcome | None:
+        """Sends a load order or a probe."""
         id_ = self.new_id()
-        return self.transmit(id_, asked, order_frame(id_, asked))
+        return self.transmit(id_, query, order_frame(id_, query))
 
-    def probe(self, asked: Any) -> Outcome | None:
-        return self.order_load(asked)
+    def probe(self, query: Any) -> Outcome | None:
+        return self.order_load(query)
 
     def new_id(self) -> bytes:
-        """An id of our own, which meets no other that is open here."""
+        """A random id that is not in use on this link."""
         while True:
-            id_ = self.bits(64).to_bytes(8, "big")
+            id_ = self.random_bits(64).to_bytes(8, "big")
             if id_ not in self.queue and not any(id_ in each.in_flight for each in self.connections):
                 return id_
 
     def is_closing(self, connection: Connection) -> bool:
-        """Whether the peer has closed an idle connection, seen or not, or is about to: nothing is written on it."""
+        """Whether the worker has closed an idle connection, read or not, or is about to: nothing is written on it."""
         if pool.is_idle_timeout_near(time.monotonic_ns(), connection.last_received_at, self.settings.idle_timeout):
             return True
         return shows(connection.sock, select.POLLRDHUP)
 
     def cancel(self, pending: Any, number: int, tell: bool) -> Outcome:
-        """Stops waiting for a send. MOOT where it never left. The worker is told in any case, or it works on."""
+        """Stops waiting for a send; returns NEVER_SENT if nothing of it was written.
+
+        The worker gets a cancel frame whatever `tell` says, or it would go on working."""
         if self.withdraw(pending, number):
             return Outcome.NEVER_SENT
         connection, id_ = self.routes.pop((pending.id, number), (None, b""))
         if connection is None or connection.in_flight.pop(id_, None) is None:
             return Outcome.CANCELLED
-        left = connection.outbox.left.pop(id_, 0)
+        sent_at = connection.outbox.left.pop(id_, 0)
         if connection.outbox.put(None, encode(CANCEL, id_)):
             connection.write()
-        connection.suspected = connection.suspected or pool.is_suspected(connection.last_received_at, left)
+        connection.suspected = connection.suspected or pool.is_suspected(connection.last_received_at, sent_at)
         if connection.suspected and not connection.in_flight:
             self.close_connection(connection)
         return Outcome.CANCELLED
 
     def withdraw(self, pending: Any, number: int) -> bool:
-        """Takes back a send of which nothing has left, not even where it waits for a dial; False where it has."""
+        """Withdraws a send, also one that waits for a dial; returns False if any of it has been written."""
         connection, id_ = self.routes.get((pending.id, number), (None, b""))
         if not id_ or (self.queue.pop(id_, None) is None if connection is None
                        else not connection.outbox.withdraw(id_)):
@@ -221,57 +235,62 @@
         return True
 
     def withdraw_unsent(self) -> None:
-        """Ends all that waits here and of which nothing is written: it never ran. Called when nothing more may go to
-        this worker."""
+        """Ends everything that waits here and of which nothing has been written: it never ran.
+
+        Called when nothing more may be sent to this worker."""
         now = time.monotonic_ns()
         queued, self.queue = [*self.queue.values()], {}
         for connection in self.connections:
-            for id_, what in list(connection.in_flight.items()):
+            for id_, waiter in list(connection.in_flight.items()):
                 if connection.outbox.withdraw(id_):
                     del connection.in_flight[id_]
-                    queued.append(what)
-        for what in queued:
-            self.finish(what, now, Outcome.UNREACHABLE)
+                    queued.append(waiter)
+        for waiter in queued:
+            self.finish(waiter, now, Outcome.UNREACHABLE)
 
     @property
     def busy(self) -> bool:
+        """Whether anything waits for a connection or for an answer."""
         return bool(self.queue) or any(each.in_flight for each in self.connections)
 
     @property
     def up(self) -> bool:
+        """Whether there is a connection."""
         return bool(self.connections)
 
-    def finish(self, what: Any, now: int, outcome: Outcome) -> None:
-        if isinstance(what, tuple):
-            self.routes.pop((what[0].id, what[1]), None)
-            what[0].on_send_ended(now, what[1], outcome)
+    def finish(self, waiter: Any, now: int, outcome: Outcome) -> None:
+        """Reports the outcome of a send or query that has got no answer."""
+        if isinstance(waiter, tuple):
+            self.routes.pop((waiter[0].id, waiter[1]), None)
+            waiter[0].on_send_ended(now, waiter[1], outcome)
         else:
-            what.on_answered(now, outcome)
+            waiter.on_answered(now, outcome)
 
-    # The connections.
+    # Connections.
 
     def dial(self) -> None:
+        """Starts to dial a connection, unless a dial is under way."""
         if self.dialler is None and not self.stopped:
             self.owner.connection_opened(self)
             self.dialler = gevent.spawn(self.connect)
 
     def end_dial(self) -> None:
-        """No connection came of the dial under way."""
+        """Ends the dial under way, which brought no connection."""
         if self.dialler is not None:
             self.dialler = None
             self.owner.connection_closed(self)
 
     def connect(self) -> None:
-        """Brings one more connection up; while there is none, tries again after pauses."""
+        """Dials one more connection; tries again after pauses while there is no connection at all."""
         problem = ""
         while not self.stopped:
             gevent.sleep(max(0, self.dial_not_before - time.monotonic_ns()) / SECOND)
             try:
                 if not self.owner.make_room_for_connection(bool(self.queue)):
                     if not self.queue:
-                        self.end_dial()         # dialled once something waits for it
+                        self.end_dial()         # dialled again once something waits for it
                         return
-                    raise OSError("no descriptor is free for it")
+                    raise OSError("no file descriptor is free for the connection")
                 sock = connect(self.address, self.settings.connect_timeout)
                 break
             except OSError as failed:
@@ -283,45 +302,46 @@
                     problem = str(failed)
                     self.note("link-down", worker=self.worker, problem=problem, sends=len(self.queue))
                 queued, self.queue = self.queue, {}
-                for what in queued.values():
-                    self.finish(what, now, Outcome.UNREACHABLE)
+                for waiter in queued.values():
+                    self.finish(waiter, now, Outcome.UNREACHABLE)
                 if not self.queue and (self.connections or not self.owner.dials_ahead()):
                     self.end_dial()
                     return
         else:
             return
         if self.queue:
-            # word that a client is gone, or that the worker drains, may lie unread
+            # A disconnect of a client or a drain of the worker may be unread.
             self.owner.catch_up_after_stall()
         if self.stopped:
-            sock.close()                    # while it came up; it is counted no more
+            sock.close()                    # stop() came while it was dialled, and counts it no more
             return
-        sock.settimeout(None)               # silence of a worker is judged by the decisions alone
+        sock.settimeout(None)               # only the dispatcher judges a silent worker
         connection = Connection(sock, self.settings)
         self.backoff.on_connected(connection.last_received_at)
         self.connections.append(connection)
         self.dialler = None
         connection.reader = gevent.spawn(self.read, connection)
         queued, self.queue = self.queue, {}
-        for id_, what in queued.items():
-            if not isinstance(what, tuple) and what.is_done:
-                continue                        # its time is up
-            # The time that is left is told as it is now, or the worker would work on for nobody.
-            frame = current_invoke_frame(id_, what[0]) if isinstance(what, tuple) else order_frame(id_, what)
-            if (outcome := self.transmit(id_, what, frame)) is not None:
-                self.finish(what, time.monotonic_ns(), outcome)
+        for id_, waiter in queued.items():
+            if not isinstance(waiter, tuple) and waiter.is_done:
+                continue                        # it has timed out
+            # The frame carries the time left now, or the worker would go on after the client has given up.
+            frame = current_invoke_frame(id_, waiter[0]) if isinstance(waiter, tuple) else order_frame(id_, waiter)
+            if (outcome := self.transmit(id_, waiter, frame)) is not None:
+                self.finish(waiter, time.monotonic_ns(), outcome)
 
     def read(self, connection: Connection) -> None:
-        frames, problem, answers = FrameDecoder(self.settings.max_body), "", []
+        """Reads answers from one connection until it ends."""
+        decoder, problem, answers = FrameDecoder(self.settings.max_body), "", []
         sock = connection.sock
         try:
             while not problem:
                 try:
-                    data = sock.recv(READ)
+                    data = sock.recv(READ_SIZE)
                     if not data:
                         break
                     connection.last_received_at = time.monotonic_ns()
-                    answers = frames.feed(data)
+                    answers = decoder.feed(data)
                 except ProtocolError as refused:
                     problem, answers = str(refused), getattr(refused, "before", [])
                 if answers:
@@ -330,69 +350,71 @@
                     self.on_frame(connection, answer)
         except (OSError, ProtocolError) as failed:
             problem = str(failed) or type(failed).__name__
-        except Exception as fault:          # ours; loud, and what waits here is not left waiting
+        except Exception as fault:          # a bug of this program is logged, and what waits here is ended below
             self.note("fault", level="error", **exception_fields(fault))
-            problem = "a fault of ours"
-        connection.suspected = True         # carries nothing new while catch_up_after_stall() waits
+            problem = "internal error"
+        connection.suspected = True         # so that it carries nothing new while catch_up_after_stall() waits
         if connection.in_flight:
             self.owner.catch_up_after_stall()
-        self.on_connection_lost(connection, problem or ("closed inside a frame" if frames.is_mid_frame else ""))
+        self.on_connection_lost(connection, problem or ("closed inside a frame" if decoder.is_mid_frame else ""))
 
-    def on_frame(self, connection: Connection, it: Frame) -> None:
-        """One answer as the call on the handle that it belongs to; one that nobody waits for is dropped."""
-        what = connection.in_flight.get(it.id)
-        if what is None:
+    def on_frame(self, connection: Connection, frame: Frame) -> None:
+        """Passes one answer to the send or query that waits for it; drops an answer that nothing waits for."""
+        waiter = connection.in_flight.get(frame.id)
+        if waiter is None:
             return
         now = time.monotonic_ns()
-        if it.code not in (ENDS if isinstance(what, tuple) else ORDERS if what.function else PROBES):
-            raise ProtocolError(f"code {it.code} answers something else")
-        load = report(it.fields["stats"], ";") if "stats" in it.fields else None
-        if isinstance(what, tuple):
-            copy = COPIES.get(it.fields.get("how", ""), Copy.UNKNOWN)
-        elif what.function:
-            copies = it.fields.get("n", "0")
+        if frame.code not in (
+                SEND_OUTCOMES if isinstance(waiter, tuple) else LOAD_OUTCOMES if waiter.function else PROBE_ANSWERS):
+            raise ProtocolError(f"code {frame.code} does not answer what was sent")
+        load = report(frame.fields["stats"], ";") if "stats" in frame.fields else None
+        if isinstance(waiter, tuple):
+            copy = COPY_BY_NAME.get(frame.fields.get("how", ""), Copy.UNKNOWN)
+        elif waiter.function:
+            copies = frame.fields.get("n", "0")
             if not (copies.isascii() and copies.isdigit() and len(copies) < 6):
-                raise ProtocolError(f"n={copies[:20]} is no number of copies")
-        del connection.in_flight[it.id]
+                raise ProtocolError(f"n={copies[:20]} is not a number of copies")
+        del connection.in_flight[frame.id]
         connection.has_answered = True
-        left = connection.outbox.left.pop(it.id, now)
-        if isinstance(what, tuple):
-            pending, number = what
+        sent_at = connection.outbox.left.pop(frame.id, now)
+        if isinstance(waiter, tuple):
+            pending, number = waiter
             self.routes.pop((pending.id, number), None)
-            # What we held it up ourselves is not the worker's, or at our own limit every worker would look slow.
-            pending.on_send_ended(now, number, ENDS[it.code], body=it.body, copy=copy, report=load,
-                          waited=max(0, now - since_ready() - left))
-        elif what.function:
-            what.on_answered(now, ORDERS[it.code], copies=int(copies))
+            # The delay in this process is not counted as the worker's: when this process is at its own limit, every
+            # worker would look slow.
+            pending.on_send_ended(now, number, SEND_OUTCOMES[frame.code], body=frame.body, copy=copy, report=load,
+                                  waited=max(0, now - since_ready() - sent_at))
+        elif waiter.function:
+            waiter.on_answered(now, LOAD_OUTCOMES[frame.code], copies=int(copies))
         else:
-            what.on_answered(now, Outcome.COMPLETED, report=load)
+            waiter.on_answered(now, Outcome.COMPLETED, report=load)
         if connection.suspected and not connection.in_flight:
-            connection.suspected = False      # it lives: what was given up was slow
+            connection.suspected = False      # the worker is alive; the send that was given up was slow
 
     def on_connection_lost(self, connection: Connection, problem: str) -> None:
-        """Ends what waits on one connection: what never left goes over another, the rest may have run."""
+        """Handles the end of one connection: what was never sent moves to another, the rest may have run."""
         if connection not in self.connections:
             return
-        ended = list(connection.in_flight.items())
-        frames = {key: entry[1] for key, entry in connection.outbox.unwritten.items()}
+        lost = list(connection.in_flight.items())
+        unwritten = {key: entry[1] for key, entry in connection.outbox.unwritten.items()}
         self.close_connection(connection)
         now = time.monotonic_ns()
-        if problem or ended:
-            self.note("link-broke", worker=self.worker, problem=problem or "closed", sends=len(ended))
+        if problem or lost:
+            self.note("link-broke", worker=self.worker, problem=problem or "closed", sends=len(lost))
         if not self.connections and not self.stopped:
-            self.dial_not_before = self.backoff.on_disconnected(now) if problem or ended else now
+            self.dial_not_before = self.backoff.on_disconnected(now) if problem or lost else now
             if self.owner.dials_ahead():
                 self.dial()
-        for id_, what in ended:
-            if id_ not in frames:
-                self.finish(what, now, Outcome.RESET)
+        for id_, waiter in lost:
+            if id_ not in unwritten:
+                self.finish(waiter, now, Outcome.RESET)
                 continue
-            frame = current_invoke_frame(id_, what[0]) if isinstance(what, tuple) else frames[id_]
-            if (outcome := self.transmit(id_, what, frame)) is not None:
-                self.finish(what, now, outcome)
+            frame = current_invoke_frame(id_, waiter[0]) if isinstance(waiter, tuple) else unwritten[id_]
+            if (outcome := self.transmit(id_, waiter, frame)) is not None:
+                self.finish(waiter, now, outcome)
 
     def close_connection(self, connection: Connection) -> None:
-        """Closes one connection, on which nothing counts any more."""
+        """Closes one connection and forgets what was in flight on it."""
         if connection in self.connections:
             self.connections.remove(connection)
             self.owner.connection_closed(self)
@@ -405,7 +427,7 @@
         connection.outbox.clear()
 
     def stop(self) -> None:
-        """Ends the link and its greenlets; what waits for answers ends like after a break."""
+        """Ends the link and its greenlets; what waits for answers ends as after a break."""
         self.stopped = True
         if self.dialler is not None:
             self.dialler.kill(block=False)
