--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -109,8 +109,8 @@
 
     def __init__(self, worker: str, address: Address, settings: LinkSettings, owner: Owner,
                  chance: Callable[[], float], random_bits: Callable[[int], int]):
-        self.worker, self.address, self.settings = worker, address, settings
-        self.owner, self.random_bits = owner, random_bits
+        self.worker, self.address, self.settings, self.owner, self.random_bits = (
+            worker, address, settings, owner, random_bits)
         self.note = owner.note
         self.backoff = ReconnectBackoff(chance)
         self.dial_not_before = 0
