--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -50,7 +50,7 @@
     max_body: int            # of an answer
 
 
-class Owner(Protocol):
+class LinkOwner(Protocol):
     """The owner of a link.
 
     catch_up_after_stall() is called before an answer or a new connection is acted upon, and may wait a moment.
@@ -99,15 +99,15 @@
     def refresh(self) -> None:
         """Updates the time left in the requests that waited for the socket to become writable."""
         for id_ in self.outbox.unwritten:
-            waiter = self.in_flight.get(id_)
-            if isinstance(waiter, tuple):
-                self.outbox.replace(id_, current_invoke_frame(id_, waiter[0]))
+            receiver = self.in_flight.get(id_)
+            if isinstance(receiver, tuple):
+                self.outbox.replace(id_, current_invoke_frame(id_, receiver[0]))
 
 
 class Link:
     """All connections to one worker."""
 
-    def __init__(self, worker: str, address: Address, settings: LinkSettings, owner: Owner,
+    def __init__(self, worker: str, address: Address, settings: LinkSettings, owner: LinkOwner,
                  chance: Callable[[], float], random_bits: Callable[[int], int]):
         self.worker, self.address, self.settings, self.owner, self.random_bits = (
             worker, address, settings, owner, random_bits)
@@ -135,45 +135,45 @@
             self.dial()
         return outcome
 
-    def transmit(self, id_: bytes, waiter: Any, frame: bytes) -> Outcome | None:
+    def transmit(self, id_: bytes, receiver: Any, frame: bytes) -> Outcome | None:
         """Puts a frame that will be answered on the connection that fits, and records where it is in flight.
 
         Idle connections that the worker has closed in the meantime are closed here, too. A request whose deadline has
         passed while it waited is not written."""
-        if isinstance(waiter, tuple) and waiter[0].time_left(time.monotonic_ns()) <= 0:
+        if isinstance(receiver, tuple) and receiver[0].time_left(time.monotonic_ns()) <= 0:
             return Outcome.NEVER_SENT
         while (connection := pool.choose_connection(self.connections, id_, self.settings.max_sends)) is not None and (
                 not connection.in_flight and self.is_closing(connection)):
             self.close_connection(connection)
-        if connection is None and (isinstance(waiter, tuple) or not (self.connections or self.owner.dials_ahead())):
-            return self.queue_until_connected(waiter, id_)
+        if connection is None and (isinstance(receiver, tuple) or not (self.connections or self.owner.dials_ahead())):
+            return self.queue_until_connected(receiver, id_)
         if connection is None or not connection.outbox.put(id_, frame):
             if not self.connections:
                 self.dial()
             return Outcome.UNREACHABLE      # the worker does not read; what no longer fits has not been sent
-        connection.in_flight[id_] = waiter
+        connection.in_flight[id_] = receiver
         connection.used_ids[id_] = None
         if len(connection.used_ids) > MAX_USED_IDS:
             del connection.used_ids[next(iter(connection.used_ids))]
         connection.write()
-        if isinstance(waiter, tuple):
-            self.routes[waiter[0].id, waiter[1]] = connection, id_
+        if isinstance(receiver, tuple):
+            self.routes[receiver[0].id, receiver[1]] = connection, id_
         elif connection.outbox.withdraw(id_):
             # A load order or a probe is sent at once or not at all: late ones would reach the worker in a burst.
             del connection.in_flight[id_]
             return Outcome.UNREACHABLE
         return None
 
-    def queue_until_connected(self, waiter: Any, id_: bytes) -> Outcome | None:
+    def queue_until_connected(self, receiver: Any, id_: bytes) -> Outcome | None:
         """Queues a send or query until a connection comes up, and dials one."""
         if self.stopped or time.monotonic_ns() < self.dial_not_before or id_ in self.queue or (
                 len(self.connections) >= self.settings.max_connections and not self.close_idle_connection()):
             return Outcome.UNREACHABLE
         if len(self.queue) >= self.settings.max_sends:
             return Outcome.UNREACHABLE      # one connection could not carry more; it has not been sent
-        self.queue[id_] = waiter
-        if isinstance(waiter, tuple):
-            self.routes[waiter[0].id, waiter[1]] = None, id_
+        self.queue[id_] = receiver
+        if isinstance(receiver, tuple):
+            self.routes[receiver[0].id, receiver[1]] = None, id_
         self.dial()
         return None
 
@@ -209,7 +209,7 @@
     def cancel(self, pending: Any, number: int, tell: bool) -> Outcome:
         """Stops waiting for a send; returns NEVER_SENT if nothing of it was written.
 
-        The worker gets a cancel frame whatever `tell` says, or it would go on working."""
+        The worker gets a cancel frame in any case, or it would go on working."""
         if self.withdraw(pending, number):
             return Outcome.NEVER_SENT
         connection, id_ = self.routes.pop((pending.id, number), (None, b""))
@@ -241,12 +241,12 @@
         now = time.monotonic_ns()
         queued, self.queue = [*self.queue.values()], {}
         for connection in self.connections:
-            for id_, waiter in list(connection.in_flight.items()):
+            for id_, receiver in list(connection.in_flight.items()):
                 if connection.outbox.withdraw(id_):
                     del connection.in_flight[id_]
-                    queued.append(waiter)
-        for waiter in queued:
-            self.finish(waiter, now, Outcome.UNREACHABLE)
+                    queued.append(receiver)
+        for receiver in queued:
+            self.report_end(receiver, now, Outcome.UNREACHABLE)
 
     @property
     def busy(self) -> bool:
@@ -258,13 +258,13 @@
         """Whether there is a connection."""
         return bool(self.connections)
 
-    def finish(self, waiter: Any, now: int, outcome: Outcome) -> None:
+    def report_end(self, receiver: Any, now: int, outcome: Outcome) -> None:
         """Reports the outcome of a send or query that has got no answer."""
-        if isinstance(waiter, tuple):
-            self.routes.pop((waiter[0].id, waiter[1]), None)
-            waiter[0].on_send_ended(now, waiter[1], outcome)
+        if isinstance(receiver, tuple):
+            self.routes.pop((receiver[0].id, receiver[1]), None)
+            receiver[0].on_send_ended(now, receiver[1], outcome)
         else:
-            waiter.on_answered(now, outcome)
+            receiver.on_answered(now, outcome)
 
     # Connections.
 
@@ -302,8 +302,8 @@
                     problem = str(failed)
                     self.note("link-down", worker=self.worker, problem=problem, sends=len(self.queue))
                 queued, self.queue = self.queue, {}
-                for waiter in queued.values():
-                    self.finish(waiter, now, Outcome.UNREACHABLE)
+                for receiver in queued.values():
+                    self.report_end(receiver, now, Outcome.UNREACHABLE)
                 if not self.queue and (self.connections or not self.owner.dials_ahead()):
                     self.end_dial()
                     return
@@ -322,13 +322,13 @@
         self.dialler = None
         connection.reader = gevent.spawn(self.read, connection)
         queued, self.queue = self.queue, {}
-        for id_, waiter in queued.items():
-            if not isinstance(waiter, tuple) and waiter.is_done:
+        for id_, receiver in queued.items():
+            if not isinstance(receiver, tuple) and receiver.is_done:
                 continue                        # it has timed out
             # The frame carries the time left now, or the worker would go on after the client has given up.
-            frame = current_invoke_frame(id_, waiter[0]) if isinstance(waiter, tuple) else order_frame(id_, waiter)
-            if (outcome := self.transmit(id_, waiter, frame)) is not None:
-                self.finish(waiter, time.monotonic_ns(), outcome)
+            frame = current_invoke_frame(id_, receiver[0]) if isinstance(receiver, tuple) else order_frame(id_, receiver)
+            if (outcome := self.transmit(id_, receiver, frame)) is not None:
+                self.report_end(receiver, time.monotonic_ns(), outcome)
 
     def read(self, connection: Connection) -> None:
         """Reads answers from one connection until it ends."""
@@ -347,7 +347,7 @@
                 if answers:
                     self.owner.catch_up_after_stall()
                 for answer in answers:
-                    self.on_frame(connection, answer)
+                    self.handle_frame(connection, answer)
         except (OSError, ProtocolError) as failed:
             problem = str(failed) or type(failed).__name__
         except Exception as fault:          # a bug of this program is logged, and what waits here is ended below
@@ -358,36 +358,36 @@
             self.owner.catch_up_after_stall()
         self.on_connection_lost(connection, problem or ("closed inside a frame" if decoder.is_mid_frame else ""))
 
-    def on_frame(self, connection: Connection, frame: Frame) -> None:
+    def handle_frame(self, connection: Connection, frame: Frame) -> None:
         """Passes one answer to the send or query that waits for it; drops an answer that nothing waits for."""
-        waiter = connection.in_flight.get(frame.id)
-        if waiter is None:
+        receiver = connection.in_flight.get(frame.id)
+        if receiver is None:
             return
         now = time.monotonic_ns()
         if frame.code not in (
-                SEND_OUTCOMES if isinstance(waiter, tuple) else LOAD_OUTCOMES if waiter.function else PROBE_ANSWERS):
+                SEND_OUTCOMES if isinstance(receiver, tuple) else LOAD_OUTCOMES if receiver.function else PROBE_ANSWERS):
             raise ProtocolError(f"code {frame.code} does not answer what was sent")
         load = report(frame.fields["stats"], ";") if "stats" in frame.fields else None
-        if isinstance(waiter, tuple):
+        if isinstance(receiver, tuple):
             copy = COPY_BY_NAME.get(frame.fields.get("how", ""), Copy.UNKNOWN)
-        elif waiter.function:
+        elif receiver.function:
             copies = frame.fields.get("n", "0")
             if not (copies.isascii() and copies.isdigit() and len(copies) < 6):
                 raise ProtocolError(f"n={copies[:20]} is not a number of copies")
         del connection.in_flight[frame.id]
         connection.has_answered = True
         sent_at = connection.outbox.left.pop(frame.id, now)
-        if isinstance(waiter, tuple):
-            pending, number = waiter
+        if isinstance(receiver, tuple):
+            pending, number = receiver
             self.routes.pop((pending.id, number), None)
             # The delay in this process is not counted as the worker's: when this process is at its own limit, every
             # worker would look slow.
             pending.on_send_ended(now, number, SEND_OUTCOMES[frame.code], body=frame.body, copy=copy, report=load,
                                   waited=max(0, now - since_ready() - sent_at))
-        elif waiter.function:
-            waiter.on_answered(now, LOAD_OUTCOMES[frame.code], copies=int(copies))
+        elif receiver.function:
+            receiver.on_answered(now, LOAD_OUTCOMES[frame.code], copies=int(copies))
         else:
-            waiter.on_answered(now, Outcome.COMPLETED, report=load)
+            receiver.on_answered(now, Outcome.COMPLETED, report=load)
         if connection.suspected and not connection.in_flight:
             connection.suspected = False      # the worker is alive; the send that was given up was slow
 
@@ -405,13 +405,13 @@
             self.dial_not_before = self.backoff.on_disconnected(now) if problem or lost else now
             if self.owner.dials_ahead():
                 self.dial()
-        for id_, waiter in lost:
+        for id_, receiver in lost:
             if id_ not in unwritten:
-                self.finish(waiter, now, Outcome.RESET)
+                self.report_end(receiver, now, Outcome.RESET)
                 continue
-            frame = current_invoke_frame(id_, waiter[0]) if isinstance(waiter, tuple) else unwritten[id_]
-            if (outcome := self.transmit(id_, waiter, frame)) is not None:
-                self.finish(waiter, now, outcome)
+            frame = current_invoke_frame(id_, receiver[0]) if isinstance(receiver, tuple) else unwritten[id_]
+            if (outcome := self.transmit(id_, receiver, frame)) is not None:
+                self.report_end(receiver, now, outcome)
 
     def close_connection(self, connection: Connection) -> None:
         """Closes one connection and forgets what was in flight on it."""
