--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -326,7 +326,8 @@
             if not isinstance(receiver, tuple) and receiver.is_done:
                 continue                        # it has timed out
             # The frame carries the time left now, or the worker would go on after the client has given up.
-            frame = current_invoke_frame(id_, receiver[0]) if isinstance(receiver, tuple) else order_frame(id_, receiver)
+            frame = (current_invoke_frame(id_, receiver[0]) if isinstance(receiver, tuple)
+                     else order_frame(id_, receiver))
             if (outcome := self.transmit(id_, receiver, frame)) is not None:
                 self.report_end(receiver, time.monotonic_ns(), outcome)
 
@@ -364,8 +365,8 @@
         if receiver is None:
             return
         now = time.monotonic_ns()
-        if frame.code not in (
-                SEND_OUTCOMES if isinstance(receiver, tuple) else LOAD_OUTCOMES if receiver.function else PROBE_ANSWERS):
+        if frame.code not in (SEND_OUTCOMES if isinstance(receiver, tuple)
+                              else LOAD_OUTCOMES if receiver.function else PROBE_ANSWERS):
             raise ProtocolError(f"code {frame.code} does not answer what was sent")
         load = report(frame.fields["stats"], ";") if "stats" in frame.fields else None
         if isinstance(receiver, tuple):
