--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -12,7 +12,7 @@
 from threadshift.interface import MS, WorkerState
 
 
-class Streams(unittest.TestCase):
+class EventStreams(unittest.TestCase):
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.text("ab{\"é", min_size=1, max_size=20), max_size=6),
            st.lists(st.integers(1, 30), max_size=30), st.sampled_from((b"\n", b"\r\n")))
@@ -34,14 +34,14 @@
             except (InvalidEvent, MissingEvents) as problem:
                 self.assertTrue(str(problem))
 
-    def test_a_large_event_in_small_reads_is_not_looked_through_at_each(self):
+    def test_large_event_in_small_reads_is_not_scanned_at_each_read(self):
         parser, size, piece = EventParser(), 3 << 20, 512
         data, since = b"data: " + b"x" * size, time.process_time()
         for at in range(0, len(data), piece):
             self.assertEqual(parser.feed(data[at:at + piece]), [])
         [event] = parser.feed(b"\n\n")
         self.assertEqual(len(event.data), size)
-        self.assertLess(time.process_time() - since, 0.5)       # 20 s where each read copies all before it
+        self.assertLess(time.process_time() - since, 0.5)       # 20 s if each read copies everything before it
 
     def test_a_line_without_end_is_refused(self):
         parser = EventParser()
@@ -50,10 +50,10 @@
                 parser.feed(b"x" * 1_000)
         self.assertLessEqual(parser.size, MAX_EVENT_SIZE + 1_000)
 
-    def test_an_event_that_ends_in_the_middle_is_none(self):
+    def test_incomplete_event_is_dropped(self):
         self.assertEqual(EventParser().feed(b"id: 1\ndata: {}\n"), [])
 
-    def test_a_response_that_is_none_is_named(self):
+    def test_invalid_response_is_named(self):
         for data in (b"HTTP/1.1 503 No\r\n\r\n", b"\x00\x01", b"HTTP/1.1 200 OK\r\nA: " + b"x" * 20_000):
             with self.assertRaises(OSError):
                 Response().feed(data)
@@ -61,39 +61,39 @@
         self.assertEqual(Response().feed(chunked), b"abc")
 
 
-class Words(unittest.TestCase):
+class WorkerLists(unittest.TestCase):
     def test_an_event_as_entries(self):
-        told = parse_update(event(4, instance("s-1", "127.0.0.1:9", "Terminating", cell=2, weight=4, startedAtMs=7,
-                                              colour="red"), full=True))
-        it = told.workers.entries[0]
-        self.assertEqual((told.number, told.workers.full, it.worker, it.state, it.cell, it.size, it.started),
+        update = parse_update(event(4, instance("s-1", "127.0.0.1:9", "Terminating", cell=2, weight=4, startedAtMs=7,
+                                                colour="red"), full=True))
+        it = update.workers.entries[0]
+        self.assertEqual((update.number, update.workers.full, it.worker, it.state, it.cell, it.size, it.started),
                          (4, True, "s-1", WorkerState.DRAINING, 2, 4.0, 7 * MS))
 
-    def test_nonsense_is_named(self):
-        for told in (None, [], {}, {"endpoints": {}}, {"endpoints": {"instances": 1}}, {
+    def test_invalid_event_is_named(self):
+        for invalid in (None, [], {}, {"endpoints": {}}, {"endpoints": {"instances": 1}}, {
                 "index": "x", "endpoints": {"instances": []}}):
-            with self.assertRaises(InvalidEvent, msg=told):
-                parse_update(told)
+            with self.assertRaises(InvalidEvent, msg=invalid):
+                parse_update(invalid)
 
-    def test_an_entry_that_makes_no_sense_is_named_and_costs_that_entry_only(self):
+    def test_invalid_entry_is_named_and_affects_no_other_entry(self):
         good = instance("s-2", "127.0.0.1:9")
         bad = [1, *(instance("s-1", "127.0.0.1:9", **facts) for facts in (
             {"lifecycle": "Dancing"}, {"lifecycle": ["Ready"]}, {"hostPort": "nowhere"}, {"instanceId": ""},
             {"weight": "big"}, {"weight": float("nan")}, {"weight": -1}, {"startedAtMs": 1e300}, {"cell": True},
             {"instanceId": "a\nb"}, {"instanceId": 7}, {"instanceId": "x" * 300}))]
         for each in bad:
-            told = parse_update(event(1, each, good))
-            self.assertEqual([it.worker for it in told.workers.entries], ["s-2"], msg=each)
-            self.assertEqual(len(told.problems), 1, msg=each)
-            self.assertEqual(told.workers.ending, {})
+            update = parse_update(event(1, each, good))
+            self.assertEqual([it.worker for it in update.workers.entries], ["s-2"], msg=each)
+            self.assertEqual(len(update.problems), 1, msg=each)
+            self.assertEqual(update.workers.ending, {})
 
-    def test_that_a_worker_drains_or_is_gone_is_read_from_an_entry_that_is_bad_otherwise(self):
+    def test_drain_or_removal_is_read_from_an_otherwise_invalid_entry(self):
         for state, read in (("Terminating", WorkerState.DRAINING), ("Gone", WorkerState.GONE)):
             for facts in ({"weight": "big"}, {"hostPort": None}, {"startedAtMs": -1}, {"cell": []}):
-                told = parse_update(event(1, instance("s-1", "127.0.0.1:9", state, **facts)))
-                self.assertEqual((told.workers.ending, len(told.problems)), ({"s-1": read}, 1), msg=facts)
+                update = parse_update(event(1, instance("s-1", "127.0.0.1:9", state, **facts)))
+                self.assertEqual((update.workers.ending, len(update.problems)), ({"s-1": read}, 1), msg=facts)
 
-    def test_names_zones_and_absent_fields_that_other_customers_may_have(self):
+    def test_unusual_names_zones_and_absent_fields_are_accepted(self):
         for worker in ("model-workers/7", "ip_10_0_0_1:8044", "Büro 3", "a", "[zone=x],7"):
             entry = parse_update(event(1, instance(
                 worker, "127.0.0.1:9", zone=None, cell=None, weight=None, startedAtMs=None))).workers.entries[0]
@@ -103,12 +103,12 @@
         self.assertEqual((entry.size, entry.zone), (1.0, "Halle 7/ß"))
 
     def test_each_number_counts_once(self):
-        it, told = EventSequence(), json.dumps(event(5, instance("s-1", "127.0.0.1:9"), full=True))
-        self.assertEqual(it.accept("5", told).number, 5)
-        self.assertIsNone(it.accept("5", told))
-        self.assertIsNone(it.accept("4", told))
+        it, data = EventSequence(), json.dumps(event(5, instance("s-1", "127.0.0.1:9"), full=True))
+        self.assertEqual(it.accept("5", data).number, 5)
+        self.assertIsNone(it.accept("5", data))
+        self.assertIsNone(it.accept("4", data))
         with self.assertRaises(InvalidEvent):
             it.accept("6", "{")
-        self.assertEqual(it.last, 6)        # asked for again it would make no more sense
+        self.assertEqual(it.last, 6)        # a repeat of the event would be no more valid
         self.assertEqual(it.accept("", event(7)).number, 7)
         self.assertIsNone(it.accept("", event(7)))
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -1,7 +1,8 @@
-"""Rule 3, sends after the drain grace: orders of events in which a front end does not know yet what counts as told.
+"""Races around rule 3, which forbids sends to a worker after its drain grace.
 
-A drain counts as told once the coordinator has it, whether or not a front end is connected then. Each test makes one
-such order happen every time, on real connections of loopback, under settings of a customer with a short grace.
+A front end counts as notified of a drain once the coordinator has it, whether or not the front end is connected then.
+Each test forces one order of events in which the front end has not read the drain yet, on real loopback connections
+and with the settings of a customer with a short grace.
 """
 import json
 import tempfile
@@ -39,7 +40,7 @@
 DRAINING_WORKER, READY_WORKER = "s-0", "s-1"
 LATER = "00000000000000b1"      # id of a request that comes later
 FRONT_ENDS = 3
-ITEMS = [f"{n:016x}" for n in range(12)]       # functions; some have the draining worker as their home
+ITEMS = [f"{n:016x}" for n in range(12)]       # functions, some of which have the draining worker as their home
 
 
 def silent(worker, sock, it):
@@ -55,8 +56,8 @@
     return settings
 
 
-class StartingUnderARelease(unittest.TestCase):
-    """Front ends are started while workers drain: what `known` says is older than what the coordinator has."""
+class StartingDuringARelease(unittest.TestCase):
+    """Front ends that start while workers drain: the events of `known` are older than those of the coordinator."""
 
     def setUp(self):
         self.workers = {DRAINING_WORKER: Worker(), READY_WORKER: Worker()}
@@ -72,8 +73,9 @@
         return worker.frames_with(INVOKE) + worker.frames_with(LOAD)
 
     def test_nothing_goes_to_a_worker_that_drained_while_they_started(self):
-        # As on the herd day of the variant `many`: 5 to 11 sends and load orders by front ends that had just been
-        # started, 10 to 30 ms before the coordinator's first answer told of a drain 0.36 s old.
+        # Guards against sends to a drained worker before the coordinator's first answer. In the fault scenario `herd`
+        # of the variant `many`, front ends that had just started sent 5 to 11 requests and load orders, 10 to 30 ms
+        # before that answer announced a drain that was 0.36 s old.
         self.coordinator.answering.clear()
         with tempfile.TemporaryDirectory() as folder, ExitStack() as stack:
             front_ends = [stack.enter_context(FrontEndProcess(
@@ -81,7 +83,7 @@
                 settings=short_grace_settings())) for n in range(FRONT_ENDS)]
             clients = [each.client() for each in front_ends]
             until(lambda: len(self.coordinator.last_event_ids) >= FRONT_ENDS)
-            until(lambda: len(self.workers[DRAINING_WORKER].open) >= FRONT_ENDS)     # connections stand
+            until(lambda: len(self.workers[DRAINING_WORKER].open) >= FRONT_ENDS)     # the connections are up
             for client in clients:
                 for number, item in enumerate(ITEMS, 1):
                     client.ask(number, id_=f"{number:016x}", type_="label", left="4000", item=item)
@@ -94,10 +96,10 @@
             self.assertTrue(self.received(READY_WORKER))
 
 
-class BeforeTheFirstAnswer(unittest.TestCase):
-    """A front end that has started, with the list of its configuration and a coordinator that does not answer yet."""
+class BeforeTheFirstResponse(unittest.TestCase):
+    """A front end that has started with the list of its configuration, while the coordinator does not answer yet."""
 
-    def test_it_is_not_ready_and_a_request_waits_for_the_answer(self):
+    def test_front_end_is_not_ready_and_a_request_waits(self):
         with Platform(answering=False) as it:
             client = it.client()
             client.ask(left="900")
@@ -107,7 +109,7 @@
             self.assertEqual(client.answer()[0], 200)
             self.assertEqual(client.alive(2)[0], 200)
 
-    def test_one_whose_time_runs_out_is_refused_before_that_and_never_sent(self):
+    def test_request_whose_time_runs_out_is_refused_in_time_and_never_sent(self):
         with Platform(answering=False) as it:
             begun = time.monotonic_ns()
             self.assertEqual(it.call(left="150")[0], 503)
@@ -117,7 +119,7 @@
             self.assertEqual(it.call(id_=LATER)[0], 200)
             self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [LATER])
 
-    def test_one_whose_client_gives_it_up_is_never_sent(self):
+    def test_request_aborted_by_its_client_is_never_sent(self):
         with Platform(answering=False) as it:
             client = it.client()
             client.ask(left="900")
@@ -128,12 +130,12 @@
             self.assertEqual(it.call(id_=LATER)[0], 200)
             self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [LATER])
 
-    def test_without_any_answer_it_serves_all_the_same_after_a_while(self):
+    def test_requests_are_served_after_a_while_without_any_response(self):
         with mock.patch("threadshift.node.front.FIRST_LIST_TIMEOUT", 200 * MS), Platform(answering=False) as it:
             until(lambda: it.client().alive()[0] == 200)
             self.assertEqual(it.call()[0], 200)
 
-    def test_told_to_end_meanwhile_it_refuses_what_waits(self):
+    def test_waiting_requests_are_refused_on_shutdown(self):
         with Platform(answering=False) as it:
             client = it.client()
             client.ask(left="900")
@@ -143,7 +145,7 @@
             it.running.join(5)
             self.assertTrue(it.running.ready())
 
-    def test_no_more_requests_wait_than_there_may_be_calls(self):
+    def test_no_more_requests_wait_than_there_may_be_activations(self):
         with Platform(answering=False) as it:
             it.node.listener.max_activations = 2
             client = it.client()
@@ -153,11 +155,11 @@
             self.assertEqual(it.node.listener.refusal_counters.totals(), {"too-many-activations": 1})
 
 
-class NewsThatLiesUnread(unittest.TestCase):
-    """A drain has arrived from the coordinator and is not read yet, however short the stall was."""
+class UnreadUpdates(unittest.TestCase):
+    """A drain that has arrived from the coordinator and has not been read yet, however short the stall was."""
 
     def drain_unread(self, it):
-        """The drain lies in the socket of the stream; the loop has not turned since."""
+        """Sends a drain into the socket of the stream; the event loop has not run since."""
         it.coordinator.publish(event(2, instance("s-0", it.workers[0].address, "Terminating")))
         self.assertTrue(it.node.engine.dispatcher.workers["s-0"].ready)
 
@@ -165,13 +167,13 @@
         self.assertFalse(it.node.engine.dispatcher.workers["s-0"].ready)
         self.assertEqual(it.workers[0].frames_with(INVOKE) + it.workers[0].frames_with(LOAD), [])
 
-    def test_is_read_before_what_an_answer_brings(self):
+    def test_drain_is_read_before_an_answer_is_acted_upon(self):
         with Platform() as it:
             self.drain_unread(it)
             it.node.catch_up_after_stall()
             self.assert_not_sent(it)
 
-    def test_is_read_before_a_request_is_taken(self):
+    def test_drain_is_read_before_a_request_is_taken(self):
         with Platform() as it:
             client = it.client()
             until(lambda: it.node.listener.connections)
@@ -182,7 +184,7 @@
             self.assertEqual(client.answer()[0], 503)
             self.assert_not_sent(it)
 
-    def test_is_read_before_the_timer_decides(self):
+    def test_drain_is_read_before_the_timer_decides(self):
         with Platform() as it:
             ready = []
             it.node.engine.due = lambda: 0
@@ -192,8 +194,8 @@
             self.assertFalse(any(ready[-1:]))
             del it.node.engine.due, it.node.engine.tick
 
-    def settling(self, it):
-        """How sends stood, each time that unread news was waited for: the list is filled as that happens."""
+    def record_send_outcomes(self, it):
+        """Returns a list that gets the outcomes of all sends each time the front end waits for unread updates."""
         seen, catch_up = [], it.node.catch_up_after_stall
 
         def noted():
@@ -202,9 +204,9 @@
         it.node.catch_up_after_stall = noted
         return seen
 
-    def test_is_read_before_a_break_lets_calls_go_on(self):
+    def test_updates_are_read_before_a_break_lets_requests_continue(self):
         with Platform([silent]) as it:
-            client, seen = it.client(), self.settling(it)
+            client, seen = it.client(), self.record_send_outcomes(it)
             client.ask(type_="submit")
             until(lambda: it.workers[0].frames_with(INVOKE))
             for sock in it.workers[0].open:
@@ -212,14 +214,14 @@
             self.assertEqual(client.answer()[0], 502)
             self.assertIn(None, seen)
 
-    def test_is_read_before_a_dial_that_failed_lets_calls_go_on(self):
+    def test_updates_are_read_before_a_failed_dial_lets_requests_continue(self):
         fails = Event()
 
         def refused(address, limit):
             fails.wait(5)
             raise OSError("refused")
         with Platform() as it, mock.patch.object(link, "connect", refused):
-            client, seen, only = it.client(), self.settling(it), it.node.links["s-0"]
+            client, seen, only = it.client(), self.record_send_outcomes(it), it.node.links["s-0"]
             for connection in list(only.connections):
                 only.close_connection(connection)
             client.ask(type_="submit")
@@ -228,10 +230,10 @@
             self.assertEqual(client.answer()[0], 503)
             self.assertIn(None, seen)
 
-class TheDaemon(unittest.TestCase):
-    """The same for `threadshift run`, whose list comes over the roster's feed."""
+class UnreadUpdatesOfTheDaemon(unittest.TestCase):
+    """The same for `threadshift run`, which gets its list of workers over a feed."""
 
-    def test_news_of_the_feed_that_lies_unread_is_read_before_anything_is_sent(self):
+    def test_unread_update_of_the_feed_is_read_before_anything_is_sent(self):
         with Live(workers=1) as live:
             for act in (live.front.catch_up_after_stall, live.front.api.read_updates):
                 until(lambda: live.front.engine.dispatcher.workers["w0"].ready)
@@ -246,14 +248,14 @@
                 self.assertFalse(live.front.engine.dispatcher.workers["w0"].ready)
                 live.feed.obey(["state", "w0", "ready"])
 
-    def test_calls_ask_for_it(self):
+    def test_requests_read_updates(self):
         with Live(workers=1) as live, mock.patch.object(live.front.api, "read_updates") as asked:
             live.call("f")
             self.assertTrue(asked.called)
 
 
 class WithinOneEvent(unittest.TestCase):
-    def test_what_a_replaced_link_lets_go_on_does_not_go_to_who_drains_by_the_same_event(self):
+    def test_retry_after_a_replaced_link_avoids_a_worker_drained_by_the_same_event(self):
         with Platform([silent, silent]) as it:
             client = it.client()
             client.ask(left="900")
@@ -266,7 +268,7 @@
             self.assertEqual(client.answer()[0], 200)
             self.assertEqual(it.workers[other].frames_with(INVOKE), [])
 
-    def test_a_bad_entry_does_not_keep_a_drain_beside_it_from_being_heard(self):
+    def test_invalid_entry_does_not_hide_a_drain_beside_it(self):
         with Platform() as it:
             it.coordinator.publish(event(2, instance("s-7", "nowhere", weight="heavy"),
                                      instance("s-0", it.workers[0].address, "Terminating")))
@@ -274,12 +276,12 @@
             self.assertEqual(it.log.of("event-unreadable")[0]["entries"], 1)
             self.assertEqual(it.call()[0], 503)
 
-    def test_nor_does_what_is_wrong_with_the_drain_s_own_entry(self):
+    def test_drain_in_an_otherwise_invalid_entry_is_applied(self):
         with Platform() as it:
             it.coordinator.publish(event(2, instance("s-0", "nowhere", "Terminating", weight=None, zone=7)))
             until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
 
-    def test_a_worker_of_a_full_list_whose_entry_is_bad_stays_as_it_was(self):
+    def test_worker_with_an_invalid_entry_in_a_full_list_is_unchanged(self):
         with Platform([serve, serve]) as it:
             it.coordinator.publish(event(2, instance("s-0", "nowhere"), full=True))
             until(lambda: not it.node.engine.dispatcher.workers["s-1"].ready)
@@ -287,8 +289,8 @@
             self.assertEqual(it.call()[0], 200)
 
 
-class Numbers(unittest.TestCase):
-    """Events that a front end must not pass over."""
+class EventNumbers(unittest.TestCase):
+    """Events that a front end must not skip."""
 
     def drained(self, it):
         until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
@@ -300,7 +302,7 @@
             it.environment["NODE_CONFIG"] = file.name
             it.node.reload()
 
-    def test_a_new_configuration_does_not_raise_the_number_past_events_that_were_not_applied(self):
+    def test_new_configuration_does_not_skip_events_that_were_not_applied(self):
         with Platform() as it:
             address = it.workers[0].address
             drain = event(2, instance("s-0", address, "Terminating"))
@@ -314,7 +316,7 @@
             self.drained(it)
             self.assertEqual(moved.last_event_ids, [1])
 
-    def test_the_events_of_a_new_configuration_count_at_once(self):
+    def test_events_of_a_new_configuration_are_applied_at_once(self):
         with Platform() as it:
             address = it.workers[0].address
             self.reload(it, {"index": 3, "updates": [
@@ -322,25 +324,25 @@
                 event(3, instance("s-0", address, "Terminating"))]}, it.coordinator)
             self.assertFalse(it.node.engine.dispatcher.workers["s-0"].ready)
 
-    def test_where_an_event_is_missing_the_stream_is_asked_again_once(self):
+    def test_stream_is_requested_again_once_if_an_event_is_missing(self):
         with Platform() as it:
             address = it.workers[0].address
-            it.coordinator.events.append(event(2, instance("s-0", address, "Terminating")))     # not written
+            it.coordinator.events.append(event(2, instance("s-0", address, "Terminating")))     # not sent
             it.coordinator.publish(event(3, instance("s-9", address, "Gone")))
             self.drained(it)
             self.assertEqual(it.coordinator.last_event_ids[1:], [1])
-            it.coordinator.publish(event(5, instance("s-0", address)))      # there is no fourth
+            it.coordinator.publish(event(5, instance("s-0", address)))      # there is no event 4
             until(lambda: it.node.engine.dispatcher.workers["s-0"].ready)
             self.assertEqual(it.coordinator.last_event_ids[2:], [3])
 
 
-class FindingTheCoordinatorAgain(unittest.TestCase):
-    """From when the coordinator has a change, or is said to have told it, to when it is read here."""
+class ReconnectingToTheCoordinator(unittest.TestCase):
+    """The time between the front end counting as notified of a change and reading it."""
 
-    FAILURES = (CONNECT_TIMEOUT, RESPONSE_TIMEOUT)     # a dial that hangs; one that is answered by nothing
+    FAILURES = (CONNECT_TIMEOUT, RESPONSE_TIMEOUT)     # a dial that hangs; a request without a response
 
     def found_after(self, begun, failures):
-        """When a try is made that succeeds, after so many failures; each pause as long as it may be."""
+        """When an attempt succeeds that follows these failures, with each pause as long as possible."""
         backoff, now = ReconnectBackoff(lambda: 1.0, MAX_RETRY_PAUSE), begun
         now = backoff.on_disconnected(now)
         for took in failures:
@@ -364,12 +366,12 @@
         elif how != "silence twice":
             self.assertLessEqual(found, told + 140 * MS)
 
-    def test_a_coordinator_that_accepts_and_does_not_answer_is_dialled_anew(self):
+    def test_coordinator_that_accepts_and_does_not_answer_is_dialled_again(self):
         with mock.patch.object(freshness, "RESPONSE_TIMEOUT", 100 * MS), Platform(answering=False) as it:
             until(lambda: len(it.coordinator.last_event_ids) == 2, seconds=1.0)
             self.assertEqual(it.log.of("coordinator-lost")[0]["problem"], "no answer in time")
 
-    def test_one_that_is_slow_is_found_by_tries_with_more_time(self):
+    def test_slow_coordinator_is_reached_by_attempts_with_longer_timeouts(self):
         it = Freshness()
         limits = []
         for _ in range(5):
@@ -379,9 +381,9 @@
         it.on_bytes(SECOND)
         self.assertEqual(it.attempt_timeout(), CONNECT_TIMEOUT)
 
-    def test_since_when_news_counts_as_told(self):
+    def test_since_when_the_front_end_counts_as_notified(self):
         it = Freshness()
-        self.assertEqual(it.notified_since(5 * SECOND, 0), 0)       # before the start, for all that is known
+        self.assertEqual(it.notified_since(5 * SECOND, 0), 0)       # possibly before the start
         it.on_bytes(6 * SECOND)
         it.on_caught_up()
         it.on_bytes(7 * SECOND)
@@ -389,7 +391,7 @@
         it.on_lost(silent=False, answered=True)
         it.on_bytes(9 * SECOND)
         self.assertEqual(it.notified_since(9 * SECOND, 0), 7 * SECOND)
-        it.on_lost(silent=False, answered=True)                 # lost again before it had caught up
+        it.on_lost(silent=False, answered=True)                 # lost again before the list was current
         self.assertEqual(it.notified_since(9 * SECOND, 0), 7 * SECOND)
         it.on_bytes(10 * SECOND)
         it.on_caught_up()
@@ -432,7 +434,7 @@
         if late_ms >= grace_ms:
             self.assertEqual(read, told + late_ms * MS)
 
-    def test_workers_told_of_after_it_are_not_gone_with_those_before(self):
+    def test_workers_listed_after_an_empty_list_are_not_gone(self):
         it = WorkerRegistry(SECOND)
         it.listed(0, 0, [WorkerEntry("a", ANY), WorkerEntry("b", ANY)], full=True)
         it.listed(SECOND, 0, [], full=True)
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -34,7 +34,7 @@
             except ProtocolError as problem:
                 self.assertTrue(str(problem))
 
-    def test_what_is_wrong_is_named_and_what_stood_before_is_kept(self):
+    def test_invalid_input_is_named_and_frames_before_it_are_kept(self):
         good = encode(OK, ID, "", b"good", FROM_WORKER)
         cases = (
             (encode(OK, ID), "mark 1"), (encode(10, ID, sender=FROM_WORKER), "code 10"),
@@ -62,39 +62,40 @@
 
 
 class Pool(unittest.TestCase):
-    def test_the_least_busy_one_carries_the_next_and_a_proven_one_first(self):
+    def test_least_busy_connection_carries_the_next_send_and_one_that_has_answered_first(self):
         new, proven, busy = connection(has_answered=False), connection(), connection(2)
         self.assertIs(pool.choose_connection([busy, new, proven], ID, 32), proven)
         self.assertIs(pool.choose_connection([busy, new], ID, 32), new)
         self.assertIsNone(pool.choose_connection([busy], ID, 2))
         self.assertIsNone(pool.choose_connection([connection(suspected=True)], ID, 32))
 
-    def test_an_id_goes_over_a_connection_once(self):
-        # Found by reading: a second copy of a 'miss' would be taken for the answer of the send after it.
+    def test_id_is_sent_on_a_connection_once(self):
+        # A duplicate of a 'miss' answer would otherwise be taken for the answer to the next send with this id.
         other = connection(3)
         self.assertIs(pool.choose_connection([connection(used_ids=[ID]), other], ID, 32), other)
         self.assertIsNone(pool.choose_connection([connection(used_ids=[ID])], ID, 32))
 
-    def test_another_is_dialled_when_each_carries_its_share(self):
-        # One call after another needs no second connection: found on the fleet's days, a third of all were such.
+    def test_another_connection_is_dialled_when_each_reaches_the_threshold(self):
+        # Requests one after another need no second connection. With many front ends, a third of all connections were
+        # dialled for nothing else.
         for kept, dialling, wanted in (([connection(1)], 0, False), ([connection(2)], 0, True),
                                        ([connection(2)], 1, False), ([connection(2), connection(1)], 0, False),
                                        ([connection(2)] * 4, 0, False),
                                        ([connection(suspected=True)], 0, True)):
             self.assertEqual(pool.should_dial(kept, dialling, 4, pool.choose_dial_threshold(200)), wanted)
-        # With few front ends, as soon as none is free: a break takes one send along.
+        # With few front ends another is dialled as soon as none is free, so that a break ends one send.
         for kept, wanted in (([connection(1)], True), ([connection(1), connection()], False)):
             self.assertEqual(pool.should_dial(kept, False, 4, pool.choose_dial_threshold(3)), wanted)
 
-    def test_silence_since_a_send_left_is_doubt(self):
+    def test_connection_silent_since_a_send_is_suspected(self):
         self.assertTrue(pool.is_suspected(last_received_at=4, sent_at=5))
         self.assertFalse(pool.is_suspected(last_received_at=6, sent_at=5))
 
-    def test_an_idle_one_is_left_alone_before_the_worker_closes_it(self):
+    def test_idle_connection_is_not_used_shortly_before_the_worker_closes_it(self):
         self.assertFalse(pool.is_idle_timeout_near(28 * SECOND, 0, 30 * SECOND))
         self.assertTrue(pool.is_idle_timeout_near(30 * SECOND, 0, 30 * SECOND))
 
-    def test_the_share_leaves_room_for_clients(self):
+    def test_connections_to_workers_leave_descriptors_for_clients(self):
         for sockets, workers in ((256, 12), (256, 200), (1024, 12), (64, 1)):
             each = pool.connections_per_worker(sockets, workers)
             self.assertGreaterEqual(each, 1)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -1,5 +1,6 @@
-"""Orders of events that happen once in a thousand days, made to happen every time: on real connections of loopback,
-with a peer that holds, closes or writes at the point named."""
+"""Races between events that are rare in production, forced to happen in every run.
+
+The tests use real loopback connections and a peer that waits, closes or writes at a chosen point."""
 import json
 import os
 import resource
@@ -35,7 +36,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 A, B = "00000000000000a1", "00000000000000a2"
-AFTER = 3 * shutdown.QUIET_TIME        # ns of quiet after which a front end that leaves would have ended
+QUIET_BEFORE_END = 3 * shutdown.QUIET_TIME        # ns of quiet after which a front end that leaves would have ended
 
 
 def silent(worker, sock, it):
@@ -43,60 +44,63 @@
 
 
 def settings(**limits):
-    told = json.loads(json.dumps(SETTINGS))
-    told["limits"] |= limits
-    return told
+    changed = json.loads(json.dumps(SETTINGS))
+    changed["limits"] |= limits
+    return changed
 
 
-def closing(it):
-    """Until a front end that was told to end takes no more, and would have ended if nothing held it."""
+def wait_until_closing(it):
+    """Waits until a front end that shuts down takes no more requests, and would have ended if nothing kept it."""
     until(lambda: it.node.listener.closing)
     since = time.monotonic_ns()
-    until(lambda: it.running.ready() or time.monotonic_ns() - since > AFTER)
+    until(lambda: it.running.ready() or time.monotonic_ns() - since > QUIET_BEFORE_END)
 
 
-def stand_still(seconds=0.15):
-    """The whole process, long enough to be noticed."""
+def block_process(seconds=0.15):
+    """Blocks the whole process for long enough to be noticed as a stall."""
     select.select([], [], [], seconds)
 
 
-def native(address):
-    """A client that needs no loop: what it does lies unread until the loop turns."""
+def connect_natively(address):
+    """A client socket that works without the event loop: what it sends stays unread until the loop runs."""
     return plain.create_connection(tuple(address)[:2])
 
 
 @contextmanager
-def late_dials(only, beforehand=False):
-    """A link without a connection, whose next ones come up once the event is set: dialled then, or beforehand."""
-    come, connect = Event(), link.connect
+def delayed_dials(only, beforehand=False):
+    """Closes the connections of a link and delays new ones until the yielded event is set.
+
+    They are dialled once the event is set, or before that if `beforehand` is given."""
+    may_connect, connect = Event(), link.connect
 
     def late(address, limit):
         sock = connect(address, limit) if beforehand else None
-        come.wait(5)
+        may_connect.wait(5)
         return sock or connect(address, limit)
     for connection in list(only.connections):
         only.close_connection(connection)
     with mock.patch.object(link, "connect", late):
-        yield come
+        yield may_connect
 
 
-def fill(it, left):
-    """As many clients as there may be, each with a request under way."""
+def fill_connections(it, left):
+    """Opens as many client connections as there may be, each with a request under way."""
     busy = [it.client() for _ in range(it.node.listener.max_connections())]
     for n, each in enumerate(busy):
         each.ask(id_=f"{n:016x}", left=left)
     until(lambda: it.node.engine.owed == len(busy))
 
 
-def attempt(id_, time_left, body=b""):
-    """A request as links know it."""
+def mock_request(id_, time_left, body=b""):
+    """A stand-in for a pending request, with what links read of it."""
     call = mock.Mock(type="check", function="00000000000000f1", mark="", body=body)
     return mock.Mock(id=id_, call=call, time_left=time_left)
 
 
 class Shutdown(unittest.TestCase):
-    def test_a_call_whose_time_runs_past_the_end_is_answered_before_it(self):
-        # Found on a day with restarts: 9 calls of 30 front ends ended with their connections, unanswered.
+    def test_request_with_a_deadline_after_the_end_is_answered_before_it(self):
+        # Guards against requests that end unanswered with their connection: in a fault scenario with restarts, 9
+        # requests of 30 front ends did.
         for type_, wanted in (("submit", 502), ("check", 503)):
             with Platform([silent]) as it:
                 client = it.client()
@@ -106,26 +110,26 @@
                 self.assertEqual((client.answer() or [None])[0], wanted)
                 self.assertFalse(it.node.engine.counts["overdue"])
 
-    def test_one_taken_after_the_word_too(self):
+    def test_request_taken_after_the_signal_is_answered_before_the_end(self):
         with Platform([silent]) as it:
             client = it.client()
             it.node.end()
             client.ask(type_="submit", left="1880")
             self.assertEqual((client.answer() or [None])[0], 502)
 
-    def test_a_request_half_read_when_nothing_is_owed_gets_its_answer(self):
+    def test_request_half_read_when_nothing_is_pending_gets_its_answer(self):
         with Platform() as it:
             client, whole = it.client(), request()
             client.send(whole[:-20])
             until(lambda: any(each.open for each in it.node.listener.connections))
             it.node.end()
-            closing(it)
+            wait_until_closing(it)
             client.send(whole[-20:])
             self.assertEqual((client.answer() or [None])[0], 503)
             it.running.join(3)
             self.assertTrue(it.running.ready())
 
-    def test_an_answer_that_waits_to_be_taken_is_written_whole(self):
+    def test_answer_to_a_slow_reader_is_written_whole(self):
         def large(worker, sock, it):
             if it.code == INVOKE:
                 sock.sendall(encode(OK, it.id, "how=reused", bytes(600_000), FROM_WORKER))
@@ -138,16 +142,16 @@
             until(lambda: any(each.outbox.size for each in it.node.listener.connections))
             self.assertEqual(it.node.engine.owed, 0)
             it.node.end()
-            closing(it)
+            wait_until_closing(it)
             status, _, body = client.answer() or (None, None, b"")
             self.assertEqual((status, len(body)), (200, 600_000))
 
-    def test_what_the_kernel_has_accepted_at_the_end_is_refused_in_words(self):
+    def test_request_on_a_connection_that_only_the_kernel_accepted_gets_a_503(self):
         with Platform() as it:
             late, end = [], it.node.listener.end
 
             def just_before(*words):
-                late.append(native(it.address))
+                late.append(connect_natively(it.address))
                 late[0].sendall(request())
                 end(*words)
             it.node.listener.end = just_before
@@ -157,7 +161,7 @@
             self.assertIn(b"Status: 503", late[0].recv(4096))
             late[0].close()
 
-    def test_signals_before_it_is_ready_twice_and_with_a_reload(self):
+    def test_repeated_signals_and_reloads_during_the_shutdown(self):
         with Platform() as it:
             with tempfile.NamedTemporaryFile("w") as file:
                 file.write(json.dumps(configuration(coordinator=str(it.coordinator.address))))
@@ -173,7 +177,7 @@
                 self.assertEqual(it.call(left="500")[0], 503)
                 it.running.join(3)
                 self.assertTrue(it.running.ready())
-        # Before it listens nothing can be taken: it ends at once.
+        # A front end that does not listen yet has taken no request and ends at once.
         early = Platform(scripts=())
         self.addCleanup(early.coordinator.stop)
         early.node.end()
@@ -193,8 +197,8 @@
 
 
 class ClientGone(unittest.TestCase):
-    def test_a_send_that_has_not_left_does_not_once_its_client_is_gone(self):
-        # Where cancels are not allowed, it left as soon as its connection came up.
+    def test_unsent_send_is_withdrawn_once_its_client_is_gone(self):
+        # Without permission to cancel, the send was once written as soon as its connection came up.
         for may_cancel in (True, False):
             it, fleet = engine(workers=1, may_cancel=may_cancel)
             pending = it.admit(0, "a", ask(Effect.ONCE_ONLY))
@@ -203,38 +207,38 @@
             self.assertEqual([entry[0] for entry in fleet.log][-1], "cancel" if may_cancel else "withdrawn")
             self.assertFalse(may_cancel and it.requests and not pending.client_gone)
 
-    def test_so_on_a_connection_that_comes_up_late(self):
+    def test_queued_send_is_withdrawn_before_its_connection_comes_up(self):
         for cancel in (True, False):
             with self.subTest(cancel=cancel), Platform(settings=settings(cancel=cancel)) as it:
                 self.leave_while_it_dials(it)
 
     def leave_while_it_dials(self, it):
         client, only = it.client(), it.node.links["s-0"]
-        with late_dials(only) as come:
+        with delayed_dials(only) as may_connect:
             client.ask(id_=A)
             until(lambda: only.queue)
             client.abort()
             until(lambda: it.node.engine.counts["left"])
-            come.set()
+            may_connect.set()
             until(lambda: only.up)
         self.assertEqual(it.call(id_=B)[0], 200)
         self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [B])
 
-    def test_a_close_that_lies_unread_as_its_connection_comes_up_stops_it(self):
+    def test_unread_close_stops_a_send_whose_connection_comes_up(self):
         with Platform() as it:
-            client, only = native(it.address), it.node.links["s-0"]
-            with late_dials(only, beforehand=True) as come:
+            client, only = connect_natively(it.address), it.node.links["s-0"]
+            with delayed_dials(only, beforehand=True) as may_connect:
                 client.sendall(request(id_=A))
                 until(lambda: only.queue)
                 client.close()
-                come.set()
-                it.node.last_stall_at = 0       # no standstill was seen within the last second
-                stand_still()
+                may_connect.set()
+                it.node.last_stall_at = 0       # no stall was seen within the last second
+                block_process()
                 until(lambda: it.node.engine.counts["left"])
             self.assertEqual(it.call(id_=B)[0], 200)
             self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [B])
 
-    def test_a_close_that_lies_unread_stops_the_next_send(self):
+    def test_unread_close_stops_the_next_send(self):
         it, fleet = engine(workers=2, at_once=[Outcome.FULL])
         fleet.at_once.clear()
         pending = it.admit(0, "a", ask())
@@ -242,45 +246,46 @@
         pending.on_send_ended(MS, 0, Outcome.FULL)
         self.assertEqual((len(fleet.sends()), pending.client_gone, it.owed, it.requests), (1, True, 0, {}))
 
-    def test_an_abort_behind_a_request_that_lay_unread_stops_its_first_send(self):
-        # The wait for what lies unread was the reader's own, so that it could not read what it waited for.
+    def test_abort_behind_an_unread_request_stops_its_first_send(self):
+        # The connection's reader must not wait itself for unread data: it could not read what it waits for.
         with Platform() as it:
-            client = native(it.address)
+            client = connect_natively(it.address)
             until(lambda: it.node.listener.connections)
             connection = next(iter(it.node.listener.connections))
             before = connection.active
             client.sendall(request(id_=A) + record(2, 1))
-            stand_still()
+            block_process()
             until(lambda: connection.active > before and not connection.open)
             self.assertEqual(it.call(id_=B)[0], 200)
             self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [B])
             client.close()
 
-    def test_so_does_a_close(self):
+    def test_close_behind_an_unread_request_stops_its_first_send(self):
         with Platform() as it:
-            client = native(it.address)
+            client = connect_natively(it.address)
             until(lambda: it.node.listener.connections)
             client.sendall(request(id_=A))
             client.close()
-            stand_still()
+            block_process()
             until(lambda: not it.node.listener.connections)
             self.assertEqual(it.call(id_=B)[0], 200)
             self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [B])
 
-    def test_an_offence_does_not_keep_an_abort_from_being_read(self):
+    def test_abort_is_read_in_spite_of_protocol_violations(self):
         with Platform([silent]) as it:
             client = it.client()
             client.ask(left="1800")
             until(lambda: it.workers[0].frames_with(INVOKE))
-            client.send(record(77, 0, b"x") * 4)        # after four, nothing is read for 0.8 s
+            client.send(record(77, 0, b"x") * 4)        # after four such records nothing is read for 0.8 s
             until(lambda: next(iter(it.node.listener.connections)).offences == 4)
             client.abort()
             since = time.monotonic_ns()
             until(lambda: it.node.engine.counts["left"])
             self.assertLess(time.monotonic_ns() - since, 400 * MS)
 
-    def test_requests_given_up_early_do_not_add_up_to_a_broken_connection(self):
-        # Bytes of requests that had ended were counted over the life of a connection, usual ones' too.
+    def test_bytes_of_aborted_requests_do_not_add_up_to_a_closed_connection(self):
+        # Guards against counting the bytes of ended requests over the life of a connection: in time this closed
+        # ordinary connections, too.
         with Platform() as it:
             client = it.client()
             for n in range(24):
@@ -291,9 +296,9 @@
 
 
 class Attempts(unittest.TestCase):
-    def test_a_frame_taken_back_while_its_socket_is_full_never_leaves(self):
-        # The writer held the bytes of its next chunk while it waited: what was taken back left after all, as a send
-        # that provably never ran, and shifted the count of what had left.
+    def test_frame_withdrawn_while_its_socket_is_full_is_never_written(self):
+        # Guards against a writer that cuts its next chunk before it waits: a withdrawn frame was then written after
+        # all, although the send counted as never run, and the count of written bytes was shifted.
         ours, peer = socket.socketpair()
         ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         filled = 0
@@ -316,8 +321,8 @@
         ours.close()
         peer.close()
 
-    def test_a_repeat_that_waits_past_the_memory_of_the_first_send_does_not_leave(self):
-        it, fleet = engine(workers=2)             # the memory span of the tests' types is 2 s
+    def test_repeat_that_waits_past_the_deduplication_window_is_withdrawn(self):
+        it, fleet = engine(workers=2)             # the deduplication window of the tests' types is 2 s
         pending = it.admit(0, "a", ask(Effect.DEDUPLICATED, left=4 * SECOND))
         fleet.waiting |= {("w0", "a"), ("w1", "a")}
         pending.on_send_ended(1900 * MS, 0, Outcome.RESET)
@@ -327,18 +332,18 @@
         self.assertEqual([(entry[0], entry[1] <= 2 * SECOND) for entry in fleet.log][-1], ("withdrawn", True))
         self.assertEqual(pending.sends[1].outcome, Outcome.NEVER_SENT)
 
-    def test_a_send_that_waited_for_its_connection_tells_the_time_that_is_left_then(self):
+    def test_send_that_waited_for_its_connection_carries_the_time_left_then(self):
         with Platform() as it:
             client, only = it.client(), it.node.links["s-0"]
-            with late_dials(only) as come:
+            with delayed_dials(only) as may_connect:
                 client.ask(left="900")
                 until(lambda: only.queue)
-                stand_still(0.3)
-                come.set()
+                block_process(0.3)
+                may_connect.set()
                 self.assertEqual(client.answer()[0], 200)
             self.assertLess(int(it.workers[0].frames_with(INVOKE)[0].fields["wait"]), 650)
 
-    def test_one_that_waited_for_a_full_socket_does_so_too(self):
+    def test_send_that_waited_for_a_full_socket_carries_the_time_left_then(self):
         reads, arrived = Event(), []
 
         class Slow(Worker):
@@ -358,21 +363,21 @@
             only.connections[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             deadline = time.monotonic_ns() + 900 * MS
             for number in (1, 2, 3, 4):
-                pending = attempt(f"{number:016x}", lambda now: deadline - now, bytes(16 << 10))
+                pending = mock_request(f"{number:016x}", lambda now: deadline - now, bytes(16 << 10))
                 self.assertIsNone(only.invoke(pending, 0, pending.time_left(time.monotonic_ns())))
             self.assertGreaterEqual(len(only.connections[0].outbox.unwritten), 2)
             until(lambda: time.monotonic_ns() > deadline - 500 * MS)
             reads.set()
             until(lambda: len(arrived) == 4)
-            for _, wait, at in arrived[2:]:     # those before had begun to be written
+            for _, wait, at in arrived[2:]:     # the frames before had been written in part
                 self.assertLessEqual(wait, (deadline - at) // MS + 150)
 
-    def test_and_one_that_goes_over_another_connection_after_a_break(self):
+    def test_send_that_moves_to_another_connection_carries_the_time_left_then(self):
         with Platform() as it:
             only = it.node.links["s-0"]
             connection = only.connections[0]
             left = [900 * MS, 300 * MS]
-            pending = attempt(A, lambda now: left[0])
+            pending = mock_request(A, lambda now: left[0])
             with mock.patch.object(connection, "write"):
                 only.invoke(pending, 0, left.pop(0))
             until(lambda: len(only.connections) == 2)
@@ -380,7 +385,7 @@
             until(lambda: it.workers[0].frames_with(INVOKE))
             self.assertEqual(it.workers[0].frames_with(INVOKE)[0].fields["wait"], "300")
 
-    def test_a_connection_that_broke_carries_nothing_new_while_unread_news_is_waited_for(self):
+    def test_broken_connection_carries_nothing_new_while_unread_updates_are_read(self):
         with Platform([silent]) as it:
             client, only, carried = it.client(), it.node.links["s-0"], []
             client.ask(type_="submit")
@@ -393,7 +398,7 @@
             self.assertEqual(client.answer()[0], 502)
             self.assertEqual(carried, [False])
 
-    def test_a_fault_of_ours_under_an_answer_leaves_nothing_waiting(self):
+    def test_exception_in_handling_an_answer_leaves_nothing_waiting(self):
         with Platform() as it:
             def fails(*words, **facts):
                 raise KeyError("planted")
@@ -406,8 +411,8 @@
             self.assertEqual(it.call(id_=B)[0], 200)
 
 
-class TheList(unittest.TestCase):
-    def test_a_fault_of_ours_under_an_event_does_not_end_the_stream(self):
+class WorkerListUpdates(unittest.TestCase):
+    def test_exception_in_handling_an_event_does_not_end_the_stream(self):
         with Platform() as it:
             apply = it.node.coordinator.on_update
             it.node.coordinator.on_update = mock.Mock(side_effect=KeyError("planted"))
@@ -417,12 +422,12 @@
             it.coordinator.publish(event(3, instance("s-0", it.workers[0].address, "Terminating")))
             until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
 
-    def test_a_move_while_a_dial_is_out_and_two_at_once(self):
+    def test_move_during_a_dial_and_two_moves_at_once(self):
         with Platform() as it:
             others = [Coordinator([event(1, full=True), event(2, instance("s-0", it.workers[0].address, state))])
                       for state in ("Ready", "Terminating")]
             it.extra += others
-            hole = plain.socket()       # what dials it waits: its backlog is full
+            hole = plain.socket()       # its backlog is full, so that dialling it hangs
             hole.bind(("127.0.0.1", 0))
             hole.listen(0)
             fillers = [plain.socket() for _ in range(3)]
@@ -438,7 +443,7 @@
             for each in [hole, *fillers]:
                 each.close()
 
-    def test_a_worker_gone_and_another_at_its_address_within_one_event(self):
+    def test_worker_gone_and_another_at_its_address_within_one_event(self):
         with Platform() as it:
             address = it.workers[0].address
             it.coordinator.publish(event(2, instance("s-0", address, "Gone"), instance("s-9", address)))
@@ -446,8 +451,9 @@
             self.assertEqual(it.call()[0], 200)
             self.assertEqual([each.name for each in it.node.engine.dispatcher.ready_workers], ["s-9"])
 
-    def test_after_a_silence_less_is_waited_for_until_the_stream_speaks(self):
-        # Two silent connections in a row took 4.2 s; word counts as told after four.
+    def test_silence_timeout_is_shorter_after_a_silence_until_data_arrives(self):
+        # With a full timeout for each, two silent connections in a row took 4.2 s, and a front end counts as notified
+        # after 4 s.
         self.assertLess(
             freshness.SILENCE_TIMEOUT + freshness.REPEATED_SILENCE_TIMEOUT + 2 * freshness.CONNECT_TIMEOUT,
             4 * SECOND + 50 * MS)
@@ -457,7 +463,7 @@
                 sock = it.node.coordinator.sock
                 return sock and sock.gettimeout()
             self.assertEqual(waits(), 0.4)
-            it.coordinator.is_silent = True              # from now on: a head and nothing more
+            it.coordinator.is_silent = True              # from now on it sends a response head and nothing more
             until(lambda: waits() == 0.3)
             until(lambda: len(it.log.of("coordinator-lost")) >= 2)
             it.coordinator.is_silent = False
@@ -465,7 +471,7 @@
             it.coordinator.publish(event(2, instance("s-0", it.workers[0].address, "Terminating")))
             until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
 
-    def test_a_worker_that_starts_twice_within_two_seconds_is_cold_anew(self):
+    def test_worker_that_starts_twice_within_two_seconds_is_cold_again(self):
         with Platform() as it:
             def start(number, at):
                 it.coordinator.publish(event(number, instance("s-0", it.workers[0].address, startedAtMs=at)))
@@ -476,26 +482,26 @@
             self.assertAlmostEqual(second - first, 1200 * MS, delta=100 * MS)
             self.assertEqual(start(4, now - 300), second)
 
-    def test_a_second_stall_within_a_second_is_waited_after(self):
-        # A cancel that lay unread over it is over 0.1 s old when the next send falls due.
+    def test_second_stall_within_a_second_is_followed_by_a_wait(self):
+        # A cancel that was unread during the stall is over 0.1 s old when the next send is due.
         with Platform() as it:
             for seconds, waited in ((0.02, False), (0.07, True), (0.15, True), (0.55, True)):
                 it.node.last_stall_at = before = time.monotonic_ns() - 300 * MS
-                stand_still(seconds)
+                block_process(seconds)
                 it.node.catch_up_after_stall()
                 self.assertEqual(it.node.last_stall_at > before, waited, seconds)
-                gevent.sleep(0.02)              # the loop comes round
+                gevent.sleep(0.02)              # lets the event loop run
 
-    def test_with_a_short_grace_so_is_a_shorter_one(self):
-        told = settings()
-        told["rules"]["drainGrace"] = 0.0
-        with Platform(settings=told) as it:
+    def test_shorter_stall_is_followed_by_a_wait_if_the_grace_is_short(self):
+        short_grace = settings()
+        short_grace["rules"]["drainGrace"] = 0.0
+        with Platform(settings=short_grace) as it:
             it.node.last_stall_at = before = time.monotonic_ns() - 300 * MS
-            stand_still(0.015)
+            block_process(0.015)
             it.node.catch_up_after_stall()
             self.assertGreater(it.node.last_stall_at, before)
 
-    def test_a_list_that_stays_empty_does_not_keep_it_from_being_ready(self):
+    def test_list_that_stays_empty_does_not_prevent_readiness(self):
         with mock.patch("threadshift.node.front.FIRST_LIST_TIMEOUT", 100 * MS), Platform([]) as it:
             def alive():
                 return it.client().alive()[0]
@@ -506,12 +512,13 @@
 
 
 class Descriptors(unittest.TestCase):
-    def test_who_comes_with_requests_amid_hundreds_that_say_nothing_is_not_closed_upon(self):
-        # Taken for what lost nine requests at once on a day of bad clients, in one of four plays.
+    def test_client_with_requests_amid_hundreds_of_silent_ones_is_not_closed(self):
+        # The likely cause of nine requests lost at once in a fault scenario of bad clients, in one of four runs.
         with Platform(limits={"cores": 1.0, "memory_mb": 96, "sockets": 32}) as it:
             most = it.node.listener.max_connections()
-            silent = [native(it.address) for _ in range(most)]
-            usual = native(it.address)          # all in one round of the loop: none is old enough to make room
+            silent = [connect_natively(it.address) for _ in range(most)]
+            # All connect in one iteration of the loop: none is old enough to be closed for another.
+            usual = connect_natively(it.address)
             usual.sendall(request(1, A) + request(2, B))
             got, since = b"", time.monotonic_ns()
             usual.setblocking(False)
@@ -524,10 +531,10 @@
             for each in [usual, *silent]:
                 each.close()
 
-    def test_where_there_is_no_room_what_came_with_the_connection_is_refused_in_words(self):
+    def test_requests_on_a_connection_without_room_get_a_503(self):
         with Platform([silent], limits={"cores": 1.0, "memory_mb": 96, "sockets": 32}) as it:
-            fill(it, left="900")
-            late = native(it.address)
+            fill_connections(it, left="900")
+            late = connect_natively(it.address)
             late.sendall(request(1, A) + request(2, B))
             until(lambda: it.node.listener.refusal_counters.totals().get("too-many-connections"))
             late.settimeout(1)
@@ -537,16 +544,16 @@
             self.assertEqual(got.count(b"Status: 503"), 2)
             late.close()
 
-    def test_where_all_are_busy_one_wait_in_vain_is_enough(self):
+    def test_connections_are_closed_after_one_wait_while_all_are_busy(self):
         with Platform([silent], limits={"cores": 1.0, "memory_mb": 96, "sockets": 32}) as it:
-            fill(it, left="1500")
+            fill_connections(it, left="1500")
             late = [it.client() for _ in range(10)]
             since = time.monotonic_ns()
             self.assertTrue(all(each.closed(1.0) for each in late))
             self.assertLess(time.monotonic_ns() - since, 5 * connection_eviction.ACTIVITY_GRACE)
 
-    def test_idle_clients_take_none_that_stream_workers_and_usual_clients_need(self):
-        """A real process with a real limit: idle clients fill it while the coordinator is down."""
+    def test_idle_clients_leave_descriptors_for_the_stream_workers_and_other_clients(self):
+        """Runs a real process with a real limit, which idle clients fill while the coordinator is down."""
         limit, workers = 64, [Worker() for _ in range(30)]
         coordinator = Coordinator([event(1, *(instance(f"s-{n}", it.address) for n, it in enumerate(workers[:4])),
                                          full=True)])
@@ -561,7 +568,7 @@
                 stderr=subprocess.PIPE,
                 preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit)))
 
-            def held():
+            def open_descriptors():
                 return len(os.listdir(f"/proc/{child.pid}/fd"))
 
             def serves(n):
@@ -575,10 +582,10 @@
                 until(lambda: serves(1) == 200)
                 place = coordinator.address
                 coordinator.stop()
-                idle = [native(address) for _ in range(3 * limit)]
-                until(lambda: held() > limit // 2)
+                idle = [connect_natively(address) for _ in range(3 * limit)]
+                until(lambda: open_descriptors() > limit // 2)
                 gevent.sleep(0.1)
-                most = held()
+                most = open_descriptors()
                 self.assertLess(most, limit)
                 coordinator = Coordinator([event(1), event(2, *(
                     instance(f"s-{n}", it.address) for n, it in enumerate(workers)))], place)
@@ -586,7 +593,7 @@
                 got = [serves(n) for n in range(2, 100)]
                 self.assertEqual(set(got), {200})
                 self.assertGreater(sum(bool(it.frames_with(INVOKE)) for it in workers[4:]), 20)
-                self.assertLess(held(), limit)
+                self.assertLess(open_descriptors(), limit)
                 child.send_signal(signal.SIGTERM)
                 said = [json.loads(line) for line in child.stderr.read().splitlines()]
                 self.assertEqual(child.wait(10), 0)
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -1,7 +1,7 @@
-"""Fleets with thousands of workers: what a front end does for each of them must not keep requests waiting.
+"""Fleets with thousands of workers: the work of a front end for each of them must not delay requests.
 
-From an incident of the users (docs/incidents/2026-12-02-thousands-of-workers.md). The stand-in workers share a few
-addresses: to a front end they are workers of their own all the same.
+The tests follow from a production incident (docs/incidents/2026-12-02-thousands-of-workers.md). The stand-in workers
+share a few addresses, but a front end treats each as a worker of its own.
 """
 import json
 import tempfile
@@ -27,11 +27,11 @@
 from threadshift.node.descriptors import Descriptors
 from threadshift.ring import POINTS
 
-WORKERS = 3_200            # the most that the operators' page names
+WORKERS = 3_200            # the limit stated on the operators' page
 FRONT_ENDS = 3
-LEFT_MS = 1_280            # that clients wait, as in the incident
-READY_S = 30               # by when a front end has to be ready
-LATE_MS = 500              # past its time, until a request without an answer is lost
+LEFT_MS = 1_280            # deadline of the clients, as in the incident
+READY_S = 30               # until a front end has to be ready
+LATE_MS = 500              # after its deadline, until a request without an answer counts as lost
 ITEMS = [f"{n:016x}" for n in range(24)]
 
 
@@ -44,7 +44,7 @@
 
 
 def answer_of(client, number):
-    """The status of the answer and ns until it came; None for a status where none came in its time."""
+    """Returns the status of the answer and the ns until it came; the status is None if none came in time."""
     since = time.monotonic_ns()
     client.sock.settimeout((LEFT_MS + LATE_MS) / 1_000)
     try:
@@ -55,7 +55,7 @@
 
 
 def is_alive(front_end):
-    """Whether it says that it serves."""
+    """Whether the front end reports that it serves."""
     try:
         return front_end.client().alive()[0] == 200
     except OSError:
@@ -79,7 +79,7 @@
         return (self.draining if int(name[2:], 16) % 4 == 0 else self.ready).address
 
     def drain(self):
-        """News of a release that takes a quarter of the workers, in one event."""
+        """One event of a release that drains a quarter of the workers."""
         return event(2, *(instance(name, self.draining.address, "Terminating") for name in self.drained))
 
     def start(self, stack):
@@ -118,7 +118,7 @@
 
 
 class MoreWorkersThanConnections(unittest.TestCase):
-    """One front end of 256 descriptors, in the process of the test, with more workers than a quarter of them."""
+    """One front end in the process of the test with 256 descriptors, and workers for more than a quarter of them."""
 
     WORKERS = 100
 
@@ -140,15 +140,15 @@
         self.assertEqual(self.platform.call()[0], 200)
         self.assertEqual(self.node.worker_connections, sum(
             len(link.connections) for link in self.node.links.values()))
-        self.assertIn(self.node.worker_connections, (1, 2))        # the request's, and perhaps that of a load order
+        self.assertIn(self.node.worker_connections, (1, 2))        # for the request, and perhaps one for a load order
 
-    def test_a_question_waits_for_its_dial(self):
+    def test_probe_waits_for_its_dial(self):
         link = next(iter(self.node.links.values()))
         self.assertIsNone(link.probe(PendingWorkerQuery(self.node.engine, link.worker)))
         self.assertEqual(len(link.queue), 1)
         until(lambda: len(self.worker.frames_with(PROBE)) == 1)
 
-    def test_a_connection_that_ended_is_not_dialled_again_for_nothing(self):
+    def test_connection_that_ended_is_not_dialled_again_without_need(self):
         self.assertEqual(self.platform.call()[0], 200)
         until(lambda: not any(link.dialler for link in self.node.links.values()))
         in_all = self.node.total_dials
@@ -158,25 +158,25 @@
         gevent.sleep(0.1)
         self.assertEqual((self.node.worker_connections, self.node.total_dials), (0, in_all))
 
-    def test_what_drains_counts_at_once_and_new_workers_come_in_batches(self):
+    def test_drains_are_applied_at_once_and_new_workers_join_in_batches(self):
         new = range(self.WORKERS, self.WORKERS + 3 * JOIN_BATCH)
         update = parse_update(event(2, self.entry(0, "Terminating"), *map(self.entry, new)))
         self.node.on_list_update(update)
         ready = {worker.name for worker in self.node.engine.dispatcher.ready_workers}
         self.assertEqual(len(ready), self.WORKERS - 1)
         self.assertNotIn("s-0", ready)
-        last = new[-1]      # drains before its turn has come
+        last = new[-1]      # drains while it still waits to join
         self.node.on_list_update(parse_update(event(3, self.entry(last, "Terminating"))))
         until(lambda: not self.node.joining)
         ready = {worker.name for worker in self.node.engine.dispatcher.ready_workers}
         self.assertEqual(len(ready), self.WORKERS - 1 + len(new) - 1)
         self.assertNotIn(f"s-{last}", ready)
 
-    def test_a_worker_that_is_gone_before_its_turn_is_not_taken_in(self):
+    def test_worker_that_is_gone_before_it_joins_does_not_join(self):
         new = range(self.WORKERS, self.WORKERS + 2 * JOIN_BATCH)
         self.node.on_list_update(parse_update(event(2, *map(self.entry, new))))
         gone = f"s-{new[-1]}"
-        self.node.change([self.node.registry.ends(gone, WorkerState.GONE)])    # as where a list lacks it at last
+        self.node.change([self.node.registry.ends(gone, WorkerState.GONE)])    # as when a full list lacks it
         until(lambda: not self.node.joining)
         self.assertNotIn(gone, {worker.name for worker in self.node.engine.dispatcher.ready_workers})
 
@@ -191,9 +191,9 @@
         self.assertEqual((self.node.worker_connections, self.node.open_connections), (0, {}))
 
 
-class WhileItStarts(unittest.TestCase):
+class Starting(unittest.TestCase):
 
-    def test_the_list_is_taken_in_before_it_listens(self):
+    def test_list_is_applied_before_the_front_end_listens(self):
         platform = Platform(scripts=())
         listening = []
         prepare = platform.node.join_known_workers
@@ -203,10 +203,10 @@
             self.assertIsNotNone(platform.node.listening_socket)
 
 
-class ToldToEndWhileItStarts(unittest.TestCase):
+class ShutdownWhileStarting(unittest.TestCase):
 
-    def test_it_never_listens(self):
-        # Its time until the kill runs from the signal, not from when the list has been taken in.
+    def test_front_end_never_listens(self):
+        # The time until the front end is killed runs from the signal, not from when the list has been applied.
         platform = Platform(scripts=())
         self.addCleanup(platform.coordinator.stop)
         with mock.patch.object(platform.node, "join_known_workers", platform.node.end):
@@ -217,9 +217,9 @@
         self.assertEqual(names[-1], "ended")
 
 
-class StoppedWhileItDials(unittest.TestCase):
+class StoppedWhileDialling(unittest.TestCase):
 
-    def test_a_connection_that_comes_up_then_is_not_counted(self):
+    def test_connection_that_comes_up_after_the_stop_is_not_counted(self):
         with Platform() as it:
             link = it.node.links["s-0"]
             came_up, go_on = gevent.event.Event(), gevent.event.Event()
@@ -239,17 +239,18 @@
 
 
 class AllWorkersCold(unittest.TestCase):
-    """A fleet of which every worker has just started: calls find none that may be sent anything."""
+    """A fleet in which every worker has just started, so that no worker may be sent anything."""
 
     WORKERS, CALLS, FUNCTIONS = 1_920, 200, 40
 
-    def test_a_call_does_not_walk_around_the_whole_ring(self):
-        # Half a second of processor time for one call where it did; its neighbours' requests lay unread meanwhile.
-        told = Deployment(
+    def test_request_does_not_visit_the_whole_ring(self):
+        # Visiting all workers took half a second of processor time for one request, and other requests stayed unread
+        # meanwhile.
+        deployment = Deployment(
             (NamespaceType("check", 100 * MS, 2_500 * MS, 1.0, 0.3, Effect.REPEATABLE),), front_ends=2, max_sends=4,
             cold_share=0.2, cold_time=17 * SECOND, fall_multiple=2.0, max_retry_after=SECOND)
         now = 100 * SECOND
-        dispatcher = Dispatcher(1, told, now)
+        dispatcher = Dispatcher(1, deployment, now)
         dispatcher.update_workers(
             now, [WorkerListing(f"s-{n}", WorkerState.READY, started_at=now) for n in range(self.WORKERS)], full=True)
         longest = 0.0
@@ -260,14 +261,14 @@
             longest = max(longest, time.process_time() - since)
         self.assertLess(longest, 0.05)
 
-    def test_a_call_that_finds_no_room_looks_at_some_workers_only(self):
+    def test_request_that_finds_no_capacity_looks_at_some_workers_only(self):
         dispatcher, act = self.one_call(self.WORKERS)
         with mock.patch.object(dispatcher, "has_cold_capacity", return_value=False) as looked, mock.patch.object(
                 dispatcher, "is_eligible", return_value=False):
             act.start(0)
         self.assertEqual(looked.call_count, FAR_REACH)
 
-    def test_a_walk_comes_to_every_worker_once_and_ends(self):
+    def test_clockwise_order_has_every_worker_once_and_ends(self):
         dispatcher, act = self.one_call(50)
         with mock.patch.object(dispatcher.ring, "next", wraps=dispatcher.ring.next) as steps:
             self.assertEqual(sorted(worker.name for worker in dispatcher.clockwise_workers(act.function)),
@@ -292,8 +293,8 @@
         self.assertTrue(shared.has_room_for_worker(0, 256, 128))
 
 
-class WhatTheLogSays(unittest.TestCase):
-    """Why a request was refused, retried or given up, with its id."""
+class LogLines(unittest.TestCase):
+    """The log says why a request was refused, retried or given up, with its id."""
 
     def test_a_refused_request_is_named(self):
         with Platform(answering=False) as it:
@@ -314,7 +315,7 @@
             self.assertEqual(line["id"], "00000000000000c2")
             self.assertRegex(line["attempts"][0], r"s-\d \+\d+ full")
 
-    def test_it_says_when_it_serves_and_by_which_list(self):
+    def test_log_says_when_the_front_end_serves_and_with_which_list(self):
         with Platform() as it:
             until(lambda: it.log.of("serving"))
             [line] = it.log.of("serving")
@@ -324,7 +325,7 @@
 
 
 class HeadAndEventsTogether(unittest.TestCase):
-    """A response of which the first bytes read hold more than the head."""
+    """A response whose first read contains more than the head."""
 
     HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 
