--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -341,9 +341,9 @@
 
     FAILURES = (CONNECT_TIMEOUT, RESPONSE_TIMEOUT)     # a dial that hangs; a request without a response
 
-    def found_after(self, begun, failures):
+    def found_after(self, lost_at, failures):
         """When an attempt succeeds that follows these failures, with each pause as long as possible."""
-        backoff, now = ReconnectBackoff(lambda: 1.0, MAX_RETRY_PAUSE), begun
+        backoff, now = ReconnectBackoff(lambda: 1.0, MAX_RETRY_PAUSE), lost_at
         now = backoff.on_disconnected(now)
         for took in failures:
             now = backoff.on_disconnected(now + took)
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -42,10 +42,10 @@
             (encode(OK, ID, "how", sender=FROM_WORKER), "is not a field"),
             (encode(OK, ID, "a=1,a=2", sender=FROM_WORKER), "appears twice"),
             (encode(OK, ID, ",".join(["a=1"] * 70), sender=FROM_WORKER), "70 fields"))
-        for data, words in cases:
+        for data, text in cases:
             with self.assertRaises(ProtocolError) as caught:
                 FrameDecoder(1 << 10).feed(good + data)
-            self.assertIn(words, str(caught.exception))
+            self.assertIn(text, str(caught.exception))
             self.assertEqual([each.body for each in caught.exception.before], [b"good"])
 
     def test_fields(self):
@@ -78,14 +78,14 @@
     def test_another_connection_is_dialled_when_each_reaches_the_threshold(self):
         # Requests one after another need no second connection. With many front ends, a third of all connections were
         # dialled for nothing else.
-        for kept, dialling, wanted in (([connection(1)], 0, False), ([connection(2)], 0, True),
-                                       ([connection(2)], 1, False), ([connection(2), connection(1)], 0, False),
-                                       ([connection(2)] * 4, 0, False),
-                                       ([connection(suspected=True)], 0, True)):
-            self.assertEqual(pool.should_dial(kept, dialling, 4, pool.choose_dial_threshold(200)), wanted)
+        for connections, dialling, wanted in (([connection(1)], 0, False), ([connection(2)], 0, True),
+                                              ([connection(2)], 1, False), ([connection(2), connection(1)], 0, False),
+                                              ([connection(2)] * 4, 0, False),
+                                              ([connection(suspected=True)], 0, True)):
+            self.assertEqual(pool.should_dial(connections, dialling, 4, pool.choose_dial_threshold(200)), wanted)
         # With few front ends another is dialled as soon as none is free, so that a break ends one send.
-        for kept, wanted in (([connection(1)], True), ([connection(1), connection()], False)):
-            self.assertEqual(pool.should_dial(kept, False, 4, pool.choose_dial_threshold(3)), wanted)
+        for connections, wanted in (([connection(1)], True), ([connection(1), connection()], False)):
+            self.assertEqual(pool.should_dial(connections, False, 4, pool.choose_dial_threshold(3)), wanted)
 
     def test_connection_silent_since_a_send_is_suspected(self):
         self.assertTrue(pool.is_suspected(last_received_at=4, sent_at=5))
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -50,7 +50,7 @@
 
 
 def wait_until_closing(it):
-    """Waits until a front end that shuts down takes no more requests, and would have ended if nothing kept it."""
+    """Waits until a front end that shuts down takes no more requests, and would have ended if none were pending."""
     until(lambda: it.node.listener.closing)
     since = time.monotonic_ns()
     until(lambda: it.running.ready() or time.monotonic_ns() - since > QUIET_BEFORE_END)
@@ -150,10 +150,10 @@
         with Platform() as it:
             late, end = [], it.node.listener.end
 
-            def just_before(*words):
+            def just_before(*arguments):
                 late.append(connect_natively(it.address))
                 late[0].sendall(request())
-                end(*words)
+                end(*arguments)
             it.node.listener.end = just_before
             it.node.end()
             it.running.join(3)
@@ -400,7 +400,7 @@
 
     def test_exception_in_handling_an_answer_leaves_nothing_waiting(self):
         with Platform() as it:
-            def fails(*words, **facts):
+            def fails(*arguments, **facts):
                 raise KeyError("planted")
             it.node.engine.on_send_ended, ended = fails, it.node.engine.on_send_ended
             client = it.client()
