--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -75,7 +75,7 @@
     return encode(INVOKE, id_, fields, call.body)
 
 
-def order_frame(id_: bytes, query: Any) -> bytes:
+def query_frame(id_: bytes, query: Any) -> bytes:
     """The frame of a load order, or of a probe for a load report."""
     return encode(LOAD, id_, f"key={query.function},n=1") if query.function else encode(PROBE, id_)
 
@@ -188,7 +188,7 @@
     def order_load(self, query: Any) -> Outcome | None:
         """Sends a load order or a probe."""
         id_ = self.new_id()
-        return self.transmit(id_, query, order_frame(id_, query))
+        return self.transmit(id_, query, query_frame(id_, query))
 
     def probe(self, query: Any) -> Outcome | None:
         return self.order_load(query)
@@ -327,7 +327,7 @@
                 continue                        # it has timed out
             # The frame carries the time left now, or the worker would go on after the client has given up.
             frame = (current_invoke_frame(id_, receiver[0]) if isinstance(receiver, tuple)
-                     else order_frame(id_, receiver))
+                     else query_frame(id_, receiver))
             if (outcome := self.transmit(id_, receiver, frame)) is not None:
                 self.report_end(receiver, time.monotonic_ns(), outcome)
 
