--- a/threadshift/node/shutdown.py
+++ b/threadshift/node/shutdown.py
@@ -1,9 +1,9 @@
-"""How a front end leaves after it was told to end. Free of I/O.
+"""The orderly shutdown of a front end after SIGTERM. Free of I/O.
 
-New connections and requests keep coming for a while after that word, and are served; what comes later is refused.
-What is owed is answered before the process may be killed: a call whose own time runs on past that is given up in
-time, as nobody would answer it later. (Found on a day with restarts: calls with more time left were dropped
-unanswered, 9 on a day of 30 front ends.) The process ends by itself once nothing is owed, being read or written.
+New connections and requests still arrive for a while after the signal and are served; later ones are refused. Every
+accepted request is answered before the process may be killed: a request whose own time ends after that is given up
+early, since nobody could answer it later. Without this, restarts dropped requests unanswered (9 on a day of 30 front
+ends). The process ends by itself once no request is pending, being read or being answered.
 """
 from __future__ import annotations
 
@@ -11,38 +11,39 @@
 
 from threadshift.interface import MS, SECOND
 
-ACCEPTING_TIME = 700 * MS  # calls come for 0.6 s after the word; those after 0.7 s must be answered in any case
-MAX_ACTION_TIMEOUT = 3 * SECOND  # of action timeouts that it is left alone for after that; longer ones count as this
-KILL_MARGIN = 150 * MS     # before it may be killed, by when all is answered
-QUIET_TIME = 50 * MS       # for what crosses the last answers
+ACCEPTING_TIME = 700 * MS          # requests arrive for 0.6 s after the signal; any after 0.7 s must be answered too
+MAX_ACTION_TIMEOUT = 3 * SECOND    # the kill follows ACCEPTING_TIME after the longest action timeout, at most this
+KILL_MARGIN = 150 * MS             # between the last answer and the kill
+QUIET_TIME = 50 * MS               # with nothing under way until the process ends: requests may cross the last answer
 
 
 class Stage(Enum):
-    """How far it has come."""
+    """The stages of a shutdown."""
 
     RUNNING = "staying"
-    ACCEPTING = "serving"        # told to end; calls still come and are served
-    REFUSING = "closed"          # no new calls
+    ACCEPTING = "serving"          # shutdown requested; requests still arrive and are served
+    REFUSING = "closed"            # new requests are refused
     DONE = "done"
 
 
 class Shutdown:
-    """One front end's way out."""
+    """The shutdown of one front end."""
 
     def __init__(self, action_timeout: int) -> None:
-        self.action_timeout = min(action_timeout, MAX_ACTION_TIMEOUT)     # the longest action timeout, ns
+        self.action_timeout = min(action_timeout, MAX_ACTION_TIMEOUT)     # the longest of all namespace types, ns
         self.requested_at = self.quiet_since = 0
 
     def begin(self, now: int) -> None:
+        """Starts the shutdown; later calls change nothing."""
         self.requested_at = self.requested_at or now
 
     @property
     def answer_deadline(self) -> int:
-        """By when everything owed must have its answer, once told to end."""
+        """When every pending request must have its answer, once the shutdown has begun."""
         return self.requested_at + ACCEPTING_TIME + self.action_timeout - KILL_MARGIN
 
     def stage(self, now: int, under_way: int) -> Stage:
-        """`under_way`: calls owed, requests being read, answers being written."""
+        """Returns the stage; `under_way` counts pending requests, requests being read and answers being written."""
         if not self.requested_at:
             return Stage.RUNNING
         if now - self.requested_at <= ACCEPTING_TIME:
