--- a/tests/platform.py
+++ b/tests/platform.py
@@ -8,7 +8,8 @@
 from tests.live import ANY, Server, Silent, free_port, until
 from threadshift.conf.values import Address
 from threadshift.fastcgi import codec
-from threadshift.fastcgi.codec import ABORT, BEGIN, BEGUN, END, KEEP, PARAMS, RESPONDER, STDIN, STDOUT, record, stream
+from threadshift.fastcgi.codec import (
+    ABORT, BEGIN, BEGIN_BODY, END, KEEP, PARAMS, RESPONDER, STDIN, STDOUT, record, stream)
 from threadshift.frames.codec import FROM_US, FROM_WORKER, HOLD, INVOKE, OK, Frames, encode
 from threadshift.node.front import Node
 from threadshift.node.front_end_config import parse_config
@@ -176,7 +177,7 @@
 
 
 def begin(number=1, role=RESPONDER, flags=KEEP):
-    return record(BEGIN, number, BEGUN.pack(role, flags))
+    return record(BEGIN, number, BEGIN_BODY.pack(role, flags))
 
 
 def params(number, told):
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -285,7 +285,7 @@
         with suppress(OSError), gevent.Timeout(1, False):
             sock = socket.create_connection(self.address, 1)
             try:
-                sock.sendall(codec.record(codec.BEGIN, 1, codec.BEGUN.pack(codec.RESPONDER, 0)) + codec.stream(
+                sock.sendall(codec.record(codec.BEGIN, 1, codec.BEGIN_BODY.pack(codec.RESPONDER, 0)) + codec.stream(
                     codec.PARAMS, 1, codec.pair(b"SCRIPT_NAME", b"/alive")) + codec.stream(codec.STDIN, 1, b""))
                 return b"Status: 200" in sock.recv(4096)
             finally:
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -21,7 +21,7 @@
     @given(st.lists(st.tuples(st.integers(1, 40), st.integers(0, 65535), st.binary(max_size=40)), max_size=8),
            st.lists(st.integers(1, 30), max_size=30), st.integers(0, 255))
     def test_any_cut_of_the_stream_gives_the_same_records(self, told, cuts, padding):
-        data = b"".join(codec.HEAD.pack(1, kind, id_, len(content), padding) + content + bytes(padding)
+        data = b"".join(codec.HEADER.pack(1, kind, id_, len(content), padding) + content + bytes(padding)
                         for kind, id_, content in told)
         it, got, at = Records(), [], 0
         for size in [*cuts, len(data)]:
@@ -44,8 +44,8 @@
     @given(st.lists(st.tuples(st.binary(max_size=200), st.binary(max_size=300)), max_size=8))
     def test_pairs_there_and_back_in_both_length_forms(self, told):
         self.assertEqual(pairs(b"".join(pair(name, value) for name, value in told)), told)
-        long = b"".join(codec.LONG.pack(len(name) | 1 << 31) + codec.LONG.pack(len(value) | 1 << 31) + name + value
-                        for name, value in told)
+        long = b"".join(codec.LONG_LENGTH.pack(len(name) | 1 << 31) + codec.LONG_LENGTH.pack(len(value) | 1 << 31)
+                        + name + value for name, value in told)
         self.assertEqual(pairs(long), told)
 
     def test_an_answer_longer_than_a_record_is_several(self):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,7 +15,7 @@
 from threadshift.audit.rules import breaches
 from threadshift.conf.settings import Malformed
 from threadshift.fastcgi import connection_eviction
-from threadshift.fastcgi.codec import ABORT, GET_VALUES, HEAD, STDIN, pair, record, stream
+from threadshift.fastcgi.codec import ABORT, GET_VALUES, HEADER, STDIN, pair, record, stream
 from threadshift.frames.codec import ERROR, FROM_WORKER, FULL, GIVE_UP, HOLD, INVOKE, MISS, OK, OVER, encode
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.looks import Looks
@@ -141,7 +141,7 @@
         good = request()
         cases = {
             "noise": b"\xff" * 100, "version": b"\x02" + good[1:], "begin too short": record(1, 1, b"x"),
-            "role": begin(role=9), "number 0": HEAD.pack(1, STDIN, 0, 0, 0), "begun twice": begin() + begin(),
+            "role": begin(role=9), "number 0": HEADER.pack(1, STDIN, 0, 0, 0), "begun twice": begin() + begin(),
             "parameters": begin() + record(4, 1, b"\x7f\x7fab") + record(4, 1) + record(5, 1),
             "body first": begin() + record(STDIN, 1, b"x"), "answers of ours": begin() + record(6, 1, b"x"),
             "endless parameters": begin() + record(4, 1, b"x" * 60_000) * 2, "class": request(type_="dance"),
