--- a/threadshift/fastcgi/postponed.py
+++ b/threadshift/fastcgi/postponed.py
@@ -1,13 +1,14 @@
-"""Requests that were read whole but may not be taken yet, and when each of them is.
+"""Requests that were read completely but may not be accepted yet, and the time at which each of them is.
 
-A request waits here, beside the reader of its connection, so that an ABORT or a close behind it is read meanwhile:
+A request waits here while the reader of its connection goes on, so that an ABORT or a close that follows it is read:
 
-- after a stall, until what came during it has been read: that its client has gone;
-- while news of workers has arrived and is not read yet, however long that took: it counts as told already;
-- after the start, until the coordinator has answered: the list of the configuration is older than what counts as
-  told.
+- after a stall, until everything that arrived during it has been read: its client may have gone;
+- while an update of the worker list has arrived and is not read yet, however long that takes: an update counts as
+  notified once it has arrived;
+- after the start, until the coordinator has answered: the worker list of the configuration is older than updates that
+  already count as notified.
 
-One whose time runs out meanwhile is refused; the number of waiting requests is bounded by the caller.
+A request whose time ends meanwhile is refused. The caller limits the number of waiting requests.
 """
 from __future__ import annotations
 
@@ -21,44 +22,45 @@
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.looks import SETTLE
 
-LONGEST_READ = 5 * SETTLE  # for a connection to be read empty; one that is flooded never is
-ANSWER_MARGIN = 20 * MS    # before the end of a request's time, by which it is refused: two reviews
+MAX_READ_WAIT = 5 * SETTLE  # until a connection has been read empty; one that is flooded never is
+ANSWER_MARGIN = 20 * MS     # before the end of a request's time, by when it is refused: two reviews
 
 
 class Postponed(NamedTuple):
-    """One request that waits."""
+    """One waiting request."""
 
     request: Any
-    asked: ParsedRequest
-    unread: int                # ns for which it lay unread before
-    since: int                 # when it began to wait, monotonic ns
+    parsed: ParsedRequest
+    unread: int                 # ns for which it lay unread before
+    since: int                  # when it began to wait, monotonic ns
 
     def waited(self, now: int) -> int:
-        """ns since it arrived, as far as that is known."""
+        """Returns the ns since it arrived, as far as that is known."""
         return self.unread + now - self.since
 
     def expired(self, now: int) -> bool:
-        return self.asked.call.left - self.waited(now) <= ANSWER_MARGIN
+        """Tells whether its time is about to end."""
+        return self.parsed.call.left - self.waited(now) <= ANSWER_MARGIN
 
 
 class FrontEnd(Protocol):
-    """What is asked of the front end before a request is taken."""
+    """What the listener needs to know of its front end before it accepts a request."""
 
     def ready(self) -> bool: ...
     def list_is_stale(self) -> bool: ...        # no coordinator has answered since the start
-    def update_unread(self) -> bool: ...        # news of workers has arrived and is not read yet
+    def update_unread(self) -> bool: ...        # an update of the worker list has arrived and is not read yet
 
 
 class Owner(Protocol):
-    """What takes or refuses requests once they have waited."""
+    """What accepts or refuses requests after they have waited."""
 
     closing: bool
     front_end: FrontEnd
 
     def still_open(self, request: Any) -> bool: ...
     def unread_on(self, request: Any) -> bool: ...
-    def take_postponed(self, request: Any, asked: ParsedRequest, unread: int) -> None: ...
-    def refuse_late(self, request: Any, asked: ParsedRequest) -> None: ...
+    def take_postponed(self, request: Any, parsed: ParsedRequest, unread: int) -> None: ...
+    def refuse_late(self, request: Any, parsed: ParsedRequest) -> None: ...
 
 
 class PostponedRequests:
@@ -71,10 +73,11 @@
     def __len__(self) -> int:
         return len(self.waiting)
 
-    def add(self, request: Any, asked: ParsedRequest, unread: int) -> None:
+    def add(self, request: Any, parsed: ParsedRequest, unread: int) -> None:
+        """Adds a request and starts the reviews with the first one."""
         if not self.waiting:
             self.spawn(self.run)
-        self.waiting.append(Postponed(request, asked, unread, time.monotonic_ns()))
+        self.waiting.append(Postponed(request, parsed, unread, time.monotonic_ns()))
 
     def run(self) -> None:
         """Reviews the waiting requests until there is none."""
@@ -83,18 +86,20 @@
             self.review(time.monotonic_ns())
 
     def review(self, now: int) -> None:
+        """Accepts or refuses the requests that need not wait any longer."""
         stale = self.owner.front_end.list_is_stale() and not self.owner.closing
         reviewed, self.waiting = self.waiting, []
         for each in reviewed:
             if not self.owner.still_open(each.request):
-                continue                    # its client gave it up
+                continue                    # its client has given it up
             if stale and each.expired(now):
-                self.owner.refuse_late(each.request, each.asked)
-            elif stale or self.unread_behind(each, now):
+                self.owner.refuse_late(each.request, each.parsed)
+            elif stale or self.has_unread_input(each, now):
                 self.waiting.append(each)
             else:
-                self.owner.take_postponed(each.request, each.asked, each.waited(now))
+                self.owner.take_postponed(each.request, each.parsed, each.waited(now))
 
-    def unread_behind(self, each: Postponed, now: int) -> bool:
-        return now - each.since < LONGEST_READ and (
+    def has_unread_input(self, each: Postponed, now: int) -> bool:
+        """Tells whether input that arrived after the request, or an update of the worker list, is still unread."""
+        return now - each.since < MAX_READ_WAIT and (
             self.owner.front_end.update_unread() or self.owner.unread_on(each.request))
