--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small front end for the tests: a deployment, a dispatcher, and short ways to call it."""
+"""A small dispatcher for tests, and short functions to build its input and to read its steps."""
 from threadshift.choice import Dispatcher
 from threadshift.interface import MS, SECOND, Deployment, Do, Effect, Listing, NamespaceType, State
 
@@ -7,10 +7,10 @@
 
 
 def deployment(**changes):
-    figures = dict(types=TYPES, front_ends=3, tick=4 * MS, max_sends=4, may_cancel=True, may_order=True,
+    settings = dict(types=TYPES, front_ends=3, tick=4 * MS, max_sends=4, may_cancel=True, may_order=True,
                    longest_advice=SECOND, idle_keep=10 * SECOND, drain_grace=SECOND, cold_share=0.2,
                    cold_time=10 * SECOND, fall_multiple=2.0, fall_time=SECOND)
-    return Deployment(**figures | changes)
+    return Deployment(**settings | changes)
 
 
 def front_end(workers=4, seed=1, now=0, since=0, **changes):
@@ -24,12 +24,13 @@
 
 
 def call(it, ivk="a", now=0, fn="f", effect=Effect.REPEATABLE, left=2500 * MS, **facts):
-    """The handle of an activation just started, and the steps that this brought."""
+    """Starts an activation; returns its handle and the first steps."""
     act = it.take(now, ivk, effect.value, fn, left, **facts)
     return act, act.start(now)
 
 
 def sent_to(steps):
+    """The workers to which these steps send."""
     return [step.worker for step in steps if step.do is Do.SEND]
 
 
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -1,4 +1,4 @@
-"""A front end on the platform with small stand-ins in one process: clients, workers of frames, a coordinator."""
+"""A platform front end with test doubles in one process: clients, workers that speak frames, a coordinator."""
 import json
 
 import gevent
@@ -26,50 +26,55 @@
 
 
 def configuration(**changes):
+    """The content of a front end's configuration file, with these top-level keys changed."""
     return {"name": "n0", "listen": "127.0.0.1:1", "seed": "0f", "coordinator": "127.0.0.1:1",
             "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 256}, "known": {"index": 0, "updates": []},
             "settings": json.loads(json.dumps(SETTINGS))} | changes
 
 
 def instance(name, address, state="Ready", **facts):
+    """One worker as the coordinator lists it."""
     return {"instanceId": name, "hostPort": str(address), "lifecycle": state, "zone": "a", "cell": 0, "weight": 1.0,
             "startedAtMs": 0} | facts
 
 
 def event(index, *instances, full=False):
+    """One update of the worker list; `full` replaces the whole list."""
     return {"index": index, "endpoints": {"generation": index, "reset": full, "instances": list(instances)}}
 
 
-def serve(worker, sock, it):
-    """What a worker does that has every function: answers calls and orders."""
-    if it.code == INVOKE:
-        sock.sendall(encode(OK, it.id, "how=reused", b"did " + it.body, FROM_WORKER))
-    elif it.code == HOLD:
-        sock.sendall(encode(OK, it.id, "n=1", mark=FROM_WORKER))
+def serve(worker, sock, frame):
+    """The script of a worker that has every function loaded: answers invocations and load orders."""
+    if frame.code == INVOKE:
+        sock.sendall(encode(OK, frame.id, "how=reused", b"did " + frame.body, FROM_WORKER))
+    elif frame.code == HOLD:
+        sock.sendall(encode(OK, frame.id, "n=1", mark=FROM_WORKER))
 
 
 class Worker(Server):
-    """A worker played by a script, called with each frame that came."""
+    """A worker whose script is called with each frame that it receives."""
 
     def __init__(self, script=serve):
         super().__init__()
         self.script, self.received, self.news = script, [], Event()
 
     def converse(self, sock):
-        cut = Frames(1 << 20, FROM_US)
+        frames = Frames(1 << 20, FROM_US)
         while data := sock.recv(65536):
-            for it in cut.feed(data):
-                self.received.append(it)
-                self.script(self, sock, it)
+            for frame in frames.feed(data):
+                self.received.append(frame)
+                self.script(self, sock, frame)
 
     def frames_with(self, code):
-        return [it for it in self.received if it.code == code]
+        """The received frames with this code."""
+        return [frame for frame in self.received if frame.code == code]
 
 
 class Coordinator(Server):
-    """Serves the stream: `events` on connecting, then what publish() is given; one that is dumb says nothing more.
+    """Serves the event stream: `events` on connecting, then each event given to publish().
 
-    While `answering` is not set, requests are read and not answered."""
+    While it `is_silent`, no keepalive comments are sent. While `answering` is not set, requests are read and not
+    answered."""
 
     def __init__(self, events=(), address=ANY):
         super().__init__(address)
@@ -78,40 +83,41 @@
         self.answering.set()
 
     def converse(self, sock):
-        head = b""
-        while b"\r\n\r\n" not in head:
+        header = b""
+        while b"\r\n\r\n" not in header:
             data = sock.recv(65536)
             if not data:
                 return
-            head += data
-        last = next(int(line.split(b":")[1]) for line in head.split(b"\r\n")
-                    if line.lower().startswith(b"last-event-id"))
-        self.last_event_ids.append(last)
+            header += data
+        last_event_id = next(int(line.split(b":")[1]) for line in header.split(b"\r\n")
+                             if line.lower().startswith(b"last-event-id"))
+        self.last_event_ids.append(last_event_id)
         self.answering.wait()
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         for each in self.events:
-            if each["index"] > last:
-                sock.sendall(self.frame(each))
+            if each["index"] > last_event_id:
+                sock.sendall(self.encoded(each))
         while not self.is_silent:
             sock.sendall(b": alive\n\n")
             gevent.sleep(0.2)
         gevent.sleep(60)
 
     @staticmethod
-    def frame(it):
-        return f"id: {it['index']}\ndata: {json.dumps(it)}\n\n".encode()
+    def encoded(update):
+        return f"id: {update['index']}\ndata: {json.dumps(update)}\n\n".encode()
 
-    def publish(self, it):
-        self.events.append(it)
+    def publish(self, update):
+        """Sends an event on every open connection, and to those that connect later."""
+        self.events.append(update)
         for sock in self.open:
             try:
-                sock.sendall(self.frame(it))
+                sock.sendall(self.encoded(update))
             except OSError:
                 pass
 
 
 class Client:
-    """A front's web server: one connection, requests under numbers."""
+    """A web server in front of the platform: one connection with multiplexed requests, each with its FastCGI id."""
 
     def __init__(self, address):
         self.sock = socket.create_connection(tuple(address)[:2])
@@ -123,19 +129,20 @@
 
     def ask(self, number=1, id_="00000000000000a1", body=b"x", type_="check", left="900", item="00000000000000f1",
             **more):
+        """Sends one whole request."""
         self.send(request(number, id_, body, type_, left, item, **more))
 
     def answer(self, number=1):
-        """(status, headers, body) of the next answer under this number; None where the connection ends first."""
+        """(status, headers, body) of the next answer to this request; None where the connection ends first."""
         while number not in self.ended:
             data = self.sock.recv(65536)
             if not data:
                 return None
-            for kind, at, content in self.records.feed(data):
+            for kind, id_, content in self.records.feed(data):
                 if kind == STDOUT:
-                    self.parts[at] = self.parts.get(at, b"") + content
+                    self.parts[id_] = self.parts.get(id_, b"") + content
                 elif kind == END:
-                    self.ended[at] = self.parts.pop(at, b""), content[4]
+                    self.ended[id_] = self.parts.pop(id_, b""), content[4]
         content, status = self.ended.pop(number)
         if status:
             return status, {}, b""
@@ -144,6 +151,7 @@
         return int(headers.pop("Status").split()[0]), headers, body
 
     def alive(self, number=1):
+        """The answer to a health check."""
         self.send(begin(number) + params(number, {"SCRIPT_NAME": "/alive"}) + stream(STDIN, number, b""))
         return self.answer(number)
 
@@ -151,7 +159,7 @@
         self.send(record(ABORT, number))
 
     def silent(self, seconds=0.2):
-        """Whether nothing comes for a while."""
+        """Whether nothing is received for a while."""
         self.sock.settimeout(seconds)
         try:
             return not self.sock.recv(1)
@@ -161,7 +169,7 @@
             self.sock.settimeout(5)
 
     def closed(self, seconds=3.0):
-        """Whether the other side closes in time, whatever it says before."""
+        """Whether the other side closes in time, whatever it sends before."""
         self.sock.settimeout(seconds)
         try:
             while self.sock.recv(65536):
@@ -180,34 +188,35 @@
     return record(BEGIN, number, BEGIN_BODY.pack(role, flags))
 
 
-def params(number, told):
-    content = b"".join(codec.pair(name.encode(), value.encode("latin-1")) for name, value in told.items())
+def params(number, parameters):
+    content = b"".join(codec.pair(name.encode(), value.encode("latin-1")) for name, value in parameters.items())
     return stream(PARAMS, number, content)
 
 
 def request(number=1, id_="00000000000000a1", body=b"x", type_="check", left="900", item="00000000000000f1", **more):
-    told = {"SCRIPT_NAME": f"/ops/{type_}", "HTTP_X_JOB_ID": id_, "HTTP_X_ALLOW_MS": left, "HTTP_X_ITEM": item,
-            "HTTP_X_SIZE_MS": "8.2", "HTTP_X_SPEC": "memory_mb:512;lanes:2", **more}
-    told = {name: value for name, value in told.items() if value is not None}
-    return begin(number) + params(number, told) + stream(STDIN, number, body)
+    """The records of one whole request; a parameter that is None is left out."""
+    parameters = {"SCRIPT_NAME": f"/ops/{type_}", "HTTP_X_JOB_ID": id_, "HTTP_X_ALLOW_MS": left, "HTTP_X_ITEM": item,
+                  "HTTP_X_SIZE_MS": "8.2", "HTTP_X_SPEC": "memory_mb:512;lanes:2", **more}
+    parameters = {name: value for name, value in parameters.items() if value is not None}
+    return begin(number) + params(number, parameters) + stream(STDIN, number, body)
 
 
 class Platform:
-    """A running front end; started with `with`, and everything it started is ended with it.
+    """A running front end as a context manager, which ends everything that it started.
 
-    Where the coordinator is not `answering`, it is entered as soon as its links are up."""
+    Where the coordinator is not `answering`, the context is entered as soon as the links are up."""
 
     def __init__(self, scripts=(serve,), answering=True, **changes):
         self.workers = [Worker(script) for script in scripts]
         self.coordinator = Coordinator([event(1, *(
-            instance(f"s-{n}", it.address) for n, it in enumerate(self.workers)), full=True)])
+            instance(f"s-{n}", worker.address) for n, worker in enumerate(self.workers)), full=True)])
         if not answering:
             self.coordinator.answering.clear()
             changes["known"] = {"index": 1, "updates": list(self.coordinator.events)}
         self.log = Silent()
         self.address = Address("127.0.0.1", free_port())
         self.config = parse_config(configuration(listen=str(self.address), coordinator=str(self.coordinator.address),
-                                             **changes), {}, "test")
+                                                 **changes), {}, "test")
         self.environment = {}
         self.node = Node(self.config, self.environment, self.log)
         self.running, self.clients, self.extra = None, [], []
@@ -222,17 +231,18 @@
     def __exit__(self, *_):
         for client in self.clients:
             client.close()
-        self.node.shutdown.requested_at = 1     # long ago: nothing comes any more
+        self.node.shutdown.requested_at = 1     # so long ago that no requests are waited for
         self.running.join(10)
         for server in [self.coordinator, *self.workers, *self.extra]:
             server.stop()
 
     def client(self):
-        it = Client(self.address)
-        self.clients.append(it)
-        return it
+        client = Client(self.address)
+        self.clients.append(client)
+        return client
 
     def call(self, **facts):
+        """The answer to one request on a new connection."""
         client = self.client()
         client.ask(**facts)
         return client.answer()
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Front ends of the platform as processes of their own, for tests that start several and disturb them."""
+"""Platform front ends as separate processes, for tests that start several and send them signals."""
 import json
 import os
 import sys
@@ -14,7 +14,7 @@
 
 
 class FrontEndProcess:
-    """`python -m threadshift.node` with a configuration file; ended when the context is left."""
+    """`python -m threadshift.node` with a configuration file; killed when the context is left."""
 
     def __init__(self, folder, name, **changes):
         self.address = Address("127.0.0.1", free_port())
@@ -34,6 +34,7 @@
         self.process.wait()
 
     def client(self):
+        """A new connection, as soon as the process accepts one."""
         until(self.accepts)
         return self.clients[-1]
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -327,7 +327,7 @@
             until(lambda: it.coordinator.last_event_ids == [0])
             other = Worker()
             it.extra.append(other)
-            it.coordinator.open[-1].sendall(it.coordinator.frame(event(2, instance("s-9", other.address)))[:40])
+            it.coordinator.open[-1].sendall(it.coordinator.encoded(event(2, instance("s-9", other.address)))[:40])
             it.coordinator.open[-1].shutdown(2)
             it.coordinator.events.append(event(2, instance("s-9", other.address)))
             until(lambda: "s-9" in it.node.links)
