--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of seeds that are always the same; the long one is started by hand (tests/soak.py)."""
+"""A short soak test with fixed seeds; longer ones are started by hand (tests/soak.py)."""
 import sys
 import unittest
 
@@ -7,7 +7,7 @@
 from tests.processes import ROOT
 
 FIRST_SEED, SEEDS, AT_ONCE = 1, 12, 2
-LIMIT = 240                # s; one seed takes some ten
+TIMEOUT_S = 240            # one seed takes some ten seconds
 
 
 class ShortSoak(unittest.TestCase):
@@ -15,11 +15,11 @@
     def test_no_rule_is_broken(self):
         done = subprocess.run(
             [sys.executable, "-m", "tests.soak", str(FIRST_SEED), str(SEEDS), "--at-once", str(AT_ONCE)], cwd=ROOT,
-            stdout=subprocess.PIPE, stderr=subprocess.STDOUT, timeout=LIMIT)
-        said = done.stdout.decode()
-        print(said)
-        self.assertEqual(done.returncode, 0, said)
-        self.assertEqual(said.count("seed "), SEEDS, said)
+            stdout=subprocess.PIPE, stderr=subprocess.STDOUT, timeout=TIMEOUT_S)
+        output = done.stdout.decode()
+        print(output)
+        self.assertEqual(done.returncode, 0, output)
+        self.assertEqual(output.count("seed "), SEEDS, output)
 
 
 if __name__ == "__main__":
