--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -24,32 +24,33 @@
 from tests import refusals
 if "free" not in sys.argv:
     refusals.lay()
-def tried(act):
+def error_of(call):
     try:
-        act()
+        call()
     except OSError as problem:
         return problem.errno
 done = threading.Event()
 threading.Thread(target=done.set).start()
-print(done.wait(5), tried(lambda: os.fork() or os._exit(0)), tried(lambda: socket.socket(socket.AF_UNIX)),
-      tried(lambda: subprocess.run(["true"])), tried(lambda: socket.socket(socket.AF_INET)))
+print(done.wait(5), error_of(lambda: os.fork() or os._exit(0)), error_of(lambda: socket.socket(socket.AF_UNIX)),
+      error_of(lambda: subprocess.run(["true"])), error_of(lambda: socket.socket(socket.AF_INET)))
 """
 
 
 def deployed():
+    """What the platform is told about this program."""
     return tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
 
 
-@unittest.skipUnless(platform.machine() == "x86_64", "the filter's numbers are those of x86-64")
-class Refused(unittest.TestCase):
-    """Started as the platform starts it, with what the platform refuses."""
+@unittest.skipUnless(platform.machine() == "x86_64", "the filter has the system call numbers of x86-64")
+class SystemCallFilter(unittest.TestCase):
+    """A front end started as the platform starts it, under the system calls that the platform refuses."""
 
     def test_the_filter_refuses_what_it_names_and_nothing_else(self):
-        for words, told in (([], "True 38 1 38 None"), (["free"], "True None None None None")):
-            out = subprocess.run([sys.executable, "-c", PROBES, *words], cwd=ROOT, capture_output=True, text=True)
-            self.assertEqual((out.stdout.strip(), out.stderr), (told, ""))
+        for arguments, expected in (([], "True 38 1 38 None"), (["free"], "True None None None None")):
+            out = subprocess.run([sys.executable, "-c", PROBES, *arguments], cwd=ROOT, capture_output=True, text=True)
+            self.assertEqual((out.stdout.strip(), out.stderr), (expected, ""))
 
-    def test_it_starts_serves_and_leaves(self):
+    def test_it_starts_serves_and_ends(self):
         worker = Worker()
         coordinator = Coordinator([event(1, instance("s-0", worker.address), full=True)])
         address = Address("127.0.0.1", free_port())
@@ -66,8 +67,8 @@
                 self.assertIn("libc.so", loaded)                # dynamically linked
                 child.send_signal(signal.SIGTERM)
                 self.assertEqual(child.wait(10), 0)
-                said = [json.loads(line)["event"] for line in child.stderr.read().splitlines()]
-                self.assertEqual((said[0], said[-1]), ("started", "ended"))
+                events = [json.loads(line)["event"] for line in child.stderr.read().splitlines()]
+                self.assertEqual((events[0], events[-1]), ("started", "ended"))
             finally:
                 if child.poll() is None:
                     child.kill()
@@ -95,15 +96,15 @@
 
 
 class Deployed(unittest.TestCase):
-    def test_run_ends_by_exec_and_build_is_pinned_whole(self):
-        told = deployed()
-        self.assertTrue(told["run"].startswith("exec .venv/bin/python "))
+    def test_the_run_command_uses_exec_and_every_dependency_is_pinned(self):
+        settings = deployed()
+        self.assertTrue(settings["run"].startswith("exec .venv/bin/python "))
         pinned = dict(line.split("==") for line in (ROOT / "requirements.txt").read_text().splitlines()
                       if not line.startswith("#"))
-        wanted = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]["dependencies"]
-        self.assertLessEqual({each.split(">=")[0] for each in wanted}, set(pinned))
+        required = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]["dependencies"]
+        self.assertLessEqual({each.split(">=")[0] for each in required}, set(pinned))
 
-    def test_what_the_platform_refuses_is_not_loaded(self):
+    def test_packages_that_only_the_gateway_needs_are_not_loaded(self):
         program = ("import sys, threadshift.node.start, threadshift.node.front; print([name for name in sys.modules "
                    "if name.split('.')[:2] in [['threadshift', each] for each in "
                    "('bgp', 'peers', 'consensus', 'batches', 'eviction', 'rollout', 'storage', 'standins', 'packs', "
@@ -113,10 +114,10 @@
 
 
 class Imports(unittest.TestCase):
-    def test_no_circle(self):
+    def test_there_is_no_import_cycle(self):
         paths = {".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): path
                  for path in (ROOT / "threadshift").rglob("*.py")}
-        wanted = {name: {each for node in ast.walk(ast.parse(path.read_text())) if isinstance(node, ast.ImportFrom)
-                         for each in (node.module, *(f"{node.module}.{part.name}" for part in node.names))
-                         if each in paths and each != name} for name, path in paths.items()}
-        self.assertEqual(set(graphlib.TopologicalSorter(wanted).static_order()), set(paths))
+        imported = {name: {each for node in ast.walk(ast.parse(path.read_text())) if isinstance(node, ast.ImportFrom)
+                           for each in (node.module, *(f"{node.module}.{part.name}" for part in node.names))
+                           if each in paths and each != name} for name, path in paths.items()}
+        self.assertEqual(set(graphlib.TopologicalSorter(imported).static_order()), set(paths))
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -1,6 +1,6 @@
-"""A process that is stopped by a signal and goes on: what came meanwhile has waited, and its clients may be gone.
+"""A front end that is stopped by SIGSTOP and continued: input has waited unread, and its clients may have left.
 
-After a stop an epoll_wait that was under way ends with EINTR and no events, whatever has arrived (signal(7)).
+After a stop, an interrupted epoll_wait returns EINTR without events, whatever has arrived (signal(7)).
 """
 import signal
 import tempfile
@@ -19,9 +19,9 @@
 from threadshift.invoke import looks
 
 LEFT_MS, STOPPED_MS = 900, 400
-SLACK_MS = 150             # that the users' terms give to the time passed on
+TOLERANCE_MS = 150         # that the protocol allows on the time left that is stated to a worker
 STOPS = 6
-SHORT_MS = 200.0
+SHORT_TIMEOUT_MS = 200.0
 
 
 class StoppedWhileItWaits(unittest.TestCase):
@@ -38,8 +38,8 @@
         self.client = self.front_end.client()
         until(lambda: self.client.alive()[0] == 200)
 
-    def stopped(self, act):
-        """Stops the process while it waits, lets act() happen, and lets it go on."""
+    def while_stopped(self, act):
+        """Stops the process while it waits for input, calls act(), and continues the process."""
         gevent.sleep(0.05)
         self.front_end.process.send_signal(signal.SIGSTOP)
         gevent.sleep(0.01)
@@ -47,37 +47,37 @@
         gevent.sleep(STOPPED_MS / 1_000)
         self.front_end.process.send_signal(signal.SIGCONT)
 
-    def test_the_time_passed_on_counts_the_stop(self):
-        # Stop after stop looks like a processor at its limit, so some are refused.
+    def test_the_time_left_that_workers_receive_excludes_the_stop(self):
+        # Repeated stops look like an overloaded process, so some requests are refused.
         statuses = []
         for number in range(1, STOPS + 1):
-            self.stopped(lambda number=number: self.client.ask(number, id_=f"{number:016x}", left=str(LEFT_MS)))
+            self.while_stopped(lambda number=number: self.client.ask(number, id_=f"{number:016x}", left=str(LEFT_MS)))
             statuses.append(self.client.answer(number)[0])
         passed_on = [int(it.fields["wait"]) for it in self.worker.frames_with(INVOKE)]
         self.assertEqual(set(statuses) - {503}, {200})
         self.assertEqual(len(passed_on), statuses.count(200))
-        self.assertLessEqual(max(passed_on), LEFT_MS - STOPPED_MS + SLACK_MS)
+        self.assertLessEqual(max(passed_on), LEFT_MS - STOPPED_MS + TOLERANCE_MS)
 
-    def test_nothing_is_sent_for_clients_that_left_during_the_stop(self):
-        def ask_and_leave(id_):
+    def test_nothing_is_sent_for_clients_that_aborted_during_the_stop(self):
+        def ask_and_abort(id_):
             self.client.ask(1, id_=id_, left=str(LEFT_MS))
             self.client.abort(1)
 
         for number in range(1, STOPS + 1):
-            self.stopped(lambda number=number: ask_and_leave(f"{number:016x}"))
+            self.while_stopped(lambda number=number: ask_and_abort(f"{number:016x}"))
             self.assertEqual(self.client.alive(2)[0], 200)
         self.assertEqual(self.worker.frames_with(INVOKE), [])
 
 
-class TimeThatEndedMeanwhile(unittest.TestCase):
-    """A request whose time ends between the decision and the first byte: the process was stopped just there."""
+class TimeUpBeforeTheFirstByte(unittest.TestCase):
+    """A request whose time ends between the decision to send and the first byte, since the process was stopped."""
 
     def test_nothing_of_it_is_written(self):
         with Platform() as it:
             held = Held(it.node.desk, "00000000000000d1", Call("check", "00000000000000f1", 0), 0, deadline=1)
             link = it.node.links["s-0"]
             with mock.patch.dict(it.node.links, {"s-0": mock.Mock()}):
-                self.assertEqual(it.node.send("s-0", held, 0), Outcome.MOOT)     # whatever the link looks at
+                self.assertEqual(it.node.send("s-0", held, 0), Outcome.MOOT)     # whatever the link would check
             id_ = bytes.fromhex(held.ivk)
             self.assertEqual(link.place(id_, (held, 0), request_now(id_, held)), Outcome.MOOT)
             self.assertEqual(it.call()[0], 200)
@@ -86,12 +86,12 @@
 
 class SignalsInSeries(unittest.TestCase):
 
-    def test_further_signals_until_the_end_do_not_end_it_otherwise(self):
+    def test_further_signals_do_not_change_how_the_process_ends(self):
         coordinator = Coordinator([event(1, full=True)])
         self.addCleanup(coordinator.stop)
         settings = configuration()["settings"]
         for lane in settings["lanes"]:
-            lane["giveUp"] = SHORT_MS
+            lane["giveUp"] = SHORT_TIMEOUT_MS
         folder = self.enterContext(tempfile.TemporaryDirectory())
         front_end = self.enterContext(FrontEndProcess(
             folder, "n0", coordinator=str(coordinator.address), settings=settings))
