--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -1,4 +1,4 @@
-"""Floods and storms through the real code: sockets and stand-ins, and the whole program on the emulator's clock."""
+"""Overload and retry storms: over sockets with stand-ins, and with the whole program on the emulator's clock."""
 import json
 import re
 import tempfile
@@ -29,9 +29,9 @@
     "quits 2%", "")
 
 
-class OthersAreServed(unittest.TestCase):
-    def test_one_tenant_cannot_take_all_places_nor_the_waiting_list(self):
-        """Before: 20 calls of one tenant that hang, and everybody else got 503; 10 deferred ones, and 429."""
+class FairShares(unittest.TestCase):
+    def test_one_tenant_cannot_take_all_places_nor_all_deferred_calls(self):
+        """Without shares, 20 hanging calls of one tenant made all others get 503, and 10 deferred ones 429."""
         with Live(bounds="activations 20\ndeferred 10", extra=TENANTS, cores=64) as live:
             live.call("f", tenant="b")
             for prefer, most in ((None, 20), ("respond-async", 10)):
@@ -41,7 +41,7 @@
                 self.assertLess(live.front.api.places.held["a"], 20)
                 headers["tenant"] = "b"
                 reply = live.call("f", time_left="900", **headers)
-                self.assertNotIn(b"too-many", reply.body, (prefer, most))       # it was let in
+                self.assertNotIn(b"too-many", reply.body, (prefer, most))       # it was admitted
                 self.assertIn("activation", reply.headers)
                 gevent.joinall(jobs)
                 refused = [job.value for job in jobs if job.value.status in (429, 503)]
@@ -52,14 +52,14 @@
             told = live.log.of("turned-away")
             self.assertTrue(any(each["reason"].startswith("too-many") and each["tenants"].get("a") for each in told))
 
-    def test_silent_connections_make_room_and_operators_are_never_locked_out(self):
-        """Before: who held all connections kept clients and operators out for `bounds idle`."""
+    def test_silent_connections_are_closed_and_operators_can_always_connect(self):
+        """Otherwise a client that holds all connections keeps others and operators out for `bounds idle`."""
         admin = free_port()
         live = Live(bounds="connections 30\nidle 30s", extra=f"admin 127.0.0.1:{admin}")
         with live:
             held = [socket.create_connection(("127.0.0.1", live.port)) for _ in range(30)]
             until(lambda: len(live.front.connections) >= 30)
-            self.assertEqual(live.call("f").status, 503)        # none has been silent for long
+            self.assertEqual(live.call("f").status, 503)        # none has been silent for long enough
             with closing(Client(Address("127.0.0.1", admin))) as operator:
                 self.assertEqual(operator.ask("GET", "/v1/status").status, 200)
             gevent.sleep(1.1)
@@ -68,7 +68,7 @@
             for sock in held:
                 sock.close()
 
-    def test_asking_for_the_status_without_end_renders_it_now_and_then(self):
+    def test_a_flood_of_status_requests_renders_the_status_rarely(self):
         with Live() as live, closing(live.client()) as client:
             rendered, status = [], live.front.api.status
             live.front.api.status = lambda: rendered.append(1) or status()
@@ -78,10 +78,10 @@
 
 
 class Sends(unittest.TestCase):
-    """Repetitions over all layers: what reaches workers for each first try of a client."""
+    """Retries of all layers: how many sends reach workers for each first attempt of a client."""
 
     def sends(self, trouble, seed, policy=Dispatcher):
-        """Over the whole day, and in its worst two seconds."""
+        """Sends for each first attempt: over the whole run, and in its worst two seconds."""
         it = Emulation(read_text(BUSY + trouble, seed=seed), seed, policy)
         it.run()
         seen = it.seen()
@@ -92,24 +92,24 @@
                     for begin, end in spans)
         return len(sent) / len(firsts), worst
 
-    def test_a_bound_in_the_worst_stretch(self):
-        """Clients come back twice, so three tries; each may be sent four times. Measured: 2.6 at the worst."""
+    def test_sends_are_bounded_in_the_worst_stretch(self):
+        """A client makes up to three attempts of up to four sends each; 2.6 sends a first attempt is the worst seen."""
         for name, trouble in STORMS.items():
             for seed in (1, 2):
-                whole, worst = self.sends(trouble, seed)
-                self.assertLess(whole, 2.0, (name, seed))
+                overall, worst = self.sends(trouble, seed)
+                self.assertLess(overall, 2.0, (name, seed))
                 self.assertLess(worst, 5.0, (name, seed))
-        whole, worst = self.sends("", 1)
+        overall, worst = self.sends("", 1)
         self.assertLess(worst, 1.2)
 
-    def test_without_the_budget_of_further_sends_the_bound_is_passed(self):
+    def test_without_the_retry_budget_the_bound_is_exceeded(self):
         class Unbounded(Dispatcher):
             budget = property(lambda self: 1e9, lambda self, value: None)
         _, worst = self.sends(STORMS["hang"], 1, Unbounded)
         self.assertGreater(worst, 6)
 
-    def test_a_fleet_that_is_full_gets_few_sends_a_call(self):
-        """Over sockets: workers that hold two calls each and turn away the rest."""
+    def test_a_full_fleet_receives_few_sends_for_each_call(self):
+        """Over sockets, with workers that run two calls each and refuse the rest."""
         with tempfile.TemporaryDirectory() as folder:
             with Live(workers=4, records=folder, work_ms=30, most=2) as live:
                 jobs = []
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -29,16 +29,16 @@
 
 
 class Changes(unittest.TestCase):
-    def test_each_change_and_what_is_written_reads_the_same(self):
-        told = tomllib.loads(SITE)
+    def test_each_kind_of_change_and_that_the_written_file_reads_back_the_same(self):
+        original = tomllib.loads(SITE)
         site = make.changed('name = "two"   # a comment\n\ncopy class.0\nclass.2.name = "c"\ndrop class.1\n'
                             'fam.class.0.lanes = [4]\nday.length_s = 5', tomllib.loads(SITE))
         self.assertEqual(site, {"name": "two", "day": {"length_s": 5}, "class": [
             {"name": "a", "share": 1}, {"name": "c", "share": 1}], "fam": {"keep_s": 3, "class": [{"lanes": [4]}]}})
         self.assertEqual(tomllib.loads(make.written(site)), site)
-        self.assertEqual(tomllib.loads(make.written(told)), told)
+        self.assertEqual(tomllib.loads(make.written(original)), original)
 
-    def test_what_names_no_entry_is_refused_with_its_line(self):
+    def test_a_change_of_an_unknown_entry_is_refused_with_its_line(self):
         for line, words in (("nane = 1", "nane"), ("class.2.name = 1", "class.2.name"),
                             ("class.0.effect = 1", "effect"), ("drop class.9", "class.9"),
                             ("copy fam", "no entry of a list"), ("name", "wanted"),
@@ -57,13 +57,13 @@
             self.assertEqual((out.returncode, out.stdout), (1, ""))
             self.assertIn("line 1: nothing: the site has no such entry", out.stderr)
             self.assertNotIn("Traceback", out.stderr)
-            changes.write_text('name = "two"')      # the files that have to lie beside a site do not
+            changes.write_text('name = "two"')      # the files that a site needs beside it are missing
             out = subprocess.run([sys.executable, FOLDER / "make.py", changes, site], capture_output=True, text=True)
             self.assertEqual((out.returncode, out.stdout, (FOLDER / "made/x").exists()), (1, "", False))
             self.assertIn("wire.json", out.stderr)
             self.assertNotIn("Traceback", out.stderr)
 
-    def test_the_variants_are_lists_of_such_changes(self):
+    def test_the_files_of_changes_have_only_such_lines(self):
         for path in FOLDER.glob("*.changes"):
             for line in path.read_text().splitlines():
                 self.assertRegex(line, r"^(#.*|(copy|drop) [a-z_.0-9]+|[a-z_.0-9]+ = .+|)$")
