--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -48,30 +48,30 @@
                         + name + value for name, value in told)
         self.assertEqual(pairs(long), told)
 
-    def test_an_answer_longer_than_a_record_is_several(self):
+    def test_an_answer_longer_than_a_record_takes_several_records(self):
         body = bytes(range(256)) * 600
         got = list(Records().feed(codec.response(7, body)))
         self.assertEqual(b"".join(content for kind, _, content in got if kind == codec.STDOUT), body)
         self.assertEqual([kind for kind, _, content in got if not content], [codec.STDOUT])
         self.assertEqual(got[-1][0], codec.END)
 
-    def test_values_are_told_once_each_and_only_known_ones(self):
-        asked = pair(b"FCGI_MAX_REQS", b"") * 2 + pair(b"OTHER", b"")
-        self.assertEqual(pairs(codec.values(asked, 9, 32)[8:]), [(b"FCGI_MAX_REQS", b"32")])
+    def test_each_known_value_is_answered_once_and_no_other(self):
+        query = pair(b"FCGI_MAX_REQS", b"") * 2 + pair(b"OTHER", b"")
+        self.assertEqual(pairs(codec.values(query, 9, 32)[8:]), [(b"FCGI_MAX_REQS", b"32")])
 
 
-class Reading(unittest.TestCase):
-    def test_a_request_as_a_call(self):
-        told = GOOD | {b"HTTP_X_AGAIN": "1", b"HTTP_X_SIZE_MS": "8.2", b"CONTENT_LENGTH": "2",
-                       b"HTTP_X_SPEC": "memory_mb:512;lanes:2;load_ms:300.5"}
-        ivk, call = requests.parse_request(told, b"hi", NAMES)
+class Parsing(unittest.TestCase):
+    def test_a_request_becomes_a_call(self):
+        parameters = GOOD | {b"HTTP_X_AGAIN": "1", b"HTTP_X_SIZE_MS": "8.2", b"CONTENT_LENGTH": "2",
+                             b"HTTP_X_SPEC": "memory_mb:512;lanes:2;load_ms:300.5"}
+        ivk, call = requests.parse_request(parameters, b"hi", NAMES)
         self.assertEqual((ivk, call.type, call.function, call.body), (GOOD[b"HTTP_X_JOB_ID"], "repeatable",
                                                                       GOOD[b"HTTP_X_ITEM"], b"hi"))
         self.assertEqual((call.left, call.work, call.lanes, call.load_time, call.again),
                          (1500 * MS, 8_200_000, 2, 300_500_000, True))
         self.assertEqual(requests.parse_request(GOOD, b"", NAMES).call.lanes, 1)
 
-    def test_what_cannot_be_used_is_refused(self):
+    def test_invalid_parameters_are_refused(self):
         cases = [(name, None) for name in GOOD] + [
             (b"SCRIPT_NAME", "/ops/dance"), (b"SCRIPT_NAME", "repeatable"), (b"SCRIPT_NAME", "/ops/"),
             (b"HTTP_X_JOB_ID", "9b1f"), (b"HTTP_X_JOB_ID", "9B1F03AA5C7E2D41"), (b"HTTP_X_JOB_ID", "g" * 16),
@@ -85,18 +85,18 @@
         cases += [(b"HTTP_X_ALLOW_MS", text) for text in (
             "0", "-5", "nan", "inf", "1e300", "abc", "", "5001", "9" * 400, "1500 ", "0x10", "\u0661")]
         for name, value in cases:
-            told = {each: text for each, text in (GOOD | {name: value}).items() if text is not None}
+            parameters = {each: text for each, text in (GOOD | {name: value}).items() if text is not None}
             with self.assertRaises(InvalidRequest, msg=(name, value)) as caught:
-                requests.parse_request(told, b"hi", NAMES)
+                requests.parse_request(parameters, b"hi", NAMES)
             self.assertIn(caught.exception.status, (400, 404))
 
-    def test_a_parameter_that_counts_stands_once(self):
+    def test_a_used_parameter_may_not_be_repeated(self):
         with self.assertRaises(InvalidRequest):
             requests.parse_parameters(pair(b"HTTP_X_ITEM", b"a") * 2)
         self.assertEqual(requests.parse_parameters(pair(b"A", b"") * 2 + pair(b"HTTP_X_ITEM", b"\xff")),
                          {b"HTTP_X_ITEM": "\xff"})
 
-    def test_finals_as_they_go_out(self):
+    def test_responses_that_carry_final_answers(self):
         self.assertEqual(requests.final_response(Answer(Final.COMPLETED, "completed", b"\x00b"))[-3:], b"\n\x00b")
         self.assertIn(b"Status: 503", requests.final_response(Answer(Final.REJECTED, "no-room", come_back=250 * MS)))
         self.assertIn(b"X-Wait-Ms: 250\r\n",
@@ -104,7 +104,7 @@
         self.assertNotIn(b"X-Wait-Ms", requests.final_response(Answer(Final.REJECTED, "no-room")))
         self.assertIn(b"Status: 502", requests.final_response(Answer(Final.ABORTED, "time-up")))
 
-    def test_helpers_say_what_the_codec_reads(self):
+    def test_helpers_of_the_tests_encode_what_the_codec_decodes(self):
         kinds = [kind for kind, _, _ in Records().feed(request())]
         self.assertEqual(kinds, [BEGIN, PARAMS, PARAMS, STDIN, STDIN])
         self.assertEqual(list(Records().feed(begin() + params(1, {}) + stream(STDIN, 1, b"")))[1:],
@@ -112,29 +112,30 @@
         self.assertEqual(record(STDIN, 1), stream(STDIN, 1, b""))
 
 
-class Room(unittest.TestCase):
-    class Kept:
+class ConnectionEviction(unittest.TestCase):
+    class Connection:
         def __init__(self, accepted=0, active=0, offences=0, answered=False, busy=False):
             self.accepted, self.active, self.offences = accepted, active, offences
             self.answered, self.busy = answered, busy
 
-    def test_silent_ones_and_offenders_make_room_first(self):
+    def test_silent_connections_and_offenders_are_closed_first(self):
         now = 10 * SECOND
-        asked = self.Kept(answered=True, active=now - 2 * SECOND)
-        silent = self.Kept(active=now - 30 * MS)
-        offender = self.Kept(answered=True, offences=1, active=now - 40 * MS)
-        lately = self.Kept(answered=True, active=now - SECOND // 2)
-        kept = [lately, asked, silent, offender, self.Kept(busy=True), self.Kept(active=now)]
-        self.assertEqual(connection_eviction.candidates(kept, now), [offender, silent, asked, lately])
-
-    def test_whoever_had_no_answer_is_not_kept_for_three_seconds(self):
-        for it in (self.Kept(active=2 * SECOND), self.Kept(active=2 * SECOND, answered=True, offences=1)):
-            self.assertGreater(connection_eviction.remaining_idle_time(it, SECOND), 0)
-            self.assertLessEqual(connection_eviction.remaining_idle_time(it, 2 * SECOND), 0)
+        older = self.Connection(answered=True, active=now - 2 * SECOND)
+        silent = self.Connection(active=now - 30 * MS)
+        offender = self.Connection(answered=True, offences=1, active=now - 40 * MS)
+        recent = self.Connection(answered=True, active=now - SECOND // 2)
+        connections = [recent, older, silent, offender, self.Connection(busy=True), self.Connection(active=now)]
+        self.assertEqual(connection_eviction.candidates(connections, now), [offender, silent, older, recent])
+
+    def test_a_connection_without_an_answer_is_closed_within_three_seconds(self):
+        for connection in (self.Connection(active=2 * SECOND),
+                           self.Connection(active=2 * SECOND, answered=True, offences=1)):
+            self.assertGreater(connection_eviction.remaining_idle_time(connection, SECOND), 0)
+            self.assertLessEqual(connection_eviction.remaining_idle_time(connection, 2 * SECOND), 0)
         self.assertGreater(connection_eviction.remaining_idle_time(
-            self.Kept(answered=True, active=2 * SECOND), 7 * SECOND), 0)
+            self.Connection(answered=True, active=2 * SECOND), 7 * SECOND), 0)
 
-    def test_pauses_grow_to_a_limit(self):
+    def test_read_pauses_grow_to_a_limit(self):
         pauses = [connection_eviction.read_pause(n) for n in range(40)]
         self.assertEqual(pauses[0], 0)
         self.assertEqual(pauses, sorted(pauses))
