--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -28,22 +28,22 @@
 
 
 def answers(code, fields="", body=b"", after=b""):
-    """A worker that answers calls so."""
-    def script(worker, sock, it):
-        if it.code == INVOKE:
-            sock.sendall(encode(code, it.id, fields, body, FROM_WORKER) + after)
+    """The script of a worker that answers every call with this code."""
+    def script(worker, sock, frame):
+        if frame.code == INVOKE:
+            sock.sendall(encode(code, frame.id, fields, body, FROM_WORKER) + after)
     return script
 
 
 def raw(make):
-    """A worker that answers each call with these bytes."""
-    def script(worker, sock, it):
-        if it.code == INVOKE:
-            sock.sendall(make(it))
+    """The script of a worker that answers each call with the bytes that make() returns."""
+    def script(worker, sock, frame):
+        if frame.code == INVOKE:
+            sock.sendall(make(frame))
     return script
 
 
-def silent(worker, sock, it):
+def silent(worker, sock, frame):
     pass
 
 
@@ -58,10 +58,10 @@
             self.assertLess(int(frame.fields["wait"]), 901)
             self.assertEqual(it.call(id_="00000000000000a2", body=b"")[0], 200)
 
-    def test_many_at_once_on_one_connection_in_any_order_of_answers(self):
-        def late(worker, sock, it):
-            if it.code == INVOKE:
-                gevent.spawn_later(0.002 * (32 - it.body[0]), serve, worker, sock, it)
+    def test_many_requests_on_one_connection_are_answered_in_any_order(self):
+        def late(worker, sock, frame):
+            if frame.code == INVOKE:
+                gevent.spawn_later(0.002 * (32 - frame.body[0]), serve, worker, sock, frame)
         with Platform([late, late]) as it:
             client = it.client()
             data = b"".join(request(n + 1, f"{n:016x}", bytes((n,)), HTTP_X_SPEC="lanes:64") for n in range(32))
@@ -72,7 +72,7 @@
             client.ask(1, "00000000000000ff")       # the number is free again
             self.assertEqual(client.answer(1)[0], 200)
 
-    def test_alive_is_told_while_it_can_serve(self):
+    def test_the_health_check_succeeds_while_it_can_serve(self):
         with Platform() as it:
             def alive():
                 return it.client().alive()[0]
@@ -84,18 +84,18 @@
             client.send(begin() + params(1, {"SCRIPT_NAME": "/alive"}) + stream(STDIN, 1, b""))
             self.assertEqual(client.answer()[0], 503)
 
-    def test_ends_as_they_go_to_clients(self):
-        for script, type_, wanted in (
+    def test_outcomes_of_sends_as_statuses_to_clients(self):
+        for script, type_, expected in (
                 (answers(OK, "how=init,stats=inflight:7;util:0.6", b"r"), "submit", 200),
                 (answers(ERROR), "submit", 502), (answers(FULL), "submit", 503),
                 (answers(MISS, "how=init_error"), "submit", 503),
                 (answers(OVER), "submit", 503), (answers(ERROR), "check", 503)):
             with Platform([script]) as it:
                 status, headers, _ = it.call(type_=type_, left="300")
-                self.assertEqual(status, wanted)
+                self.assertEqual(status, expected)
                 self.assertEqual("X-Wait-Ms" in headers, status == 503)
 
-    def test_a_client_that_leaves_has_its_call_given_up(self):
+    def test_the_call_of_a_client_that_leaves_is_cancelled(self):
         with Platform([silent]) as it:
             client = it.client()
             client.ask()
@@ -103,27 +103,27 @@
             client.abort()
             until(lambda: it.workers[0].frames_with(GIVE_UP))
             self.assertEqual(it.workers[0].frames_with(GIVE_UP)[0].id.hex(), A)
-            # Under the same number, the next one gets its own answer and nothing of the old one's.
+            # The next request with the same FastCGI id gets its own answer and nothing of the old one.
             it.workers[0].script = serve
             client.ask(id_="00000000000000a2", body=b"new")
             self.assertEqual(client.answer()[2], b"did new")
             self.assertTrue(client.silent())
 
-    def test_a_send_whose_time_is_up_is_given_up_and_answered_before(self):
+    def test_a_send_whose_time_is_up_is_cancelled_and_its_call_answered(self):
         with Platform([silent]) as it:
             self.assertEqual(it.call(type_="submit", left="80")[0], 502)
             until(lambda: it.workers[0].frames_with(GIVE_UP))
             until(lambda: not it.node.desk.held)
             self.assertFalse(it.node.links["s-0"].ways)
 
-    def test_an_answer_that_crosses_its_end_is_not_the_next_sends(self):
-        # A second copy of a 'full' would end the send after it as never run.
-        def script(worker, sock, it):
-            if it.code == INVOKE and not worker.frames_with(INVOKE)[1:]:
-                sock.sendall(encode(FULL, it.id, mark=FROM_WORKER))
-                gevent.spawn_later(0.03, sock.sendall, encode(FULL, it.id, mark=FROM_WORKER))
-            elif it.code == INVOKE:
-                gevent.spawn_later(0.1, serve, worker, sock, it)
+    def test_a_late_duplicate_answer_does_not_end_the_next_send(self):
+        # A second 'full' for the first send must not end the send after it as one that never ran.
+        def script(worker, sock, frame):
+            if frame.code == INVOKE and not worker.frames_with(INVOKE)[1:]:
+                sock.sendall(encode(FULL, frame.id, mark=FROM_WORKER))
+                gevent.spawn_later(0.03, sock.sendall, encode(FULL, frame.id, mark=FROM_WORKER))
+            elif frame.code == INVOKE:
+                gevent.spawn_later(0.1, serve, worker, sock, frame)
         with Platform([script]) as it:
             link, ends = it.node.links["s-0"], []
             call = Of(type="submit", function="00000000000000f1", body=b"x", mark="")
@@ -137,7 +137,7 @@
 
 
 class BadClients(unittest.TestCase):
-    def test_each_is_refused_in_time_and_none_reaches_a_worker(self):
+    def test_invalid_input_is_refused_in_time_and_never_reaches_a_worker(self):
         good = request()
         cases = {
             "noise": b"\xff" * 100, "version": b"\x02" + good[1:], "begin too short": record(1, 1, b"x"),
@@ -168,7 +168,7 @@
             self.assertEqual(it.workers[0].frames_with(INVOKE), [])
             self.assertEqual(it.call()[0], 200)
 
-    def test_sixty_megabytes_are_neither_kept_nor_waited_for(self):
+    def test_a_body_of_sixty_megabytes_is_neither_stored_nor_read_to_its_end(self):
         with Platform() as it:
             client = it.client()
             client.send(begin() + params(1, {"SCRIPT_NAME": "/ops/check"}) + record(STDIN, 1, bytes(60_000)))
@@ -180,9 +180,9 @@
                 pass
             self.assertTrue(client.closed())
 
-    def test_the_second_use_of_an_open_id_touches_nothing_of_the_first(self):
-        def late(worker, sock, it):
-            gevent.spawn_later(0.1, serve, worker, sock, it)
+    def test_a_second_request_with_an_open_id_does_not_affect_the_first(self):
+        def late(worker, sock, frame):
+            gevent.spawn_later(0.1, serve, worker, sock, frame)
         with Platform([late]) as it:
             first, second = it.client(), it.client()
             first.ask(body=b"one")
@@ -192,9 +192,9 @@
             self.assertEqual(first.answer()[2], b"did one")
             self.assertEqual(len(it.workers[0].frames_with(INVOKE)), 1)
 
-    def test_more_than_may_be_open_are_refused_and_the_rest_is_served(self):
-        def late(worker, sock, it):
-            gevent.spawn_later(0.1, serve, worker, sock, it)
+    def test_requests_above_the_limit_of_a_connection_are_refused_and_the_rest_served(self):
+        def late(worker, sock, frame):
+            gevent.spawn_later(0.1, serve, worker, sock, frame)
         with Platform([late]) as it:
             client = it.client()
             client.send(b"".join(request(n + 1, f"{n:016x}", HTTP_X_SPEC="lanes:64") for n in range(40)))
@@ -209,52 +209,51 @@
             client.send(record(77, 0, b"x"))
             self.assertEqual(client.sock.recv(100)[1], 11)
 
-    def test_silent_connections_make_room_for_who_asks(self):
+    def test_silent_connections_are_closed_for_new_ones(self):
         with Platform(limits={"cores": 1.0, "memory_mb": 96, "sockets": 32}) as it:
             quiet = [it.client() for _ in range(it.node.listener.max_connections())]
             until(lambda: len(it.node.listener.connections) == len(quiet))
             gevent.sleep(0.03)
             self.assertEqual(it.call()[0], 200)
 
-
-    def test_connections_that_were_answered_make_room_but_not_with_a_request_unread(self):
-        # Found by an incident: requests read from connections that had been closed to make room were lost.
+    def test_answered_connections_are_closed_unless_a_request_lies_unread_on_them(self):
+        # A request that is read from a connection after it was closed to make room cannot be answered.
         with Platform(limits={"cores": 1.0, "memory_mb": 96, "sockets": 32}) as it:
-            most, firm = it.node.listener.max_connections(), it.node.descriptors.reserved_for_clients
-            for n in range(2 * most):
+            max_connections, reserved = it.node.listener.max_connections(), it.node.descriptors.reserved_for_clients
+            for n in range(2 * max_connections):
                 self.assertEqual(it.call(id_=f"{n:016x}")[0], 200)
-                gevent.sleep(connection_eviction.ACTIVITY_GRACE / SECOND if n >= firm - 1 else 0)
-            self.assertLessEqual(len(it.node.listener.connections), most)
-            asked = it.clients[-1]
-            held = next(iter(it.node.listener.connections - {
+                gevent.sleep(connection_eviction.ACTIVITY_GRACE / SECOND if n >= reserved - 1 else 0)
+            self.assertLessEqual(len(it.node.listener.connections), max_connections)
+            client = it.clients[-1]
+            connection = next(iter(it.node.listener.connections - {
                 each for each in it.node.listener.connections
-                if each.sock.getpeername() != asked.sock.getsockname()}))
-            asked.ask(id_="00000000000000ff")
-            self.assertFalse(held.end())
-            self.assertEqual(asked.answer()[0], 200)
-            self.assertTrue(held.end())
+                if each.sock.getpeername() != client.sock.getsockname()}))
+            client.ask(id_="00000000000000ff")
+            self.assertFalse(connection.end())
+            self.assertEqual(client.answer()[0], 200)
+            self.assertTrue(connection.end())
 
 
 class BadWorkers(unittest.TestCase):
-    def test_what_cannot_be_trusted_is_never_served(self):
+    def test_an_invalid_answer_is_never_served(self):
         good = encode(OK, bytes.fromhex(A), "how=reused", b"right", FROM_WORKER)
         cases = {"noise": b"\x07" * 40, "check": good[:-1] + bytes((good[-1] ^ 1,)), "mark": b"\x01" + good[1:],
                  "code": good[:1] + b"\x63" + good[2:],
                  "fields": encode(OK, bytes.fromhex(A), "how", b"", FROM_WORKER), "3 GB": HEAD_OF_3_GB,
                  "cut off": good[:-3]}
         for name, data in cases.items():
-            def script(worker, sock, it, data=data, name=name):
-                if it.code == INVOKE:
+            def script(worker, sock, frame, data=data, name=name):
+                if frame.code == INVOKE:
                     sock.sendall(data)
                     if name == "cut off":
                         sock.close()
             with Platform([script]) as it:
-                # It may have run, so a once-only call is neither sent again nor rejected.
+                # The call may have run, so a once-only one is neither sent again nor rejected.
                 self.assertEqual(it.call(type_="submit")[0], 502, name)
                 self.assertEqual(len(it.workers[0].frames_with(INVOKE)), 1, name)
                 until(lambda it=it: it.log.of("link-broke"))
 
-    def test_more_than_belongs_to_an_answer_is_dropped(self):
+    def test_answers_without_a_send_are_dropped(self):
         for make in (lambda it: encode(OK, bytes(8), "", b"whose", FROM_WORKER) + encode(
                         OK, it.id, "", b"right", FROM_WORKER),
                      lambda it: encode(OK, it.id, "", b"right", FROM_WORKER) * 2):
@@ -263,35 +262,35 @@
                 self.assertEqual(it.call(id_="00000000000000a2")[2], b"right")
                 self.assertEqual(it.log.of("link-broke"), [])
 
-    def test_a_good_answer_ahead_of_a_spoilt_one_is_served(self):
+    def test_a_valid_answer_before_an_invalid_one_is_served(self):
         with Platform([raw(lambda it: encode(OK, it.id, "", b"right", FROM_WORKER) + b"\x09" * 30)]) as it:
             self.assertEqual(it.call()[2], b"right")
             until(lambda: it.log.of("link-broke"))
 
-    def test_a_break_under_a_once_only_call_is_its_end_and_a_repeatable_one_goes_on(self):
-        def reset(worker, sock, it):
-            if it.code == INVOKE:
+    def test_a_reset_ends_a_once_only_call_and_a_repeatable_one_is_sent_again(self):
+        def reset(worker, sock, frame):
+            if frame.code == INVOKE:
                 sock.close()
         with Platform([reset, reset, serve]) as it:
             self.assertIn(it.call(type_="submit", item="00000000000000f3")[0], (200, 502))
             self.assertEqual(sum(len(worker.frames_with(INVOKE)) for worker in it.workers), 1)
             self.assertIn(it.call(id_="00000000000000a2")[0], (200, 503))
 
-    def test_a_worker_that_is_gone_is_never_run_on(self):
+    def test_nothing_runs_on_a_worker_that_is_gone(self):
         with Platform([serve]) as it:
             it.workers[0].stop()
             until(lambda: not it.node.links["s-0"].up)
             self.assertEqual(it.call(type_="submit", left="300")[0], 503)
 
-    def test_an_idle_connection_that_was_closed_is_not_written_on(self):
+    def test_nothing_is_sent_on_an_idle_connection_that_the_worker_closed(self):
         with Platform([serve]) as it:
             self.assertEqual(it.call(type_="submit")[0], 200)
             for sock in it.workers[0].open:
                 sock.close()
             self.assertEqual(it.call(id_="00000000000000a2", type_="submit")[0], 200)
 
-    def test_a_send_that_went_over_another_connection_than_the_first_choice_is_given_up_there(self):
-        # Found by reading: it was put down as waiting on the connection that had been closed, so a cancel missed it.
+    def test_a_send_over_another_connection_than_the_first_choice_is_cancelled_there(self):
+        # It was recorded as waiting on the first choice, which had been closed, so that a cancel missed it.
         with Platform([silent]) as it:
             link = it.node.links["s-0"]
             link.dial()
@@ -306,7 +305,7 @@
             self.assertFalse(link.busy)
             until(lambda: it.workers[0].frames_with(GIVE_UP))
 
-    def test_load_orders_leave_at_once_or_not_at_all(self):
+    def test_load_orders_are_sent_at_once_or_not_at_all(self):
         with Platform([silent]) as it:
             link, ends = it.node.links["s-0"], []
             asked = Of(fn="00000000000000f1", answered=lambda now, outcome, **_: ends.append(outcome.value))
@@ -321,8 +320,8 @@
 HEAD_OF_3_GB = bytes((FROM_WORKER, OK)) + bytes(2) + (3 << 30).to_bytes(4, "big") + bytes.fromhex(A)
 
 
-class Word(unittest.TestCase):
-    def test_the_coordinator_is_followed_over_breaks_and_repeats(self):
+class WorkerList(unittest.TestCase):
+    def test_updates_are_applied_across_breaks_and_repeated_events(self):
         with Platform([serve]) as it:
             until(lambda: it.coordinator.last_event_ids == [0])
             other = Worker()
@@ -345,13 +344,13 @@
             self.assertEqual(it.call()[0], 200)
             until(lambda: "s-0" not in it.node.links)
 
-    def test_silence_has_the_stream_dialled_anew(self):
+    def test_a_silent_stream_is_reconnected(self):
         with Platform([serve]) as it:
             it.coordinator.is_silent = True
             until(lambda: len(it.coordinator.last_event_ids) > 1)
             self.assertTrue(it.node.roster_lost)
 
-    def test_another_configuration_moves_the_stream_and_a_bad_one_does_not(self):
+    def test_a_reload_moves_the_stream_unless_the_configuration_is_invalid(self):
         with Platform([serve]) as it, tempfile.NamedTemporaryFile("w") as file:
             other = Coordinator([event(2, instance("s-0", it.workers[0].address, "Terminating"))])
             it.extra.append(other)
@@ -372,21 +371,21 @@
             self.assertEqual(other.last_event_ids, [1])
 
 
-class Ending(unittest.TestCase):
-    def test_it_serves_on_after_the_word_and_answers_what_it_owes(self):
-        def late(worker, sock, it):
-            if it.code == INVOKE:
-                gevent.spawn_later(0.5, serve, worker, sock, it)
+class OrderlyShutdown(unittest.TestCase):
+    def test_it_serves_for_a_while_after_the_request_and_answers_everything_pending(self):
+        def late(worker, sock, frame):
+            if frame.code == INVOKE:
+                gevent.spawn_later(0.5, serve, worker, sock, frame)
         with Platform([late]) as it:
-            kept = it.client()
+            earlier = it.client()
             it.node.end()
             gevent.sleep(0.6)
-            fresh = Client(it.address)              # still let in
+            fresh = Client(it.address)              # still accepted
             fresh.ask(left="950")
             until(lambda: it.workers[0].frames_with(INVOKE))
             until(lambda: it.node.listener.closing)
-            kept.ask(id_="00000000000000a2")
-            self.assertEqual(kept.answer()[0], 503)
+            earlier.ask(id_="00000000000000a2")
+            self.assertEqual(earlier.answer()[0], 503)
             self.assertEqual(fresh.answer()[0], 200)
             it.running.join(3)
             self.assertTrue(it.running.ready())
@@ -394,59 +393,60 @@
             fresh.close()
 
     def test_stages(self):
-        it = Shutdown(10 * SECOND)
-        self.assertIs(it.stage(5, 9), Stage.RUNNING)
-        it.begin(SECOND)
-        it.begin(2 * SECOND)
-        self.assertIs(it.stage(SECOND + 700 * MS, 0), Stage.ACCEPTING)
-        self.assertIs(it.stage(2 * SECOND, 1), Stage.REFUSING)
-        self.assertIs(it.stage(2 * SECOND, 0), Stage.REFUSING)
-        self.assertIs(it.stage(2 * SECOND + 60 * MS, 0), Stage.DONE)
-        self.assertIs(it.stage(5 * SECOND, 1), Stage.DONE)     # well before it is killed
+        shutdown = Shutdown(10 * SECOND)
+        self.assertIs(shutdown.stage(5, 9), Stage.RUNNING)
+        shutdown.begin(SECOND)
+        shutdown.begin(2 * SECOND)
+        self.assertIs(shutdown.stage(SECOND + 700 * MS, 0), Stage.ACCEPTING)
+        self.assertIs(shutdown.stage(2 * SECOND, 1), Stage.REFUSING)
+        self.assertIs(shutdown.stage(2 * SECOND, 0), Stage.REFUSING)
+        self.assertIs(shutdown.stage(2 * SECOND + 60 * MS, 0), Stage.DONE)
+        self.assertIs(shutdown.stage(5 * SECOND, 1), Stage.DONE)     # well before the kill
 
 
 class Audited(unittest.TestCase):
-    def test_the_rules_are_kept_by_what_crossed_the_sockets(self):
-        """Workers that serve, fail, turn away, break off, answer twice, spoilt or late, in turn; and a drain."""
-        seen, chance, out = [], random.Random(5), {}
+    def test_the_rules_hold_for_what_crossed_the_sockets(self):
+        """Workers serve, fail, refuse, reset, or answer twice, invalidly or late, at random; and one drains."""
+        seen, rng, late_sends = [], random.Random(5), {}
         finals = {200: "completed", 503: "rejected", 502: "aborted"}
 
         def note(source, event_, **facts):
             seen.append(Seen(time.monotonic_ns(), event_, source, facts))
 
         def worker_at(name):
-            def script(worker, sock, it):
-                if it.code == HOLD:
+            def script(worker, sock, frame):
+                if frame.code == HOLD:
                     note(name, "hold", front="front-0")
-                    return serve(worker, sock, it)
-                if it.code == GIVE_UP:
-                    return note(name, "cancel", mark=it.id.hex())
-                facts = dict(front="front-0", mark=it.id.hex(), work_ms=1.0)
+                    return serve(worker, sock, frame)
+                if frame.code == GIVE_UP:
+                    return note(name, "cancel", mark=frame.id.hex())
+                facts = dict(front="front-0", mark=frame.id.hex(), work_ms=1.0)
                 note(name, "invoke", **facts)
-                how = chance.choice(("ok", "ok", "ok", "error", "full", "miss", "reset", "twice", "spoilt", "late"))
-                if how in ("full", "miss"):
-                    note(name, "turned", kind=how, **facts)
-                    return sock.sendall(encode({"full": FULL, "miss": MISS}[how], it.id, mark=FROM_WORKER))
+                behaviour = rng.choice(
+                    ("ok", "ok", "ok", "error", "full", "miss", "reset", "twice", "invalid", "late"))
+                if behaviour in ("full", "miss"):
+                    note(name, "turned", kind=behaviour, **facts)
+                    return sock.sendall(encode({"full": FULL, "miss": MISS}[behaviour], frame.id, mark=FROM_WORKER))
                 note(name, "run", **facts)
-                open_ = out.setdefault(sock, [])
-                if how == "late":
-                    open_.append(it.id.hex())
-                elif how in ("reset", "spoilt"):
-                    # What is spoilt has the connection closed: that ends all sends that are open on it.
-                    for mark in (it.id.hex(), *open_):
+                open_late_sends = late_sends.setdefault(sock, [])
+                if behaviour == "late":
+                    open_late_sends.append(frame.id.hex())
+                elif behaviour in ("reset", "invalid"):
+                    # An invalid answer closes the connection, which ends all sends that are open on it.
+                    for mark in (frame.id.hex(), *open_late_sends):
                         note(name, "cut-off", mark=mark)
                 else:
-                    note(name, "done", mark=it.id.hex())
-                if how == "error":
-                    return sock.sendall(encode(ERROR, it.id, mark=FROM_WORKER))
-                if how == "reset":
+                    note(name, "done", mark=frame.id.hex())
+                if behaviour == "error":
+                    return sock.sendall(encode(ERROR, frame.id, mark=FROM_WORKER))
+                if behaviour == "reset":
                     return sock.close()
-                if how == "spoilt":
-                    return sock.sendall(bytes((FROM_WORKER,)) + it.id * 4)
-                good = encode(OK, it.id, "how=reused", it.id, FROM_WORKER)
-                if how == "late":
-                    return gevent.spawn_later(0.6, sock.sendall, good)
-                return sock.sendall(good * (1 + (how == "twice")))
+                if behaviour == "invalid":
+                    return sock.sendall(bytes((FROM_WORKER,)) + frame.id * 4)
+                answer = encode(OK, frame.id, "how=reused", frame.id, FROM_WORKER)
+                if behaviour == "late":
+                    return gevent.spawn_later(0.6, sock.sendall, answer)
+                return sock.sendall(answer * (1 + (behaviour == "twice")))
             return script
 
         names = ["s-0", "s-1", "s-2"]
@@ -471,15 +471,15 @@
             seen.sort(key=lambda each: each.t)
             self.assertEqual([str(each) for each in breaches(seen, it.config.deployment, 1)], [])
             self.assertTrue(any(each.event == "run" for each in seen))
-            # The audit sees it when one is broken: the first completed call, run a second time.
+            # The audit reports a broken rule: here the first once-only call runs a second time.
             once = next(each for each in seen if each.event == "run" and int(each["mark"], 16) % 2)
             twice = sorted([*seen, Seen(once.t + MS, "run", "s-2", once.facts)], key=lambda each: each.t)
             self.assertTrue(list(breaches(twice, it.config.deployment, 1)))
 
 
-class Unread(unittest.TestCase):
-    def test_only_what_may_have_lain_unread_counts_off(self):
-        # A call of 70 ms lost 5 of them to a loop that had stood idle.
+class UnreadTime(unittest.TestCase):
+    def test_only_the_time_in_which_input_may_have_waited_is_subtracted(self):
+        # An event loop that waited for input found it at once: a call of 70 ms lost 5 ms when that was subtracted.
         looks, now = Looks(), 100 * MS
         for before, idle, last, wanted in (
                 (90, 91, 96, 4), (90, 99, 99, 10), (20, 91, 96, 4), (20, 21, 99, 80), (90, 98, 98, 10)):
@@ -488,18 +488,18 @@
         looks.stop()
         self.assertEqual(looks.unread(now), 0)
 
-    def test_what_falls_due_between_two_ticks_has_one_of_its_own(self):
+    def test_a_deadline_between_two_ticks_gets_a_tick_of_its_own(self):
         due = [time.monotonic_ns() + 8 * MS]
-        came = []
-        for now, _ in ticks(50 * MS, lambda: len(came) == 2, lambda: due[0]):
-            came.append(now)
+        fired = []
+        for now, _ in ticks(50 * MS, lambda: len(fired) == 2, lambda: due[0]):
+            fired.append(now)
             due[0] = now + SECOND
-        self.assertLess(came[0] - due[0] + SECOND, 25 * MS)
-        self.assertGreater(came[1] - came[0], 25 * MS)
+        self.assertLess(fired[0] - due[0] + SECOND, 25 * MS)
+        self.assertGreater(fired[1] - fired[0], 25 * MS)
 
 
-class Told(unittest.TestCase):
-    def test_what_is_wrong_is_one_line_that_names_it(self):
+class Configuration(unittest.TestCase):
+    def test_an_error_is_one_line_that_names_the_setting(self):
         good = configuration()
         broken = json.loads(json.dumps(good["settings"]))
         broken["lanes"][0]["effect"] = "magic"
@@ -510,17 +510,18 @@
             (good | {"listen": "x"}, "listen=x"), (good | {"seed": "xyz"}, "seed"),
             (good | {"coordinator": "127.0.0.1"}, "coordinator"), (good | {"limits": {"memory_mb": 1}}, "too little"),
             (good | {"known": {"index": 1, "updates": 3}}, "updates"), (good | {"settings": {"lanes": []}}, "lanes"))
-        for told, words in cases:
+        for content, words in cases:
             with tempfile.NamedTemporaryFile("w") as file:
-                file.write(told if isinstance(told, str) else json.dumps(told))
+                file.write(content if isinstance(content, str) else json.dumps(content))
                 file.flush()
-                environment = {} if told == {} else {"NODE_CONFIG": told[0] if isinstance(told, list) else file.name}
+                environment = {} if content == {} else {
+                    "NODE_CONFIG": content[0] if isinstance(content, list) else file.name}
                 with self.assertRaises(Malformed, msg=words) as caught:
                     front_end_config.read_config(environment)
                 self.assertIn(words, str(caught.exception))
                 self.assertNotIn("\n", str(caught.exception))
 
-    def test_bounds_follow_the_limits(self):
+    def test_derived_limits_follow_memory_and_sockets(self):
         for memory, sockets in ((32, 256), (96, 256), (192, 1024)):
             config = front_end_config.parse_config(
                 configuration(limits={"memory_mb": memory, "sockets": sockets}), {}, "f")
@@ -530,15 +531,15 @@
                 dialled = workers * config.link_limits(workers).most
                 clients = descriptors.client_limit(dialled)
                 self.assertGreaterEqual(clients, sockets // 3)
-                # What does not fit beside the clients is not dialled.
-                held = next(n for n in range(dialled + 1)
+                # Connections that do not fit beside the clients are not dialled.
+                dialled_at_most = next(n for n in range(dialled + 1)
                             if n == dialled or not descriptors.has_room_for_worker(clients, n))
-                self.assertLess(clients + held, sockets - 20)
+                self.assertLess(clients + dialled_at_most, sockets - 20)
             descriptors = Descriptors(config.max_sockets)
             self.assertTrue(descriptors.clients_must_yield(descriptors.client_limit(0))
                             and not descriptors.clients_must_yield(descriptors.reserved_for_clients))
 
-    def test_what_was_known_at_the_start_counts_at_once(self):
+    def test_updates_in_the_configuration_are_applied_at_once(self):
         with Platform([]) as it:
             pass
         config = front_end_config.parse_config(configuration(known={"index": 3, "updates": [
