--- a/tests/platform.py
+++ b/tests/platform.py
@@ -10,7 +10,7 @@
 from threadshift.fastcgi import codec
 from threadshift.fastcgi.codec import (
     ABORT, BEGIN, BEGIN_BODY, END, KEEP, PARAMS, RESPONDER, STDIN, STDOUT, record, stream)
-from threadshift.frames.codec import FROM_US, FROM_WORKER, HOLD, INVOKE, OK, Frames, encode
+from threadshift.frames.codec import FROM_FRONT_END, FROM_WORKER, INVOKE, LOAD, OK, FrameDecoder, encode
 from threadshift.node.front import Node
 from threadshift.node.front_end_config import parse_config
 
@@ -47,8 +47,8 @@
     """The script of a worker that has every function loaded: answers invocations and load orders."""
     if frame.code == INVOKE:
         sock.sendall(encode(OK, frame.id, "how=reused", b"did " + frame.body, FROM_WORKER))
-    elif frame.code == HOLD:
-        sock.sendall(encode(OK, frame.id, "n=1", mark=FROM_WORKER))
+    elif frame.code == LOAD:
+        sock.sendall(encode(OK, frame.id, "n=1", sender=FROM_WORKER))
 
 
 class Worker(Server):
@@ -59,7 +59,7 @@
         self.script, self.received, self.news = script, [], Event()
 
     def converse(self, sock):
-        frames = Frames(1 << 20, FROM_US)
+        frames = FrameDecoder(1 << 20, FROM_FRONT_END)
         while data := sock.recv(65536):
             for frame in frames.feed(data):
                 self.received.append(frame)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -36,7 +36,7 @@
 from threadshift.fastcgi import codec
 from threadshift.fastcgi.codec import ABORT, END, STDOUT, record
 from threadshift.frames.codec import (
-    ASK, FINE, FROM_US, FROM_WORKER, FULL, GIVE_UP, HOLD, INVOKE, MISS, OK, Frames, encode)
+    CANCEL, FROM_FRONT_END, FROM_WORKER, FULL, HEALTHY, INVOKE, LOAD, MISS, OK, PROBE, FrameDecoder, encode)
 from threadshift.interface import MS, SECOND
 
 ANSWER_TOLERANCE = SECOND // 2     # after its deadline, until a request without an answer counts as lost
@@ -143,7 +143,7 @@
         super().__init__()
 
     def converse(self, sock: socket.socket) -> None:
-        frames, open_attempts = Frames(1 << 20, FROM_US), {}
+        frames, open_attempts = FrameDecoder(1 << 20, FROM_FRONT_END), {}
         try:
             while data := sock.recv(65536):
                 for frame in frames.feed(data):
@@ -154,7 +154,7 @@
 
     def on_frame(self, sock: socket.socket, frame, open_attempts: dict) -> None:
         now, rng = time.monotonic_ns(), self.soak.plan.rng
-        if frame.code in (INVOKE, HOLD):
+        if frame.code in (INVOKE, LOAD):
             self.soak.on_worker_received(self, frame.code, now)
         if frame.code == INVOKE:
             attempt = Attempt(frame.id.hex(), self.name, now, int(frame.fields["wait"]))
@@ -167,12 +167,12 @@
                 return
             code = rng.choice((MISS, FULL)) if self.misbehaves and rng.random() < 0.2 else OK
             self.soak.greenlets.spawn(self.reply, sock, frame, attempt, code, rng.expovariate(1 / 0.015))
-        elif frame.code == GIVE_UP and frame.id in open_attempts:
+        elif frame.code == CANCEL and frame.id in open_attempts:
             open_attempts.pop(frame.id).ended_at = now
-        elif frame.code == HOLD:
-            sock.sendall(encode(OK, frame.id, "n=1", mark=FROM_WORKER))
-        elif frame.code == ASK and not self.hangs:
-            sock.sendall(encode(FINE, frame.id, mark=FROM_WORKER))
+        elif frame.code == LOAD:
+            sock.sendall(encode(OK, frame.id, "n=1", sender=FROM_WORKER))
+        elif frame.code == PROBE and not self.hangs:
+            sock.sendall(encode(HEALTHY, frame.id, sender=FROM_WORKER))
 
     @staticmethod
     def reply(sock: socket.socket, frame, attempt: Attempt, code: int, after: float) -> None:
@@ -412,13 +412,13 @@
 
     def on_worker_received(self, worker: SoakWorker, code: int, now: int) -> None:
         """Checks that a request or a load order did not arrive after the drain grace of its worker."""
-        if code == HOLD:
+        if code == LOAD:
             self.load_orders.append(now)
         notified_at = self.drain_notified_at.get(worker.name)
         if notified_at is not None:
             late = now - notified_at - self.plan.grace_ms * MS
             if late > TOLERANCE + self.lag.around(now):
-                what = "order" if code == HOLD else "request"
+                what = "order" if code == LOAD else "request"
                 self.report("drain", f"{what} at {worker.name} {late / MS:.0f} ms late")
 
     # Faults.
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -11,7 +11,7 @@
 from threadshift.emulator.front import ModelFront
 from threadshift.emulator.router import PREFIX
 from threadshift.emulator.run import Emulation
-from threadshift.interface import SECOND, Do, State, Step
+from threadshift.interface import SECOND, Action, WorkerState, Step
 from threadshift.trials.hunt import emulate
 
 DAY = """
@@ -115,23 +115,24 @@
     def test_a_broken_policy_is_caught(self):
         """Once-only sent again, drains not heeded, cold workers flooded, load orders without end: in one day each."""
         def resend(self, act, worker, now):
-            return not act.answered and worker.ready and act.due > now and len(act.sends) < 4
+            return not act.answered and worker.ready and act.answer_due > now and len(act.sends) < 4
 
         def deaf(self, listings):
-            listings = [each for each in listings if each.state is State.READY]
+            listings = [each for each in listings if each.state is WorkerState.READY]
             if listings:
-                self.desk.roster(self.clock.now, listings, full=False)
+                self.engine.update_workers(self.clock.now, listings, full=False)
 
         def greedy(self, worker, fn, now):
-            worker.loads.add(fn.name)
-            self.orders += 1
-            self.out.append(Step(Do.HOLD, worker=worker.name, fn=fn.name, amount=1))
+            worker.load_orders.add(fn.name)
+            self.open_load_orders += 1
+            self.pending_steps.append(Step(Action.LOAD, worker=worker.name, function=fn.name, amount=1))
             return True
         halls = ("zone_loss at 2s for 1s zone a", "zone_loss at 2s for 1s zone b", "burst at 3s for 6s times 6")
         cases = ((2, Dispatcher, "may_send", resend, ("break_after_run at 3s for 5s workers 6",)),
                  (3, ModelFront, "apply_listings", deaf, ("drain at 2s for 9s workers 5",)),
-                 (4, Dispatcher, "place", lambda self, act, now: max(self.fleet, key=lambda each: each.since), halls),
-                 (5, Dispatcher, "hold", greedy, ("scan at 2s for 8s share 80%",)))
+                 (4, Dispatcher, "choose_worker",
+                  lambda self, act, now: max(self.ready_workers, key=lambda each: each.started_at), halls),
+                 (5, Dispatcher, "order_load", greedy, ("scan at 2s for 8s share 80%",)))
         for rule, owner, name, wrong, troubles in cases:
             kept = getattr(owner, name)
             setattr(owner, name, wrong)
@@ -215,7 +216,7 @@
         it = Emulation(read_text(text, seed=1), 1)
         it.run()
         front = it.fronts["front-0"]
-        self.assertGreater(front.admission.refused, 1000)
+        self.assertGreater(front.admission.refused_count, 1000)
         calls = [line for line in it.records["clients"] if line["e"] in ("try", "answer")]
         self.assertLess(front.used, calls[-1]["t"] - calls[0]["t"])         # it was one processor
         self.assertGreater(front.used, 2.5 * SECOND)
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -5,7 +5,7 @@
 
 from tests.helpers import TYPES
 from tests.platform import begin, params, request
-from threadshift.desk.desk import Answer, Final
+from threadshift.engine.engine import Answer, FinalKind
 from threadshift.fastcgi import codec, connection_eviction, requests
 from threadshift.fastcgi.codec import BEGIN, PARAMS, STDIN, ProtocolError, Records, pair, pairs, record, stream
 from threadshift.fastcgi.requests import InvalidRequest
@@ -97,12 +97,13 @@
                          {b"HTTP_X_ITEM": "\xff"})
 
     def test_responses_that_carry_final_answers(self):
-        self.assertEqual(requests.final_response(Answer(Final.COMPLETED, "completed", b"\x00b"))[-3:], b"\n\x00b")
-        self.assertIn(b"Status: 503", requests.final_response(Answer(Final.REJECTED, "no-room", come_back=250 * MS)))
-        self.assertIn(b"X-Wait-Ms: 250\r\n",
-                      requests.final_response(Answer(Final.REJECTED, "no-room", come_back=250 * MS)))
-        self.assertNotIn(b"X-Wait-Ms", requests.final_response(Answer(Final.REJECTED, "no-room")))
-        self.assertIn(b"Status: 502", requests.final_response(Answer(Final.ABORTED, "time-up")))
+        self.assertEqual(requests.final_response(Answer(FinalKind.COMPLETED, "completed", b"\x00b"))[-3:], b"\n\x00b")
+        self.assertIn(b"Status: 503", requests.final_response(Answer(FinalKind.REJECTED, "no-room", retry_after=250 * MS)))
+        self.assertIn(
+            b"X-Wait-Ms: 250\r\n",
+                      requests.final_response(Answer(FinalKind.REJECTED, "no-room", retry_after=250 * MS)))
+        self.assertNotIn(b"X-Wait-Ms", requests.final_response(Answer(FinalKind.REJECTED, "no-room")))
+        self.assertIn(b"Status: 502", requests.final_response(Answer(FinalKind.ABORTED, "time-up")))
 
     def test_helpers_of_the_tests_encode_what_the_codec_decodes(self):
         kinds = [kind for kind, _, _ in Records().feed(request())]
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -22,7 +22,7 @@
 
 TYPES = (NamespaceType("t", 500 * MS, 2 * SECOND, 1.0, 0.3, Effect.REPEATABLE),)
 TOLD = Deployment(TYPES, cold_share=0.2, cold_time=10 * SECOND, fall_multiple=2.0, fall_time=SECOND,
-                  idle_keep=8 * SECOND)
+                  idle_keep_alive=8 * SECOND)
 DAY = """
 length 10s
 front-ends 40
@@ -184,9 +184,9 @@
         server = StreamServer(("127.0.0.1", 0), once)
         server.start()
         try:
-            client = Client(Address("127.0.0.1", server.server_port), limit=2 * SECOND)
+            client = Client(Address("127.0.0.1", server.server_port), timeout=2 * SECOND)
             for _ in range(2):
-                self.assertEqual(client.ask("GET", "/").status, 200)
+                self.assertEqual(client.request("GET", "/").status, 200)
                 self.assertTrue(closed.wait(2))
                 closed.clear()
             client.close()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,9 +16,9 @@
 from threadshift.conf.settings import Malformed
 from threadshift.fastcgi import connection_eviction
 from threadshift.fastcgi.codec import ABORT, GET_VALUES, HEADER, STDIN, pair, record, stream
-from threadshift.frames.codec import ERROR, FROM_WORKER, FULL, GIVE_UP, HOLD, INVOKE, MISS, OK, OVER, encode
+from threadshift.frames.codec import CANCEL, ERROR, EXPIRED, FROM_WORKER, FULL, INVOKE, LOAD, MISS, OK, encode
 from threadshift.interface import MS, SECOND
-from threadshift.invoke.looks import Looks
+from threadshift.invoke.poll_monitor import PollMonitor
 from threadshift.node import front_end_config
 from threadshift.node.descriptors import Descriptors
 from threadshift.node.shutdown import Shutdown, Stage
@@ -89,7 +89,7 @@
                 (answers(OK, "how=init,stats=inflight:7;util:0.6", b"r"), "submit", 200),
                 (answers(ERROR), "submit", 502), (answers(FULL), "submit", 503),
                 (answers(MISS, "how=init_error"), "submit", 503),
-                (answers(OVER), "submit", 503), (answers(ERROR), "check", 503)):
+                (answers(EXPIRED), "submit", 503), (answers(ERROR), "check", 503)):
             with Platform([script]) as it:
                 status, headers, _ = it.call(type_=type_, left="300")
                 self.assertEqual(status, expected)
@@ -101,8 +101,8 @@
             client.ask()
             until(lambda: it.workers[0].frames_with(INVOKE))
             client.abort()
-            until(lambda: it.workers[0].frames_with(GIVE_UP))
-            self.assertEqual(it.workers[0].frames_with(GIVE_UP)[0].id.hex(), A)
+            until(lambda: it.workers[0].frames_with(CANCEL))
+            self.assertEqual(it.workers[0].frames_with(CANCEL)[0].id.hex(), A)
             # The next request with the same FastCGI id gets its own answer and nothing of the old one.
             it.workers[0].script = serve
             client.ask(id_="00000000000000a2", body=b"new")
@@ -112,26 +112,27 @@
     def test_a_send_whose_time_is_up_is_cancelled_and_its_call_answered(self):
         with Platform([silent]) as it:
             self.assertEqual(it.call(type_="submit", left="80")[0], 502)
-            until(lambda: it.workers[0].frames_with(GIVE_UP))
-            until(lambda: not it.node.desk.held)
-            self.assertFalse(it.node.links["s-0"].ways)
+            until(lambda: it.workers[0].frames_with(CANCEL))
+            until(lambda: not it.node.engine.requests)
+            self.assertFalse(it.node.links["s-0"].routes)
 
     def test_a_late_duplicate_answer_does_not_end_the_next_send(self):
         # A second 'full' for the first send must not end the send after it as one that never ran.
         def script(worker, sock, frame):
             if frame.code == INVOKE and not worker.frames_with(INVOKE)[1:]:
-                sock.sendall(encode(FULL, frame.id, mark=FROM_WORKER))
-                gevent.spawn_later(0.03, sock.sendall, encode(FULL, frame.id, mark=FROM_WORKER))
+                sock.sendall(encode(FULL, frame.id, sender=FROM_WORKER))
+                gevent.spawn_later(0.03, sock.sendall, encode(FULL, frame.id, sender=FROM_WORKER))
             elif frame.code == INVOKE:
                 gevent.spawn_later(0.1, serve, worker, sock, frame)
         with Platform([script]) as it:
             link, ends = it.node.links["s-0"], []
             call = Of(type="submit", function="00000000000000f1", body=b"x", mark="")
-            held = Of(ivk=A, call=call, returned=lambda now, number, outcome, **_: ends.append((number, outcome)),
-                      time_left=lambda now: SECOND)
-            self.assertIsNone(link.invoke(held, 0, SECOND))
+            pending = Of(id=A, call=call,
+                         on_send_ended=lambda now, number, outcome, **_: ends.append((number, outcome)),
+                         time_left=lambda now: SECOND)
+            self.assertIsNone(link.invoke(pending, 0, SECOND))
             until(lambda: len(ends) == 1)
-            self.assertIsNone(link.invoke(held, 1, SECOND))
+            self.assertIsNone(link.invoke(pending, 1, SECOND))
             until(lambda: len(ends) == 2)
             self.assertEqual([outcome.value for _, outcome in ends], ["full", "completed"])
 
@@ -298,23 +299,24 @@
             first = link.connections[0].sock.getsockname()
             next(sock for sock in it.workers[0].open if sock.getpeername() == first).shutdown(2)
             call = Of(type="submit", function="00000000000000f1", body=b"x", mark="")
-            held = Of(ivk=A, call=call, returned=lambda now, number, outcome, **_: None, time_left=lambda now: SECOND)
-            self.assertIsNone(link.invoke(held, 0, SECOND))
+            pending = Of(id=A, call=call, on_send_ended=lambda now, number, outcome, **_: None,
+                         time_left=lambda now: SECOND)
+            self.assertIsNone(link.invoke(pending, 0, SECOND))
             self.assertTrue(link.busy)
-            self.assertEqual(link.cancel(held, 0, True).value, "cancelled")
+            self.assertEqual(link.cancel(pending, 0, True).value, "cancelled")
             self.assertFalse(link.busy)
-            until(lambda: it.workers[0].frames_with(GIVE_UP))
+            until(lambda: it.workers[0].frames_with(CANCEL))
 
     def test_load_orders_are_sent_at_once_or_not_at_all(self):
         with Platform([silent]) as it:
             link, ends = it.node.links["s-0"], []
-            asked = Of(fn="00000000000000f1", answered=lambda now, outcome, **_: ends.append(outcome.value))
-            self.assertIsNone(link.order(asked))
-            until(lambda: it.workers[0].frames_with(HOLD))
-            self.assertEqual(it.workers[0].frames_with(HOLD)[0].fields, {"key": "00000000000000f1", "n": "1"})
+            asked = Of(function="00000000000000f1", on_answered=lambda now, outcome, **_: ends.append(outcome.value))
+            self.assertIsNone(link.order_load(asked))
+            until(lambda: it.workers[0].frames_with(LOAD))
+            self.assertEqual(it.workers[0].frames_with(LOAD)[0].fields, {"key": "00000000000000f1", "n": "1"})
             it.workers[0].stop()
             until(lambda: ends == ["reset"])
-            self.assertEqual(link.order(asked).value, "unreachable")
+            self.assertEqual(link.order_load(asked).value, "unreachable")
 
 
 HEAD_OF_3_GB = bytes((FROM_WORKER, OK)) + bytes(2) + (3 << 30).to_bytes(4, "big") + bytes.fromhex(A)
@@ -333,7 +335,7 @@
             self.assertEqual(it.coordinator.last_event_ids[1:], [1])
             it.coordinator.publish(event(2, instance("s-8", other.address)))
             it.coordinator.publish(event(3, instance("s-9", other.address, "Terminating")))
-            until(lambda: not it.node.desk.dispatcher.workers["s-9"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-9"].ready)
             self.assertNotIn("s-8", it.node.links)
 
     def test_a_new_worker_at_the_address_of_one_that_is_gone(self):
@@ -367,7 +369,7 @@
             file.write(json.dumps(configuration(coordinator=str(other.address))))
             file.flush()
             it.node.reload()
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
             self.assertEqual(other.last_event_ids, [1])
 
 
@@ -415,10 +417,10 @@
 
         def worker_at(name):
             def script(worker, sock, frame):
-                if frame.code == HOLD:
+                if frame.code == LOAD:
                     note(name, "hold", front="front-0")
                     return serve(worker, sock, frame)
-                if frame.code == GIVE_UP:
+                if frame.code == CANCEL:
                     return note(name, "cancel", mark=frame.id.hex())
                 facts = dict(front="front-0", mark=frame.id.hex(), work_ms=1.0)
                 note(name, "invoke", **facts)
@@ -426,7 +428,7 @@
                     ("ok", "ok", "ok", "error", "full", "miss", "reset", "twice", "invalid", "late"))
                 if behaviour in ("full", "miss"):
                     note(name, "turned", kind=behaviour, **facts)
-                    return sock.sendall(encode({"full": FULL, "miss": MISS}[behaviour], frame.id, mark=FROM_WORKER))
+                    return sock.sendall(encode({"full": FULL, "miss": MISS}[behaviour], frame.id, sender=FROM_WORKER))
                 note(name, "run", **facts)
                 open_late_sends = late_sends.setdefault(sock, [])
                 if behaviour == "late":
@@ -438,7 +440,7 @@
                 else:
                     note(name, "done", mark=frame.id.hex())
                 if behaviour == "error":
-                    return sock.sendall(encode(ERROR, frame.id, mark=FROM_WORKER))
+                    return sock.sendall(encode(ERROR, frame.id, sender=FROM_WORKER))
                 if behaviour == "reset":
                     return sock.close()
                 if behaviour == "invalid":
@@ -480,13 +482,13 @@
 class UnreadTime(unittest.TestCase):
     def test_only_the_time_in_which_input_may_have_waited_is_subtracted(self):
         # An event loop that waited for input found it at once: a call of 70 ms lost 5 ms when that was subtracted.
-        looks, now = Looks(), 100 * MS
+        monitor, now = PollMonitor(), 100 * MS
         for before, idle, last, wanted in (
                 (90, 91, 96, 4), (90, 99, 99, 10), (20, 91, 96, 4), (20, 21, 99, 80), (90, 98, 98, 10)):
-            looks.before, looks.idle, looks.last = before * MS, idle * MS, last * MS
-            self.assertEqual(looks.unread(now), wanted * MS)
-        looks.stop()
-        self.assertEqual(looks.unread(now), 0)
+            monitor.previous_poll, monitor.wait_started, monitor.last_poll = before * MS, idle * MS, last * MS
+            self.assertEqual(monitor.unread_time(now), wanted * MS)
+        monitor.stop()
+        self.assertEqual(monitor.unread_time(now), 0)
 
     def test_a_deadline_between_two_ticks_gets_a_tick_of_its_own(self):
         due = [time.monotonic_ns() + 8 * MS]
@@ -528,7 +530,7 @@
             self.assertLess(config.max_activations * 2 * (16 << 10), config.memory_bytes // 4)
             for workers in (12, 120, 400):
                 descriptors = Descriptors(config.max_sockets)
-                dialled = workers * config.link_limits(workers).most
+                dialled = workers * config.link_limits(workers).max_connections
                 clients = descriptors.client_limit(dialled)
                 self.assertGreaterEqual(clients, sockets // 3)
                 # Connections that do not fit beside the clients are not dialled.
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -7,14 +7,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from threadshift.desk.desk import Answer, Final
+from threadshift.engine.engine import Answer, FinalKind
 from threadshift.interface import MS, SECOND, Tenant
-from threadshift.invoke.admission import MOST, PERIOD, Admission
-from threadshift.invoke.deferred import InMemory
-from threadshift.invoke.shares import LEAST, NOBODY, Places, parts, weights
-from threadshift.invoke.tally import EVERY, Tally
+from threadshift.invoke.admission import MAX_REFUSED_SHARE, READING_INTERVAL, Admission
+from threadshift.invoke.deferred import InMemoryStore
+from threadshift.invoke.refusal_counters import REPORT_INTERVAL, RefusalCounters
+from threadshift.invoke.shares import MIN_SHARE, NO_TENANT, SharedCapacity, shares_to_refuse, weights
 from threadshift.log import Log
-from threadshift.ration import A_SECOND, KINDS, Ration
+from threadshift.log_limiter import LINES_PER_SECOND, MAX_KINDS, LogRateLimiter
 
 TENANTS = tuple(Tenant(name, share, 100.0) for name, share in (("a", 0.5), ("b", 0.3), ("c", 0.1)))
 WEIGHT = weights(TENANTS)
@@ -25,8 +25,8 @@
         """The part refused of each tenant's calls, asked a second, by a front end that serves 1000 a second."""
         it, now, counts = Admission(600 * MS, WEIGHT), 0, {name: [0, 0] for name in asked}
         waiting = 0.0
-        for step in range(int(seconds * SECOND / PERIOD)):
-            now += PERIOD
+        for step in range(int(seconds * SECOND / READING_INTERVAL)):
+            now += READING_INTERVAL
             for name, rate in asked.items():
                 for _ in range(int((step + 1) * rate / 100) - int(step * rate / 100)):
                     let_in = it.admit(False, name)
@@ -34,8 +34,8 @@
                     if step >= 300:
                         counts[name][let_in] += 1
             waiting = max(0.0, waiting - 10)
-            it.measured(now, int(waiting * MS))
-        return {name: no / (no + yes) for name, (no, yes) in counts.items()}, it.part
+            it.record_lag(now, int(waiting * MS))
+        return {name: no / (no + yes) for name, (no, yes) in counts.items()}, it.refused_share
 
     def test_one_that_floods_is_refused_and_the_others_are_not(self):
         """Before: every call alike, so that who asked for its due lost as large a part as the flooder."""
@@ -53,7 +53,7 @@
            st.lists(st.floats(0.02, 5), min_size=4, max_size=4))
     def test_parts_add_up_and_favour_nobody_who_asks_more_than_its_due(self, came, refuse, weight):
         weight = dict(zip("abcd", weight, strict=True))
-        found = parts(came, weight, refuse)
+        found = shares_to_refuse(came, weight, refuse)
         self.assertEqual(set(found), set(came))
         refused = sum(found[name] * came[name] for name in came)
         self.assertAlmostEqual(refused, refuse * sum(came.values()), delta=1e-6 * sum(came.values()))
@@ -64,79 +64,79 @@
     def test_weights(self):
         self.assertEqual(weights(()), {})
         self.assertAlmostEqual(sum(WEIGHT.values()) / 4, 1)
-        self.assertAlmostEqual(WEIGHT["a"] / WEIGHT[NOBODY], 5)
-        self.assertGreaterEqual(weights([Tenant("a", 1.0, 9.0)])[NOBODY], LEAST)
-        self.assertLess(MOST, 1)
+        self.assertAlmostEqual(WEIGHT["a"] / WEIGHT[NO_TENANT], 5)
+        self.assertGreaterEqual(weights([Tenant("a", 1.0, 9.0)])[NO_TENANT], MIN_SHARE)
+        self.assertLess(MAX_REFUSED_SHARE, 1)
 
 
 class Held(unittest.TestCase):
     def test_one_tenant_leaves_room_for_the_others(self):
         """Before: `bounds activations`, `deferred` and `results` went to whoever came first."""
-        it = Places(1000, WEIGHT)
-        while it.room("c"):
-            it.take("c")
-        self.assertLess(it.all, 400)
+        it = SharedCapacity(1000, WEIGHT)
+        while it.has_room("c"):
+            it.acquire("c")
+        self.assertLess(it.used, 400)
         for name in ("a", "b", ""):
-            self.assertTrue(it.room(name), name)
-        while any(it.room(name) for name in ("a", "b", "c", "x")):
+            self.assertTrue(it.has_room(name), name)
+        while any(it.has_room(name) for name in ("a", "b", "c", "x")):
             for name in ("a", "b", "c", "x"):
-                if it.room(name):
-                    it.take(name)
-        self.assertLessEqual(it.all, 1000)
-        it.give("c", it.held["c"])
-        self.assertTrue(it.room("a"))
+                if it.has_room(name):
+                    it.acquire(name)
+        self.assertLessEqual(it.used, 1000)
+        it.release("c", it.used_by["c"])
+        self.assertTrue(it.has_room("a"))
 
     def test_who_keeps_most_loses_its_answers_first(self):
-        it = InMemory(100, 10_000, 60 * SECOND, WEIGHT)
+        it = InMemoryStore(100, 10_000, 60 * SECOND, WEIGHT)
         for n, tenant in enumerate(["a"] + ["c"] * 20):
-            it.finish(n, it.add(f"c{n}", tenant), Answer(Final.COMPLETED, "completed", b"x" * 100))
+            it.finish(n, it.add(f"c{n}", tenant), Answer(FinalKind.COMPLETED, "completed", b"x" * 100))
         self.assertIsNotNone(it.find("c0"))
         self.assertIsNone(it.find("c1"))
 
     def test_without_tenants_all_is_for_everybody(self):
-        it = Places(10, {})
+        it = SharedCapacity(10, {})
         for n in range(10):
-            self.assertTrue(it.room(f"any{n}"))
-            it.take(f"any{n}")
-        self.assertFalse(it.room("any"))
-        self.assertEqual(list(it.held), [NOBODY])       # names that clients make up are not kept
+            self.assertTrue(it.has_room(f"any{n}"))
+            it.acquire(f"any{n}")
+        self.assertFalse(it.has_room("any"))
+        self.assertEqual(list(it.used_by), [NO_TENANT])       # names that clients make up are not kept
 
     def test_answers_without_a_body_have_a_bound_too(self):
         """Before: only bodies counted, so refusals that nobody collected piled up without end."""
-        it = InMemory(10, 100_000, 60 * SECOND)
+        it = InMemoryStore(10, 100_000, 60 * SECOND)
         taken = 0
         while taken < 10_000:
-            it.finish(taken, it.add(f"c{taken}"), Answer(Final.REJECTED, "no-room"))
+            it.finish(taken, it.add(f"c{taken}"), Answer(FinalKind.REJECTED, "no-room"))
             taken += 1
         self.assertLess(len(it.calls), 200)
 
 
 class Told(unittest.TestCase):
     def test_refusals_are_told_when_they_begin_and_then_as_sums(self):
-        it, lines = Tally(), []
+        it, lines = RefusalCounters(), []
         for n in range(12_000):
-            it.note(n * MS, "overloaded", "b" if n % 3 else "a")
-            lines += it.tell(n * MS)
-        lines += it.tell(12 * SECOND, all_=True)
+            it.record(n * MS, "overloaded", "b" if n % 3 else "a")
+            lines += it.due_reports(n * MS)
+        lines += it.due_reports(12 * SECOND, flush=True)
         self.assertEqual([line["count"] for line in lines], [1, 5000, 5000, 1999])
         self.assertEqual(lines[1]["in_all"], 5001)
         self.assertEqual(list(lines[1]["tenants"]), ["b", "a"])
-        self.assertEqual(it.tell(99 * SECOND), [])
+        self.assertEqual(it.due_reports(99 * SECOND), [])
         self.assertEqual(it.totals(), {"overloaded": 12_000})
-        self.assertGreater(EVERY, SECOND)
+        self.assertGreater(REPORT_INTERVAL, SECOND)
 
     def test_kinds_are_rationed_apart_and_what_was_held_back_is_told(self):
-        it = Ration(0)
-        granted = sum(it.grant(n * MS, "final no-room") for n in range(3000))
-        self.assertEqual(granted, 3 * A_SECOND)
-        self.assertTrue(it.grant(3 * SECOND, "roster-lost"))
-        self.assertEqual(it.tell(4 * SECOND), {})
-        told = it.tell(5 * SECOND)
-        self.assertEqual(told, {"final no-room": {"lines": 3000 - granted, "for_ms": 5000 - A_SECOND}})
-        self.assertEqual(it.tell(6 * SECOND, all_=True), {})
-        for n in range(10 * KINDS):
-            it.grant(SECOND, f"kind {n}")
-        self.assertLessEqual(len(it.kinds), KINDS + 1)
+        it = LogRateLimiter(0)
+        granted = sum(it.allow(n * MS, "final no-room") for n in range(3000))
+        self.assertEqual(granted, 3 * LINES_PER_SECOND)
+        self.assertTrue(it.allow(3 * SECOND, "roster-lost"))
+        self.assertEqual(it.summary(4 * SECOND), {})
+        told = it.summary(5 * SECOND)
+        self.assertEqual(told, {"final no-room": {"lines": 3000 - granted, "for_ms": 5000 - LINES_PER_SECOND}})
+        self.assertEqual(it.summary(6 * SECOND, is_last=True), {})
+        for n in range(10 * MAX_KINDS):
+            it.allow(SECOND, f"kind {n}")
+        self.assertLessEqual(len(it.kinds), MAX_KINDS + 1)
 
 
 class Stuck(io.StringIO):
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -12,11 +12,11 @@
 from tests.live import until
 from tests.platform import Coordinator, Platform, Worker, configuration, event, instance
 from tests.processes import FrontEndProcess
-from threadshift.desk.desk import Call, Held
+from threadshift.engine.engine import Call, PendingRequest
 from threadshift.frames.codec import INVOKE
-from threadshift.frames.link import request_now
+from threadshift.frames.link import current_invoke_frame
 from threadshift.interface import MS, SECOND, Outcome
-from threadshift.invoke import looks
+from threadshift.invoke import poll_monitor
 
 LEFT_MS, STOPPED_MS = 900, 400
 TOLERANCE_MS = 150         # that the protocol allows on the time left that is stated to a worker
@@ -74,12 +74,13 @@
 
     def test_nothing_of_it_is_written(self):
         with Platform() as it:
-            held = Held(it.node.desk, "00000000000000d1", Call("check", "00000000000000f1", 0), 0, deadline=1)
+            pending = PendingRequest(
+                it.node.engine, "00000000000000d1", Call("check", "00000000000000f1", 0), 0, deadline=1)
             link = it.node.links["s-0"]
             with mock.patch.dict(it.node.links, {"s-0": mock.Mock()}):
-                self.assertEqual(it.node.send("s-0", held, 0), Outcome.MOOT)     # whatever the link would check
-            id_ = bytes.fromhex(held.ivk)
-            self.assertEqual(link.place(id_, (held, 0), request_now(id_, held)), Outcome.MOOT)
+                self.assertEqual(it.node.send("s-0", pending, 0), Outcome.NEVER_SENT)     # whatever the link would check
+            id_ = bytes.fromhex(pending.id)
+            self.assertEqual(link.transmit(id_, (pending, 0), current_invoke_frame(id_, pending)), Outcome.NEVER_SENT)
             self.assertEqual(it.call()[0], 200)
             self.assertEqual(len(it.workers[0].frames_with(INVOKE)), 1)
 
@@ -112,12 +113,12 @@
 
     def look_at(self, *times):
         """What is read at the last of these times may have waited so long; each is (wait began, wait ended) in ms."""
-        it = looks.Looks()
-        it.before = it.last = it.idle = it.idle_before = SECOND
+        it = poll_monitor.PollMonitor()
+        it.previous_poll = it.last_poll = it.wait_started = it.previous_wait_started = SECOND
         for began, ended in times:
-            it.idle = SECOND + int(began * MS)
-            it.note_look(SECOND + int(ended * MS))
-        return it.unread(it.last) / MS
+            it.wait_started = SECOND + int(began * MS)
+            it.record_poll(SECOND + int(ended * MS))
+        return it.unread_time(it.last_poll) / MS
 
     def test_a_wait_that_a_stop_interrupted_is_no_look(self):
         self.assertEqual(self.look_at((0, 1), (1, 401), (401, 401.1)), 400.1)
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -16,7 +16,7 @@
 from tests.test_emulator import DAY, Emulation, read_text
 from threadshift.choice import Dispatcher
 from threadshift.conf.reading import Mistake
-from threadshift.interface import SECOND, Do, Effect, State, Step
+from threadshift.interface import SECOND, Action, Effect, WorkerState, Step
 from threadshift.trials import figures, hunt, runs
 from threadshift.trials.commands import trial
 from threadshift.trials.keep import Kept, Result, Unusable
@@ -219,9 +219,9 @@
     def test_the_oracle_sees_dead_workers_and_copies(self):
         it = Emulation(read_text(DAY, seed=1), 1, POLICIES["oracle"])
         it.run()
-        oracle = it.fronts["front-0"].desk.dispatcher
+        oracle = it.fronts["front-0"].engine.dispatcher
         self.assertIs(oracle.network, it.network)
-        worker = oracle.fleet[0]
+        worker = oracle.ready_workers[0]
         it.network.die(worker.name)
         self.assertEqual(oracle.ends(worker, None), float("inf"))
 
@@ -232,28 +232,28 @@
     """Once-only calls are sent again whatever may have run."""
 
     def may_send(self, act, worker, now):
-        return not act.answered and worker.ready and act.due > now and len(act.sends) < 4
+        return not act.answered and worker.ready and act.answer_due > now and len(act.sends) < 4
 
     def give_up(self, act, now):
-        self.close(act, Do.REJECT if act.kind.effect is not Effect.ONCE_ONLY else Do.ABORT)
+        self.finish(act, Action.REJECT if act.type_stats.effect is not Effect.ONCE_ONLY else Action.ABORT)
 
 
 class Deaf(Dispatcher):
     """Does not heed that workers drain."""
 
-    def roster(self, now, listings, full):
-        return super().roster(now, [each for each in listings if each.state is State.READY], full)
+    def update_workers(self, now, listings, full):
+        return super().update_workers(now, [each for each in listings if each.state is WorkerState.READY], full)
 
 
 class Greedy(Dispatcher):
     """Orders copies as if no window limited it."""
 
-    def hold(self, worker, fn, now):
-        if worker.ready and fn.pause <= now:
-            fn.pause = now + SECOND // 10
-            worker.loads.add(fn.name)
-            self.orders += 1
-            self.out.append(Step(Do.HOLD, worker=worker.name, fn=fn.name, amount=1))
+    def order_load(self, worker, fn, now):
+        if worker.ready and fn.next_order_at <= now:
+            fn.next_order_at = now + SECOND // 10
+            worker.load_orders.add(fn.name)
+            self.open_load_orders += 1
+            self.pending_steps.append(Step(Action.LOAD, worker=worker.name, function=fn.name, amount=1))
             return True
         return False
 
--- a/threadshift/cli/base.py
+++ b/threadshift/cli/base.py
@@ -8,7 +8,7 @@
 from threadshift.conf import installation, values
 from threadshift.conf.installation import Installation
 from threadshift.conf.reading import Mistake
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 
 
 class Of(click.ParamType):
@@ -29,7 +29,7 @@
 ADDRESS, TIME = Of("address", values.address), Of("time", values.duration)
 
 
-def ended(problem: Cause) -> SystemExit:
+def ended(problem: ThreadshiftError) -> SystemExit:
     """What ends a command: what happened and where, and what can be done."""
     return SystemExit(f"threadshift: {problem}\n  {problem.help}")
 
@@ -54,7 +54,7 @@
     """The answer of a front end's admin listener, or of its clients'."""
     from threadshift.invoke.client import Client, NoAnswer
     try:
-        reply = Client(to).ask(method, path, headers or {}, body.encode())
+        reply = Client(to).request(method, path, headers or {}, body.encode())
         told = json.loads(reply.body)
     except (NoAnswer, ValueError) as problem:
         raise SystemExit(f"threadshift: {to}: {problem}") from None
--- a/threadshift/conf/settings.py
+++ b/threadshift/conf/settings.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND, Deployment, Effect, NamespaceType, Report, Tenant
 
 EFFECTS = {"safe": Effect.REPEATABLE, "keyed": Effect.DEDUPLICATED, "unsafe": Effect.ONCE_ONLY}
@@ -19,7 +19,7 @@
 LONG = {"queue": "backlog", "inflight": "outstanding", "util": "utilization"}
 
 
-class Malformed(Cause):
+class Malformed(ThreadshiftError):
     """Input that cannot be understood; says what is wrong and where."""
 
     help = "mend the settings that the platform hands over at the place named"
@@ -126,16 +126,16 @@
         tenants=tuple(org(n) for n in range(told.whole("orgs.count", 0))),
         front_ends=some("peersTotal", told.whole, 1),
         zone=told.text("zone", ""),
-        crossing=told.number("fees.crossZone", 0.0),
+        cross_zone_fee=told.number("fees.crossZone", 0.0),
         tick=told.ns("tick", MS),
         max_sends=told.whole("limits.maxAttempts", 1),
         may_cancel=told.flag("limits.cancel", False),
         may_duplicate=told.flag("limits.mayDuplicate", False),
         may_probe=told.flag("limits.probes", False),
-        may_order=told.flag("familyInfo.placementCalls", False),
-        longest_advice=told.ns("limits.maxRetryAfter", 0) if told.flag("limits.retryAfter", False) else 0,
+        may_order_loads=told.flag("familyInfo.placementCalls", False),
+        max_retry_after=told.ns("limits.maxRetryAfter", 0) if told.flag("limits.retryAfter", False) else 0,
         loads_on_miss=told.text("familyInfo.notLoaded", "load") == "load",
-        idle_keep=told.ns("familyInfo.staysLoaded", 0),
+        idle_keep_alive=told.ns("familyInfo.staysLoaded", 0),
         load_window=told.ns("familyInfo.loadWindow", 0),
         load_free=told.number("familyInfo.loadFree", 0.0),
         load_ratio=told.number("familyInfo.loadRatio", 0.0),
--- a/threadshift/fastcgi/codec.py
+++ b/threadshift/fastcgi/codec.py
@@ -8,7 +8,7 @@
 import struct
 from collections.abc import Iterator
 
-from threadshift.errors import Cause
+from threadshift.errors import ThreadshiftError
 
 VERSION = 1
 BEGIN, ABORT, END, PARAMS, STDIN, STDOUT, GET_VALUES, VALUES, UNKNOWN = 1, 2, 3, 4, 5, 6, 9, 10, 11
@@ -24,7 +24,7 @@
 PADDED_BODY = bytes(8)
 
 
-class ProtocolError(Cause):
+class ProtocolError(ThreadshiftError):
     """Input that breaks the protocol; `str()` says how."""
 
     help = "none: the connection is closed; its client does not speak FastCGI"
--- a/threadshift/fastcgi/connection.py
+++ b/threadshift/fastcgi/connection.py
@@ -13,12 +13,12 @@
 import gevent
 from gevent import socket
 
-from threadshift.desk.desk import Held
+from threadshift.engine.engine import PendingRequest
 from threadshift.fastcgi import codec, connection_eviction, requests
 from threadshift.fastcgi.codec import ABORT, BEGIN, GET_VALUES, PARAMS, STDIN, ProtocolError, Records
 from threadshift.fastcgi.requests import MAX_BODY, MAX_PARAMS, InvalidRequest
 from threadshift.interface import MS, SECOND
-from threadshift.invoke.tally import Tally
+from threadshift.invoke.refusal_counters import RefusalCounters
 from threadshift.links.sockets import Outgoing, shows
 
 READ = 16 << 10            # bytes a read: several usual requests, and little memory a connection
@@ -35,7 +35,7 @@
 class Listener(Protocol):
     """What a connection asks of the listener that accepted it."""
 
-    tally: Tally
+    refusal_counters: RefusalCounters
     max_connections: Callable[[], int]   # connections that clients may hold now
     note: Callable[..., None]
 
@@ -43,15 +43,15 @@
 
 
 class Request:
-    """One request under way: being read, then held by the desk."""
+    """One request under way: being read, then held by the engine."""
 
-    __slots__ = ("connection", "number", "keep", "began", "params", "body", "told", "held")
+    __slots__ = ("connection", "number", "keep", "began", "params", "body", "told", "pending")
 
     def __init__(self, connection: Connection, number: int, keep: bool, began: int):
         self.connection, self.number, self.keep, self.began = connection, number, keep, began
         self.params, self.body = b"", b""
         self.told: dict[bytes, str] | None = None       # its parameters, once they are whole
-        self.held: Any = None                           # the activation; True while it is being taken
+        self.pending: Any = None                           # the activation; True while it is being taken
 
     def respond(self, content: bytes, status: int = codec.COMPLETE) -> None:
         self.connection.respond(self, content, status)
@@ -90,7 +90,7 @@
                 if self.offences > offences:
                     gevent.sleep(connection_eviction.read_pause(self.offences, bool(self.open)) / SECOND)
         except ProtocolError as problem:
-            self.listener.tally.note(time.monotonic_ns(), "unreadable")
+            self.listener.refusal_counters.record(time.monotonic_ns(), "unreadable")
             self.listener.note("unreadable", level="debug", problem=str(problem))
             self.offences += 1
             self.give_up_all()
@@ -106,14 +106,14 @@
     def give_up_all(self) -> None:
         """The client is gone, or is to go: nothing is owed to it any more."""
         gone, self.open = list(self.open.values()), {}
-        if ids := [request.held.ivk for request in gone if isinstance(request.held, Held)]:
+        if ids := [request.pending.id for request in gone if isinstance(request.pending, PendingRequest)]:
             self.listener.note("client-gone", requests=len(ids), ids=ids[:IDS_TOLD])
         for request in gone:
             self.let_go(request)
 
     def let_go(self, request: Request) -> None:
-        if isinstance(request.held, Held) and not request.held.settled:
-            request.held.left(time.monotonic_ns())
+        if isinstance(request.pending, PendingRequest) and not request.pending.is_settled:
+            request.pending.on_client_gone(time.monotonic_ns())
 
     def hear(self, kind: int, number: int, content: bytes) -> None:
         """One record. Raises ProtocolError."""
@@ -154,7 +154,7 @@
         request = Request(self, number, keep, now)
         if len(self.open) >= MOST_OPEN:
             self.offences += 1
-            self.listener.tally.note(now, "too-many-open")
+            self.listener.refusal_counters.record(now, "too-many-open")
             self.put(codec.response(number, MANY))
             return
         self.open[number] = request
@@ -177,7 +177,7 @@
     def stdin(self, request: Request, content: bytes) -> None:
         if request.told is None:
             raise ProtocolError("a body before the end of the parameters")
-        if request.held is not None:
+        if request.pending is not None:
             raise ProtocolError("a body after its end")
         if content:
             request.body += content
@@ -189,7 +189,7 @@
 
     def unfit(self, request: Request, problem: InvalidRequest) -> None:
         self.offences += 1
-        self.listener.tally.note(time.monotonic_ns(), "unfit")
+        self.listener.refusal_counters.record(time.monotonic_ns(), "unfit")
         self.listener.note("unfit", level="debug", problem=str(problem))
         request.respond(requests.invalid_response(problem))
 
@@ -227,7 +227,7 @@
     def look(self, now: int) -> None:
         """A limit has passed, or may have: what is overdue ends."""
         self.limit = now + connection_eviction.FIRST_ANSWER_TIMEOUT
-        for request in [each for each in self.open.values() if each.held is None]:
+        for request in [each for each in self.open.values() if each.pending is None]:
             if now - request.began >= connection_eviction.REQUEST_READ_TIMEOUT:
                 self.unfit(request, InvalidRequest(400, "the request did not end in time"))
             else:
--- a/threadshift/fastcgi/listener.py
+++ b/threadshift/fastcgi/listener.py
@@ -13,7 +13,7 @@
 from gevent import socket
 from gevent.pool import Group
 
-from threadshift.desk.desk import Desk, Held
+from threadshift.engine.engine import PendingRequest, RequestEngine
 from threadshift.fastcgi import codec, connection_eviction, requests
 from threadshift.fastcgi.codec import BEGIN, ProtocolError, Records
 from threadshift.fastcgi.connection import MOST_OPEN, READ, WRITE, Connection, Request
@@ -21,10 +21,10 @@
 from threadshift.fastcgi.requests import InvalidRequest
 from threadshift.interface import MS, SECOND, NamespaceType
 from threadshift.invoke.admission import Admission
-from threadshift.invoke.looks import STALL, Looks
-from threadshift.invoke.tally import Tally
+from threadshift.invoke.poll_monitor import STALL_THRESHOLD, PollMonitor
+from threadshift.invoke.refusal_counters import RefusalCounters
 from threadshift.links.sockets import BACKLOG, arriving, shows
-from threadshift.log import fault_of
+from threadshift.log import exception_fields
 
 LOOK = 100 * MS            # between two looks at all limits; they are of seconds
 ROOM_WAIT = 2 * MS         # for connections that make room to end
@@ -36,14 +36,14 @@
 CROWDED = "too-many-connections"
 
 
-def attempts_of(held: Held) -> list[str]:
+def attempts_of(pending: PendingRequest) -> list[str]:
     """The attempts of a request for its line in the log: worker, ms after the request was taken, outcome."""
-    return [f"{sent.worker} +{(sent.at - held.taken) // MS} {sent.outcome.value if sent.outcome else 'open'}"
-            for sent in held.sends]
+    return [f"{sent.worker} +{(sent.at - pending.admitted_at) // MS} {sent.outcome.value if sent.outcome else 'open'}"
+            for sent in pending.sends]
 
 
 class FastCgiListener:
-    """The listener and all connections; the desk's port to clients."""
+    """The listener and all connections; the engine's port to clients."""
 
     def __init__(self, max_connections: Callable[[], int], max_activations: int, types: dict[str, NamespaceType],
                  max_retry_advice: int, admission: Admission, front_end: FrontEnd, note: Callable[..., None],
@@ -51,19 +51,19 @@
         self.max_connections, self.max_activations, self.types, self.max_retry_advice = (
             max_connections, max_activations, types, max_retry_advice)
         self.admission, self.front_end, self.note, self.chance = admission, front_end, note, chance
-        self.looks, self.tally = Looks(), Tally()
+        self.poll_monitor, self.refusal_counters = PollMonitor(), RefusalCounters()
         self.connections: set[Connection] = set()
         self.greenlets = Group()
         self.postponed = PostponedRequests(self, self.greenlets.spawn)
         self.closing = False
         self.due = self.in_vain = 0
-        self.desk: Desk
+        self.engine: RequestEngine
 
     def accept(self, sock: socket.socket) -> None:
         for client in arriving(sock, self.note):
             self.wait_for_room()
             if len(self.connections) >= self.max_connections():
-                self.tally.note(time.monotonic_ns(), CROWDED)
+                self.refusal_counters.record(time.monotonic_ns(), CROWDED)
                 self.turn_away(client)
                 continue
             self.welcome(client)
@@ -96,7 +96,7 @@
 
     def welcome(self, client: socket.socket) -> None:
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        connection = Connection(client, self, self.looks.unread(time.monotonic_ns()))
+        connection = Connection(client, self, self.poll_monitor.unread_time(time.monotonic_ns()))
         self.connections.add(connection)
         self.greenlets.spawn(self.converse, connection)
 
@@ -119,7 +119,7 @@
         try:
             connection.serve()
         except Exception as fault:      # ours; it ends this connection alone, and loudly
-            self.note("fault", level="error", **fault_of(fault))
+            self.note("fault", level="error", **exception_fields(fault))
         finally:
             self.connections.discard(connection)
 
@@ -128,7 +128,7 @@
         told = request.told
         assert told is not None
         if told.get(b"SCRIPT_NAME") == requests.ALIVE_PATH:
-            request.held = True
+            request.pending = True
             request.respond(requests.OK_HEAD if self.front_end.ready() else self.busy("not-ready"))
             return
         # First, as what is refused must cost as little as can be: at the limit all else is work for nothing.
@@ -136,12 +136,12 @@
             self.refuse(request, OVERLOADED)
             return
         asked = requests.parse_request(told, request.body, self.types)
-        request.held, request.told, request.body = True, {}, b""
+        request.pending, request.told, request.body = True, {}, b""
         # It may have lain unread since the event loop looked last: its client's time ran all the while.
-        unread = max(unread, self.looks.unread(time.monotonic_ns()))
-        if unread < STALL and not self.front_end.list_is_stale() and not self.front_end.update_unread():
+        unread = max(unread, self.poll_monitor.unread_time(time.monotonic_ns()))
+        if unread < STALL_THRESHOLD and not self.front_end.list_is_stale() and not self.front_end.has_unread_update():
             self.let_in(request, asked, unread)
-        elif len(self.postponed) + len(self.desk.held) >= self.max_activations:
+        elif len(self.postponed) + len(self.engine.requests) >= self.max_activations:
             self.refuse(request, FULL, asked.ivk)
         else:
             self.postponed.add(request, asked, unread)
@@ -159,55 +159,55 @@
         self.refuse(request, LATE, asked.ivk)
 
     def take_postponed(self, request: Request, asked: requests.ParsedRequest, unread: int) -> None:
-        """A request that has waited long enough: refused, or the desk's from here on."""
+        """A request that has waited long enough: refused, or the engine's from here on."""
         try:
             self.let_in(request, asked, unread)
         except InvalidRequest as problem:
             request.connection.unfit(request, problem)
         except Exception as fault:      # ours; it ends this request alone, and loudly
-            self.note("fault", level="error", **fault_of(fault))
+            self.note("fault", level="error", **exception_fields(fault))
             self.refuse(request, FAULT)
 
     def let_in(self, request: Request, asked: requests.ParsedRequest, unread: int) -> None:
-        """Refused, or the desk's from here on. Raises InvalidRequest."""
-        if asked.ivk in self.desk.held:
+        """Refused, or the engine's from here on. Raises InvalidRequest."""
+        if asked.ivk in self.engine.requests:
             raise InvalidRequest(409, "a request with this id is open")
         call = asked.call._replace(left=asked.call.left - unread)
-        if self.closing or call.left <= 0 or len(self.desk.held) >= self.max_activations:
+        if self.closing or call.left <= 0 or len(self.engine.requests) >= self.max_activations:
             self.refuse(request, CLOSING if self.closing else LATE if call.left <= 0 else FULL, asked.ivk)
             return
-        request.held = self.desk.take(time.monotonic_ns(), asked.ivk, call, request)
+        request.pending = self.engine.admit(time.monotonic_ns(), asked.ivk, call, request)
 
     def refuse(self, request: Request, reason: str, id_: str = "") -> None:
         """Not taken: nothing ran, so trying again is harmless."""
         now = time.monotonic_ns()
-        self.tally.note(now, reason)
+        self.refusal_counters.record(now, reason)
         if id_:
             self.note("request-refused", reason=reason, id=id_, read_ms=(now - request.began) // MS)
-        request.held = True
+        request.pending = True
         request.respond(self.busy(reason))
 
     def busy(self, reason: str) -> bytes:
         return requests.unavailable_response(reason, int(self.max_retry_advice * (1 - self.chance() / 2)))
 
-    # The desk's port.
+    # The engine's port.
 
-    def left_unread(self, held: Held) -> bool:
-        connection = held.client.connection
+    def has_unread_disconnect(self, pending: PendingRequest) -> bool:
+        connection = pending.client.connection
         return connection.sock.fileno() < 0 or shows(connection.sock, select.POLLRDHUP)
 
-    def answered(self, held: Held) -> None:
-        answer = held.answer
+    def on_answered(self, pending: PendingRequest) -> None:
+        answer = pending.answer
         assert answer is not None
         if answer.reason != "completed":
-            self.tally.note(held.answered_at, f"{answer.final.value}-{answer.reason}")
-        if answer.reason != "completed" or len(held.sends) > 1:
-            self.note("request-ended", reason=answer.reason, id=held.ivk, type=held.call.type,
-                      answer=answer.final.value, after_ms=(held.answered_at - held.taken) // MS,
-                      left_ms=held.time_left(held.answered_at) // MS, attempts=attempts_of(held))
-        held.client.respond(requests.final_response(answer))
-
-    def over(self, held: Held) -> None:
+            self.refusal_counters.record(pending.answered_at, f"{answer.final.value}-{answer.reason}")
+        if answer.reason != "completed" or len(pending.sends) > 1:
+            self.note("request-ended", reason=answer.reason, id=pending.id, type=pending.call.type,
+                      answer=answer.final.value, after_ms=(pending.answered_at - pending.admitted_at) // MS,
+                      left_ms=pending.time_left(pending.answered_at) // MS, attempts=attempts_of(pending))
+        pending.client.respond(requests.final_response(answer))
+
+    def on_finished(self, pending: PendingRequest) -> None:
         """Nothing is kept beyond the handle."""
 
     # Time.
@@ -240,5 +240,5 @@
         self.tell_turned_away(time.monotonic_ns(), all_=True)
 
     def tell_turned_away(self, now: int, all_: bool = False) -> None:
-        for line in self.tally.tell(now, all_):
+        for line in self.refusal_counters.due_reports(now, all_):
             self.note("turned-away", level="warning", **line)
--- a/threadshift/fastcgi/postponed.py
+++ b/threadshift/fastcgi/postponed.py
@@ -20,9 +20,9 @@
 
 from threadshift.fastcgi.requests import ParsedRequest
 from threadshift.interface import MS, SECOND
-from threadshift.invoke.looks import SETTLE
+from threadshift.invoke.poll_monitor import CATCH_UP_TIME
 
-MAX_READ_WAIT = 5 * SETTLE  # until a connection has been read empty; one that is flooded never is
+MAX_READ_WAIT = 5 * CATCH_UP_TIME  # until a connection has been read empty; one that is flooded never is
 ANSWER_MARGIN = 20 * MS     # before the end of a request's time, by when it is refused: two reviews
 
 
@@ -48,7 +48,7 @@
 
     def ready(self) -> bool: ...
     def list_is_stale(self) -> bool: ...        # no coordinator has answered since the start
-    def update_unread(self) -> bool: ...        # an update of the worker list has arrived and is not read yet
+    def has_unread_update(self) -> bool: ...    # an update of the worker list has arrived and is not read yet
 
 
 class Owner(Protocol):
@@ -82,7 +82,7 @@
     def run(self) -> None:
         """Reviews the waiting requests until there is none."""
         while self.waiting:
-            gevent.sleep(SETTLE / SECOND)
+            gevent.sleep(CATCH_UP_TIME / SECOND)
             self.review(time.monotonic_ns())
 
     def review(self, now: int) -> None:
@@ -102,4 +102,4 @@
     def has_unread_input(self, each: Postponed, now: int) -> bool:
         """Tells whether input that arrived after the request, or an update of the worker list, is still unread."""
         return now - each.since < MAX_READ_WAIT and (
-            self.owner.front_end.update_unread() or self.owner.unread_on(each.request))
+            self.owner.front_end.has_unread_update() or self.owner.unread_on(each.request))
--- a/threadshift/fastcgi/requests.py
+++ b/threadshift/fastcgi/requests.py
@@ -10,8 +10,8 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from threadshift.desk.desk import Answer, Call, Final
-from threadshift.errors import Cause
+from threadshift.engine.engine import Answer, Call, FinalKind
+from threadshift.errors import ThreadshiftError
 from threadshift.fastcgi.codec import ProtocolError, pairs
 from threadshift.interface import MS, SECOND, NamespaceType
 
@@ -34,7 +34,7 @@
     b"HTTP_X_SIZE_MS", b"HTTP_X_SPEC", b"HTTP_X_TEAM", b"HTTP_X_UNIQUE"}
 
 
-class InvalidRequest(Cause):
+class InvalidRequest(ThreadshiftError):
     """A request that is refused for its content: an HTTP status of 400 and up, and one sentence."""
 
     help = "none: its client is told what is wrong with it"
@@ -143,8 +143,8 @@
 
 def final_response(answer: Answer) -> bytes:
     """Returns the response that carries a final answer."""
-    if answer.final is Final.COMPLETED:
+    if answer.final is FinalKind.COMPLETED:
         return OK_HEAD + answer.body
-    if answer.final is Final.REJECTED:
-        return unavailable_response(answer.reason, answer.come_back)
+    if answer.final is FinalKind.REJECTED:
+        return unavailable_response(answer.reason, answer.retry_after)
     return text_response(b"502 Bad Gateway", answer.reason)
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -17,49 +17,51 @@
 from threadshift.conf.values import Address
 from threadshift.frames import pool
 from threadshift.frames.codec import (
-    ASK, ERROR, FINE, FULL, GIVE_UP, HOLD, INVOKE, MISS, OK, OVER, UNWELL, Answer, Frames, NotFrames, encode)
+    CANCEL, ERROR, EXPIRED, FULL, HEALTHY, INVOKE, LOAD, MISS, OK, PROBE, UNHEALTHY, Frame, FrameDecoder,
+    ProtocolError, encode)
 from threadshift.interface import MS, SECOND, Copy, Outcome
-from threadshift.links.redial import Redial
+from threadshift.links.redial import ReconnectBackoff
 from threadshift.links.sockets import Outgoing, connect, shows, since_ready
-from threadshift.log import fault_of
+from threadshift.log import exception_fields
 
 READ = 16 << 10            # bytes a read: many usual answers, and little memory a connection
-MOST_USED = 128            # ids remembered a connection that may not go over it again
-COPIES = {"reused": Copy.FOUND, "init": Copy.BEGAN, "shared_init": Copy.WAITED, "init_error": Copy.LOAD_FAILED}
-ENDS = {OK: Outcome.COMPLETED, MISS: Outcome.MISS, FULL: Outcome.FULL, ERROR: Outcome.ERROR, OVER: Outcome.MOOT}
+MAX_USED_IDS = 128         # ids remembered a connection that may not go over it again
+COPIES = {"reused": Copy.FOUND, "init": Copy.LOAD_STARTED, "shared_init": Copy.WAITED, "init_error": Copy.LOAD_FAILED}
+ENDS = {OK: Outcome.COMPLETED, MISS: Outcome.MISS, FULL: Outcome.FULL, ERROR: Outcome.ERROR,
+        EXPIRED: Outcome.NEVER_SENT}
 ORDERS = {OK: Outcome.COMPLETED, FULL: Outcome.FULL, ERROR: Outcome.ERROR}
-PROBES = (FINE, UNWELL)
+PROBES = (HEALTHY, UNHEALTHY)
 
 
-class Told(NamedTuple):
+class LinkSettings(NamedTuple):
     """What is told of workers' connections at start, and bounds derived from it."""
 
-    connect: int         # ns until a connection that is not up counts as unreachable
-    write: int           # ns without progress until one that takes no bytes is broken off
-    idle: int            # ns after which workers close an idle one
-    streams: int         # sends on one at once
-    most: int            # connections to each worker
-    shared: int          # sends on each from which another is dialled
-    buffer: int          # bytes waiting to be written to one
-    body: int            # bytes of an answer's body
+    connect_timeout: int     # ns until a connection that is not up counts as unreachable
+    write_timeout: int       # ns without progress until one that takes no bytes is broken off
+    idle_timeout: int        # ns after which workers close an idle one
+    max_sends: int           # sends on one at once
+    max_connections: int     # connections to each worker
+    dial_threshold: int      # sends on each from which another is dialled
+    max_buffered: int        # bytes waiting to be written to one
+    max_body: int            # bytes of an answer's body
 
 
 class Owner(Protocol):
-    """Whose link it is. settle() is called before what answers bring, or a dial that came up, is
-    acted upon: it may wait a moment. room() makes room for one
+    """Whose link it is. catch_up_after_stall() is called before what answers bring, or a dial that came up, is
+    acted upon: it may wait a moment. make_room_for_connection() makes room for one
     more connection, by ending others only where it is wanted for something that waits; False where there is none.
     dials_ahead() tells whether connections are dialled before anything waits for them: not where workers are too many
     to have one each. Each dial is counted as a connection from its begin on."""
 
-    def settle(self) -> None: ...
-    def room(self, wanted: bool) -> bool: ...
+    def catch_up_after_stall(self) -> None: ...
+    def make_room_for_connection(self, wanted: bool) -> bool: ...
     def dials_ahead(self) -> bool: ...
     def connection_opened(self, link: Link) -> None: ...
     def connection_closed(self, link: Link) -> None: ...
     def note(self, event: str, **fields: Any) -> None: ...
 
 
-def request(id_: bytes, call: Any, left: int) -> bytes:
+def invoke_frame(id_: bytes, call: Any, left: int) -> bytes:
     """The frame of a send with so much time left."""
     fields = f"class={call.type},key={call.function},wait={max(1, left // MS)}"
     if call.mark:
@@ -67,154 +69,155 @@
     return encode(INVOKE, id_, fields, call.body)
 
 
-def frame_of_order(id_: bytes, asked: Any) -> bytes:
+def order_frame(id_: bytes, asked: Any) -> bytes:
     """The frame of a load order, or of a question for a report."""
-    return encode(HOLD, id_, f"key={asked.fn},n=1") if asked.fn else encode(ASK, id_)
+    return encode(LOAD, id_, f"key={asked.function},n=1") if asked.function else encode(PROBE, id_)
 
 
-def request_now(id_: bytes, held: Any) -> bytes:
+def current_invoke_frame(id_: bytes, pending: Any) -> bytes:
     """The frame of a send that has waited: it says how much time is left now."""
-    return request(id_, held.call, held.time_left(time.monotonic_ns()))
+    return invoke_frame(id_, pending.call, pending.time_left(time.monotonic_ns()))
 
 
 class Connection(Outgoing):
     """One connection to a worker."""
 
-    def __init__(self, sock: socket.socket, told: Told):
-        super().__init__(sock, told.buffer, told.write)
-        self.waiting: dict[bytes, Any] = {}     # (held, number) of a send, or an Asked
-        self.used: dict[bytes, None] = {}
-        self.proven = self.doubted = False
-        self.heard = time.monotonic_ns()
+    def __init__(self, sock: socket.socket, settings: LinkSettings):
+        super().__init__(sock, settings.max_buffered, settings.write_timeout)
+        self.in_flight: dict[bytes, Any] = {}   # (pending, number) of a send, or an Asked
+        self.used_ids: dict[bytes, None] = {}
+        self.has_answered = self.suspected = False
+        self.last_received_at = time.monotonic_ns()
         self.reader: gevent.Greenlet | None = None
 
     def refresh(self) -> None:
         """Requests that waited for the socket say how much time is left now, not when they were queued."""
         for id_ in self.outbox.unwritten:
-            what = self.waiting.get(id_)
+            what = self.in_flight.get(id_)
             if isinstance(what, tuple):
-                self.outbox.replace(id_, request_now(id_, what[0]))
+                self.outbox.replace(id_, current_invoke_frame(id_, what[0]))
 
 
 class Link:
     """All connections to one worker."""
 
-    def __init__(self, worker: str, address: Address, told: Told, owner: Owner, chance: Callable[[], float],
-                 bits: Callable[[int], int]):
-        self.worker, self.address, self.told, self.owner, self.bits = worker, address, told, owner, bits
+    def __init__(self, worker: str, address: Address, settings: LinkSettings, owner: Owner,
+                 chance: Callable[[], float], bits: Callable[[int], int]):
+        self.worker, self.address, self.settings, self.owner, self.bits = worker, address, settings, owner, bits
         self.note = owner.note
-        self.redial = Redial(chance)
-        self.not_before = 0
+        self.backoff = ReconnectBackoff(chance)
+        self.dial_not_before = 0
         self.connections: list[Connection] = []
-        self.queue: dict[bytes, Any] = {}       # what waits for the first connection, as in Connection.waiting
-        self.ways: dict[tuple[str, int], tuple[Connection | None, bytes]] = {}   # where a send waits, for cancels
+        self.queue: dict[bytes, Any] = {}       # what waits for the first connection, as in Connection.in_flight
+        self.routes: dict[tuple[str, int], tuple[Connection | None, bytes]] = {}   # where a send waits, for cancels
         self.dialler: gevent.Greenlet | None = None
         self.stopped = False
         if owner.dials_ahead():
             self.dial()
 
-    # What the desk's port asks for.
+    # What the engine's port asks for.
 
-    def invoke(self, held: Any, number: int, left: int) -> Outcome | None:
-        id_ = bytes.fromhex(held.ivk)
-        outcome = self.place(id_, (held, number), request(id_, held.call, left))
-        if self.connections and pool.another(self.connections, self.dialler is not None, self.told.most,
-                                             self.told.shared):
+    def invoke(self, pending: Any, number: int, left: int) -> Outcome | None:
+        id_ = bytes.fromhex(pending.id)
+        outcome = self.transmit(id_, (pending, number), invoke_frame(id_, pending.call, left))
+        if self.connections and pool.should_dial(
+                self.connections, self.dialler is not None, self.settings.max_connections,
+                self.settings.dial_threshold):
             self.dial()
         return outcome
 
-    def place(self, id_: bytes, what: Any, frame: bytes) -> Outcome | None:
+    def transmit(self, id_: bytes, what: Any, frame: bytes) -> Outcome | None:
         """Puts a frame on the connection that fits and notes where it waits: the one way for all frames that are
         answered. Idle connections that were closed meanwhile are ended on the way. Nothing of a request whose time
         is up while it waited here is written."""
         if isinstance(what, tuple) and what[0].time_left(time.monotonic_ns()) <= 0:
-            return Outcome.MOOT
-        while (connection := pool.fit(self.connections, id_, self.told.streams)) is not None and (
-                not connection.waiting and self.closed(connection)):
-            self.end(connection)
+            return Outcome.NEVER_SENT
+        while (connection := pool.choose_connection(self.connections, id_, self.settings.max_sends)) is not None and (
+                not connection.in_flight and self.is_closing(connection)):
+            self.close_connection(connection)
         if connection is None and (isinstance(what, tuple) or not (self.connections or self.owner.dials_ahead())):
-            return self.wait_for_dial(what, id_)
+            return self.queue_until_connected(what, id_)
         if connection is None or not connection.outbox.put(id_, frame):
             if not self.connections:
                 self.dial()
             return Outcome.UNREACHABLE      # a worker that does not read: what fits no more never left
-        connection.waiting[id_] = what
-        connection.used[id_] = None
-        if len(connection.used) > MOST_USED:
-            del connection.used[next(iter(connection.used))]
+        connection.in_flight[id_] = what
+        connection.used_ids[id_] = None
+        if len(connection.used_ids) > MAX_USED_IDS:
+            del connection.used_ids[next(iter(connection.used_ids))]
         connection.write()
         if isinstance(what, tuple):
-            self.ways[what[0].ivk, what[1]] = connection, id_
+            self.routes[what[0].id, what[1]] = connection, id_
         elif connection.outbox.withdraw(id_):
             # An order or a question leaves at once or not at all: late ones would come to the worker in a bunch.
-            del connection.waiting[id_]
+            del connection.in_flight[id_]
             return Outcome.UNREACHABLE
         return None
 
-    def wait_for_dial(self, what: Any, id_: bytes) -> Outcome | None:
-        if self.stopped or time.monotonic_ns() < self.not_before or id_ in self.queue or (
-                len(self.connections) >= self.told.most and not self.make_room()):
+    def queue_until_connected(self, what: Any, id_: bytes) -> Outcome | None:
+        if self.stopped or time.monotonic_ns() < self.dial_not_before or id_ in self.queue or (
+                len(self.connections) >= self.settings.max_connections and not self.close_idle_connection()):
             return Outcome.UNREACHABLE
-        if len(self.queue) >= self.told.streams:
+        if len(self.queue) >= self.settings.max_sends:
             return Outcome.UNREACHABLE      # more than one connection takes: it never left
         self.queue[id_] = what
         if isinstance(what, tuple):
-            self.ways[what[0].ivk, what[1]] = None, id_
+            self.routes[what[0].id, what[1]] = None, id_
         self.dial()
         return None
 
-    def make_room(self) -> bool:
+    def close_idle_connection(self) -> bool:
         """Ends a connection that carries nothing, where all that there may be stand and none can be used."""
         for connection in self.connections:
-            if not connection.waiting:
-                self.end(connection)
+            if not connection.in_flight:
+                self.close_connection(connection)
                 return True
         return False
 
-    def order(self, asked: Any) -> Outcome | None:
-        id_ = self.number()
-        return self.place(id_, asked, frame_of_order(id_, asked))
+    def order_load(self, asked: Any) -> Outcome | None:
+        id_ = self.new_id()
+        return self.transmit(id_, asked, order_frame(id_, asked))
 
-    def ask(self, asked: Any) -> Outcome | None:
-        return self.order(asked)
+    def probe(self, asked: Any) -> Outcome | None:
+        return self.order_load(asked)
 
-    def number(self) -> bytes:
+    def new_id(self) -> bytes:
         """An id of our own, which meets no other that is open here."""
         while True:
             id_ = self.bits(64).to_bytes(8, "big")
-            if id_ not in self.queue and not any(id_ in each.waiting for each in self.connections):
+            if id_ not in self.queue and not any(id_ in each.in_flight for each in self.connections):
                 return id_
 
-    def closed(self, connection: Connection) -> bool:
+    def is_closing(self, connection: Connection) -> bool:
         """Whether the peer has closed an idle connection, seen or not, or is about to: nothing is written on it."""
-        if pool.stale(time.monotonic_ns(), connection.heard, self.told.idle):
+        if pool.is_idle_timeout_near(time.monotonic_ns(), connection.last_received_at, self.settings.idle_timeout):
             return True
         return shows(connection.sock, select.POLLRDHUP)
 
-    def cancel(self, held: Any, number: int, tell: bool) -> Outcome:
+    def cancel(self, pending: Any, number: int, tell: bool) -> Outcome:
         """Stops waiting for a send. MOOT where it never left. The worker is told in any case, or it works on."""
-        if self.withdraw(held, number):
-            return Outcome.MOOT
-        connection, id_ = self.ways.pop((held.ivk, number), (None, b""))
-        if connection is None or connection.waiting.pop(id_, None) is None:
+        if self.withdraw(pending, number):
+            return Outcome.NEVER_SENT
+        connection, id_ = self.routes.pop((pending.id, number), (None, b""))
+        if connection is None or connection.in_flight.pop(id_, None) is None:
             return Outcome.CANCELLED
         left = connection.outbox.left.pop(id_, 0)
-        if connection.outbox.put(None, encode(GIVE_UP, id_)):
+        if connection.outbox.put(None, encode(CANCEL, id_)):
             connection.write()
-        connection.doubted = connection.doubted or pool.doubt(connection.heard, left)
-        if connection.doubted and not connection.waiting:
-            self.end(connection)
+        connection.suspected = connection.suspected or pool.is_suspected(connection.last_received_at, left)
+        if connection.suspected and not connection.in_flight:
+            self.close_connection(connection)
         return Outcome.CANCELLED
 
-    def withdraw(self, held: Any, number: int) -> bool:
+    def withdraw(self, pending: Any, number: int) -> bool:
         """Takes back a send of which nothing has left, not even where it waits for a dial; False where it has."""
-        connection, id_ = self.ways.get((held.ivk, number), (None, b""))
+        connection, id_ = self.routes.get((pending.id, number), (None, b""))
         if not id_ or (self.queue.pop(id_, None) is None if connection is None
                        else not connection.outbox.withdraw(id_)):
             return False
         if connection is not None:
-            del connection.waiting[id_]
-        del self.ways[held.ivk, number]
+            del connection.in_flight[id_]
+        del self.routes[pending.id, number]
         return True
 
     def take_back(self) -> None:
@@ -223,16 +226,16 @@
         now = time.monotonic_ns()
         queued, self.queue = [*self.queue.values()], {}
         for connection in self.connections:
-            for id_, what in list(connection.waiting.items()):
+            for id_, what in list(connection.in_flight.items()):
                 if connection.outbox.withdraw(id_):
-                    del connection.waiting[id_]
+                    del connection.in_flight[id_]
                     queued.append(what)
         for what in queued:
             self.finish(what, now, Outcome.UNREACHABLE)
 
     @property
     def busy(self) -> bool:
-        return bool(self.queue) or any(each.waiting for each in self.connections)
+        return bool(self.queue) or any(each.in_flight for each in self.connections)
 
     @property
     def up(self) -> bool:
@@ -240,10 +243,10 @@
 
     def finish(self, what: Any, now: int, outcome: Outcome) -> None:
         if isinstance(what, tuple):
-            self.ways.pop((what[0].ivk, what[1]), None)
-            what[0].returned(now, what[1], outcome)
+            self.routes.pop((what[0].id, what[1]), None)
+            what[0].on_send_ended(now, what[1], outcome)
         else:
-            what.answered(now, outcome)
+            what.on_answered(now, outcome)
 
     # The connections.
 
@@ -262,20 +265,20 @@
         """Brings one more connection up; while there is none, tries again after pauses."""
         problem = ""
         while not self.stopped:
-            gevent.sleep(max(0, self.not_before - time.monotonic_ns()) / SECOND)
+            gevent.sleep(max(0, self.dial_not_before - time.monotonic_ns()) / SECOND)
             try:
-                if not self.owner.room(bool(self.queue)):
+                if not self.owner.make_room_for_connection(bool(self.queue)):
                     if not self.queue:
                         self.end_dial()         # dialled once something waits for it
                         return
                     raise OSError("no descriptor is free for it")
-                sock = connect(self.address, self.told.connect)
+                sock = connect(self.address, self.settings.connect_timeout)
                 break
             except OSError as failed:
                 if self.queue:
-                    self.owner.settle()
+                    self.owner.catch_up_after_stall()
                 now = time.monotonic_ns()
-                self.not_before = self.redial.broke(now)
+                self.dial_not_before = self.backoff.on_disconnected(now)
                 if not problem:
                     problem = str(failed)
                     self.note("link-down", worker=self.worker, problem=problem, sends=len(self.queue))
@@ -288,27 +291,28 @@
         else:
             return
         if self.queue:
-            self.owner.settle()             # word that a client is gone, or that the worker drains, may lie unread
+            # word that a client is gone, or that the worker drains, may lie unread
+            self.owner.catch_up_after_stall()
         if self.stopped:
             sock.close()                    # while it came up; it is counted no more
             return
         sock.settimeout(None)               # silence of a worker is judged by the decisions alone
-        connection = Connection(sock, self.told)
-        self.redial.up(connection.heard)
+        connection = Connection(sock, self.settings)
+        self.backoff.on_connected(connection.last_received_at)
         self.connections.append(connection)
         self.dialler = None
         connection.reader = gevent.spawn(self.read, connection)
         queued, self.queue = self.queue, {}
         for id_, what in queued.items():
-            if not isinstance(what, tuple) and what.over:
+            if not isinstance(what, tuple) and what.is_done:
                 continue                        # its time is up
             # The time that is left is told as it is now, or the worker would work on for nobody.
-            frame = request_now(id_, what[0]) if isinstance(what, tuple) else frame_of_order(id_, what)
-            if (outcome := self.place(id_, what, frame)) is not None:
+            frame = current_invoke_frame(id_, what[0]) if isinstance(what, tuple) else order_frame(id_, what)
+            if (outcome := self.transmit(id_, what, frame)) is not None:
                 self.finish(what, time.monotonic_ns(), outcome)
 
     def read(self, connection: Connection) -> None:
-        frames, problem, answers = Frames(self.told.body), "", []
+        frames, problem, answers = FrameDecoder(self.settings.max_body), "", []
         sock = connection.sock
         try:
             while not problem:
@@ -316,78 +320,78 @@
                     data = sock.recv(READ)
                     if not data:
                         break
-                    connection.heard = time.monotonic_ns()
+                    connection.last_received_at = time.monotonic_ns()
                     answers = frames.feed(data)
-                except NotFrames as refused:
+                except ProtocolError as refused:
                     problem, answers = str(refused), getattr(refused, "before", [])
                 if answers:
-                    self.owner.settle()
+                    self.owner.catch_up_after_stall()
                 for answer in answers:
-                    self.hear(connection, answer)
-        except (OSError, NotFrames) as failed:
+                    self.on_frame(connection, answer)
+        except (OSError, ProtocolError) as failed:
             problem = str(failed) or type(failed).__name__
         except Exception as fault:          # ours; loud, and what waits here is not left waiting
-            self.note("fault", level="error", **fault_of(fault))
+            self.note("fault", level="error", **exception_fields(fault))
             problem = "a fault of ours"
-        connection.doubted = True           # carries nothing new while settle() waits
-        if connection.waiting:
-            self.owner.settle()
-        self.broke(connection, problem or ("closed inside a frame" if frames.torn else ""))
+        connection.suspected = True         # carries nothing new while catch_up_after_stall() waits
+        if connection.in_flight:
+            self.owner.catch_up_after_stall()
+        self.on_connection_lost(connection, problem or ("closed inside a frame" if frames.torn else ""))
 
-    def hear(self, connection: Connection, it: Answer) -> None:
+    def on_frame(self, connection: Connection, it: Frame) -> None:
         """One answer as the call on the handle that it belongs to; one that nobody waits for is dropped."""
-        what = connection.waiting.get(it.id)
+        what = connection.in_flight.get(it.id)
         if what is None:
             return
         now = time.monotonic_ns()
         if it.code not in (ENDS if isinstance(what, tuple) else ORDERS if what.fn else PROBES):
-            raise NotFrames(f"code {it.code} answers something else")
+            raise ProtocolError(f"code {it.code} answers something else")
         load = report(it.fields["stats"], ";") if "stats" in it.fields else None
         if isinstance(what, tuple):
-            copy = COPIES.get(it.fields.get("how", ""), Copy.UNTOLD)
+            copy = COPIES.get(it.fields.get("how", ""), Copy.UNKNOWN)
         elif what.fn:
             copies = it.fields.get("n", "0")
             if not (copies.isascii() and copies.isdigit() and len(copies) < 6):
-                raise NotFrames(f"n={copies[:20]} is no number of copies")
-        del connection.waiting[it.id]
-        connection.proven = True
+                raise ProtocolError(f"n={copies[:20]} is no number of copies")
+        del connection.in_flight[it.id]
+        connection.has_answered = True
         left = connection.outbox.left.pop(it.id, now)
         if isinstance(what, tuple):
-            held, number = what
-            self.ways.pop((held.ivk, number), None)
+            pending, number = what
+            self.routes.pop((pending.id, number), None)
             # What we held it up ourselves is not the worker's, or at our own limit every worker would look slow.
-            held.returned(now, number, ENDS[it.code], body=it.body, copy=copy, report=load,
+            pending.on_send_ended(now, number, ENDS[it.code], body=it.body, copy=copy, report=load,
                           waited=max(0, now - since_ready() - left))
         elif what.fn:
-            what.answered(now, ORDERS[it.code], copies=int(copies))
+            what.on_answered(now, ORDERS[it.code], copies=int(copies))
         else:
-            what.answered(now, Outcome.COMPLETED, report=load)
-        if connection.doubted and not connection.waiting:
-            connection.doubted = False       # it lives: what was given up was slow
+            what.on_answered(now, Outcome.COMPLETED, report=load)
+        if connection.suspected and not connection.in_flight:
+            connection.suspected = False      # it lives: what was given up was slow
 
-    def broke(self, connection: Connection, problem: str) -> None:
+    def on_connection_lost(self, connection: Connection, problem: str) -> None:
         """Ends what waits on one connection: what never left goes over another, the rest may have run."""
         if connection not in self.connections:
             return
-        ended = list(connection.waiting.items())
+        ended = list(connection.in_flight.items())
         frames = {key: entry[1] for key, entry in connection.outbox.unwritten.items()}
-        self.end(connection)
+        self.close_connection(connection)
         now = time.monotonic_ns()
         if problem or ended:
             self.note("link-broke", worker=self.worker, problem=problem or "closed", sends=len(ended))
         if not self.connections and not self.stopped:
-            self.not_before = self.redial.broke(now) if problem or ended else now
+            self.dial_not_before = self.backoff.on_disconnected(now) if problem or ended else now
             if self.owner.dials_ahead():
                 self.dial()
         for id_, what in ended:
             if id_ not in frames:
                 self.finish(what, now, Outcome.RESET)
                 continue
-            frame = request_now(id_, what[0]) if isinstance(what, tuple) else frames[id_]
-            if (outcome := self.place(id_, what, frame)) is not None:
+            frame = current_invoke_frame(id_, what[0]) if isinstance(what, tuple) else frames[id_]
+            if (outcome := self.transmit(id_, what, frame)) is not None:
                 self.finish(what, now, outcome)
 
-    def end(self, connection: Connection) -> None:
+    def close_connection(self, connection: Connection) -> None:
         """Closes one connection, on which nothing counts any more."""
         if connection in self.connections:
             self.connections.remove(connection)
@@ -397,7 +401,7 @@
         if connection.reader is not None and connection.reader is not gevent.getcurrent():
             connection.reader.kill(block=False)
         connection.sock.close()
-        connection.waiting, connection.used = {}, {}
+        connection.in_flight, connection.used_ids = {}, {}
         connection.outbox.clear()
 
     def stop(self) -> None:
@@ -408,4 +412,4 @@
             self.end_dial()
         self.take_back()
         for connection in list(self.connections):
-            self.broke(connection, "stopped")
+            self.on_connection_lost(connection, "stopped")
--- a/threadshift/gateway/hall.py
+++ b/threadshift/gateway/service_announcer.py
@@ -15,28 +15,29 @@
 from threadshift.gateway.fitness import fitness
 from threadshift.interface import MS
 
-EVERY = 50 * MS            # between two looks: a quarter of the shortest time that any sign must stand
-WORDS = {"announce": Standing.FULL, "last-resort": Standing.LAST, "withdraw": Standing.WITHDRAWN, "auto": None}
+CHECK_INTERVAL = 50 * MS   # a quarter of the shortest time for which any sign must persist
+OPERATOR_ORDERS = {
+    "announce": Standing.FULL, "last-resort": Standing.LAST, "withdraw": Standing.WITHDRAWN, "auto": None}
 
 
 class Announced(Protocol):
     """The front end whose service is announced, as far as its signs go."""
 
     told: Any
-    desk: Any
+    engine: Any
     links: dict[str, Any]
     listeners: list[Any]
     admission: Any
     arrivals: Any
     recent: Any
-    roster_said: int
+    list_applied_at: int
     roster_lost: bool
     chance: Callable[[], float]
 
     def note(self, event: str, **fields: Any) -> None: ...
 
 
-class Hall:
+class ServiceAnnouncer:
     """The announcements of one front end."""
 
     def __init__(self, front: Announced):
@@ -66,7 +67,7 @@
     def tick(self, now: int) -> None:
         if now < self.next:
             return
-        self.next = now + EVERY
+        self.next = now + CHECK_INTERVAL
         self.drain.tick(now, self.front.arrivals.per_second(now), self.front.arrivals.last,
                         bool(self.speaker.established))
         heard = self.speaker.heard.of if self.told.reflects else None
@@ -82,11 +83,11 @@
     def signs(self, now: int) -> Signs:
         """What this front end knows of itself."""
         front = self.front
-        fleet = fitness(front.desk.dispatcher, lambda name: name in front.links and front.links[name].up, now)
+        fleet = fitness(front.engine.dispatcher, lambda name: name in front.links and front.links[name].up, now)
         return Signs(
-            listening=all(sock.fileno() >= 0 for sock in front.listeners), lag=int(front.admission.lag),
-            roster_age=now - front.roster_said if front.roster_lost else 0, **fleet._asdict(),
-            asked_per_s=front.recent.per_second(now), refused=front.admission.part,
+            listening=all(sock.fileno() >= 0 for sock in front.listeners), lag=int(front.admission.smoothed_lag),
+            roster_age=now - front.list_applied_at if front.roster_lost else 0, **fleet._asdict(),
+            asked_per_s=front.recent.per_second(now), refused=front.admission.refused_share,
             service=front.recent.service(now), drain=self.drain.standing)
 
     def wanted(self, them: Them) -> dict[Prefix, Path]:
@@ -107,7 +108,7 @@
                 raise KeyError(prefix)
             wanted = [one]
         for each in wanted:
-            self.announcer.say(each, WORDS[word])
+            self.announcer.say(each, OPERATOR_ORDERS[word])
         self.next = 0
         self.tick(time.monotonic_ns())
         return [str(each) for each in wanted]
--- a/threadshift/gateway/supervisor.py
+++ b/threadshift/gateway/supervisor.py
@@ -13,7 +13,7 @@
 from contextlib import suppress
 
 from threadshift.conf.installation import Installation
-from threadshift.gateway.restarts import Restarts
+from threadshift.gateway.restart_backoff import RestartBackoff
 from threadshift.interface import MS, SECOND
 from threadshift.log import Log
 
@@ -27,7 +27,7 @@
     """One front end: the process that serves, one that drains, and one that is to take over."""
 
     def __init__(self, told: Installation, index: int, log: Log):
-        self.told, self.index, self.log, self.restarts = told, index, log, Restarts()
+        self.told, self.index, self.log, self.restarts = told, index, log, RestartBackoff()
         self.name = told.front_end(index)
         self.process: subprocess.Popen | None = None
         self.coming: subprocess.Popen | None = None
@@ -36,25 +36,26 @@
         self.due = 0
         self.swap = None
         if told.peering is not None:
-            from threadshift.gateway.versions import Versions     # only where front ends hold anything in common
+            # Imported only where front ends hold anything in common.
+            from threadshift.gateway.version_files import VersionFiles
             from threadshift.rollout.swap import Swap, Wanted
-            self.versions = Versions(told.peering.folder, self.name)
+            self.versions = VersionFiles(told.peering.folder, self.name)
             self.installed = Wanted(conf=told.file)
-            it = self.versions.wanted()
-            good = it is not None and it.version != self.versions.failed() and os.path.exists(it.conf)
+            it = self.versions.read_wanted()
+            good = it is not None and it.version != self.versions.read_failed() and os.path.exists(it.conf)
             self.swap = Swap(it if it is not None and good else self.installed)
 
     def spawn(self, conf: str, version: str = "", tree: str = "", ready: int = -1) -> subprocess.Popen:
         command = ["front-end", conf or self.told.file, "--index", str(self.index)]
         if self.swap is None:
             return subprocess.Popen([sys.executable, "-m", "threadshift", *command], stdin=subprocess.PIPE)
-        from threadshift.gateway.rolling import environment, program
+        from threadshift.gateway.rollout_service import environment, program
         more = ["--version", version, *(["--ready-fd", str(ready)] if ready >= 0 else [])]
         return subprocess.Popen([*program(tree), *command, *more], stdin=subprocess.PIPE, env=environment(tree),
                                 pass_fds=[ready] if ready >= 0 else [])
 
     def start(self) -> None:
-        self.restarts.start(time.monotonic_ns())
+        self.restarts.on_started(time.monotonic_ns())
         if self.swap is None:
             self.process = self.spawn(self.told.file)
         else:
@@ -71,7 +72,7 @@
             code = self.process.returncode
             self.process = None
             if not ending:
-                self.due = self.restarts.died(now)
+                self.due = self.restarts.on_died(now)
                 self.log.note("front-end-died", level="error", index=self.index, code=code,
                               again_ms=(self.due - now) // MS)
                 if self.swap is not None:
@@ -93,7 +94,7 @@
         swap = self.swap
         assert swap is not None
         acts = swap.tick(now)
-        if (it := self.versions.wanted()) is not None:
+        if (it := self.versions.read_wanted()) is not None:
             acts += swap.wanted(now, it)
         if self.coming is not None:
             if self.coming.poll() is not None:
@@ -119,7 +120,7 @@
                     self.process.send_signal(signal.SIGTERM)
                     self.old.append((self.process, now + self.told.bounds.drain + KILL_AFTER))
                 self.process, self.coming = self.coming, None
-                self.restarts.start(now)
+                self.restarts.on_started(now)
                 os.close(self.ready)
             elif act is Act.GIVE_UP and self.coming is not None:
                 self.coming.kill()
@@ -134,7 +135,7 @@
             self.log.note("version-failed", level="error", index=self.index, version=version,
                           runs=self.swap.running.version, help="see the log of the child that did not come up")
             with suppress(OSError):
-                self.versions.note_failed(version)
+                self.versions.write_failed(version)
 
 
 class Supervisor:
--- a/threadshift/interface.py
+++ b/threadshift/interface.py
@@ -30,21 +30,21 @@
     UNREACHABLE = "unreachable"  # no connection; it never ran
     RESET = "reset"              # the connection broke under it; it may have run
     CANCELLED = "cancelled"      # we gave up waiting; it may have run
-    MOOT = "moot"                # never left the front end
+    NEVER_SENT = "moot"                # never left the front end
     MISS = "miss"                # no copy there, and no load under way that succeeded
 
 
 class Copy(Enum):
     """What an answer says about the copy that served it."""
 
-    UNTOLD = "untold"
+    UNKNOWN = "untold"
     FOUND = "found"
-    BEGAN = "began"
+    LOAD_STARTED = "began"
     WAITED = "waited"
     LOAD_FAILED = "load failed"
 
 
-class State(Enum):
+class WorkerState(Enum):
     """What the roster says of a worker."""
 
     READY = "ready"
@@ -52,24 +52,24 @@
     GONE = "gone"
 
 
-class Do(Enum):
+class Action(Enum):
     """What a front end is asked to carry out."""
 
     SEND = "send"          # act to worker; not once `amount` ns have passed before it leaves (0: its own time left)
     CANCEL = "cancel"      # give up waiting for send number `amount` of act
     REJECT = "reject"      # final answer; the client may come back after `amount` ns (0: no advice)
     ABORT = "abort"        # final answer
-    ASK = "ask"            # probe worker, for its load report
-    HOLD = "hold"          # load order: `amount` copies of fn at worker
+    PROBE = "ask"            # probe worker, for its load report
+    LOAD = "hold"          # load order: `amount` copies of fn at worker
 
 
 class Step(NamedTuple):
     """One thing to be done now; which fields count depends on `do`."""
 
-    do: Do
-    act: Any = None
+    action: Action
+    activation: Any = None
     worker: str = ""
-    fn: str = ""
+    function: str = ""
     amount: int = 0
 
 
@@ -92,8 +92,8 @@
     utility: float
     late_utility: float
     effect: Effect
-    group: str = "all"           # who drops repeats of a deduplicated activation: all, zone or cell
-    memory_span: int = 0         # for how long they remember it
+    dedup_scope: str = "all"           # who drops repeats of a deduplicated activation: all, zone or cell
+    dedup_window: int = 0         # for how long they remember it
 
 
 class Tenant(NamedTuple):
@@ -111,16 +111,16 @@
     tenants: tuple[Tenant, ...] = ()
     front_ends: int = 1
     zone: str = ""
-    crossing: float = 0.0        # price of a send to another zone; 0: none
+    cross_zone_fee: float = 0.0        # price of a send to another zone; 0: none
     tick: int = MS
     max_sends: int = 1
     may_cancel: bool = False
     may_duplicate: bool = False
-    may_order: bool = False
+    may_order_loads: bool = False
     may_probe: bool = False
-    longest_advice: int = 0      # the longest time to come back that clients heed; 0: none may be named
+    max_retry_after: int = 0      # the longest time to come back that clients heed; 0: none may be named
     loads_on_miss: bool = True
-    idle_keep: int = 0           # an idle copy stays at least this long
+    idle_keep_alive: int = 0           # an idle copy stays at least this long
     load_window: int = 0         # load orders: within this window (0: no limit) ...
     load_free: float = 0.0       # ... at most so many ...
     load_ratio: float = 0.0      # ... plus this share of the activations taken
@@ -131,14 +131,14 @@
     fall_time: int = SECOND      # ... over this time, a cold worker falls over
 
 
-class Listing(NamedTuple):
+class WorkerListing(NamedTuple):
     """One line of the roster."""
 
     worker: str
-    state: State
+    state: WorkerState
     zone: str = ""
     cell: int = 0
-    since: int = 0               # when it last started; 0: long past
+    started_at: int = 0               # when it last started; 0: long past
     size: float = 1.0            # to be set against other workers' sizes
 
 
@@ -146,12 +146,12 @@
 class Send:
     """One try of an activation on a worker."""
 
-    act: Activation
+    activation: Activation
     number: int
     worker: Any
-    at: int
+    sent_at: int
     warm: bool                   # a copy was believed to stand
-    out: bool = True             # no outcome yet
+    is_open: bool = True             # no outcome yet
 
 
 @dataclass(slots=True, eq=False)
@@ -159,39 +159,40 @@
     """One call taken: the caller's handle to it. All that it is told goes to the dispatcher that made it."""
 
     dispatcher: Any
-    ivk: str
-    kind: Any
-    fn: Any
-    taken: int
-    due: int                     # when its final answer is due
-    work: int                    # cost hint in ns; 0: none
-    spare: bool                  # worth least: a client's repetition, or beyond a share
+    id: str
+    type_stats: Any
+    function: Any
+    admitted_at: int
+    answer_due: int                     # when its final answer is due
+    cost_hint: int                    # cost hint in ns; 0: none
+    low_priority: bool                  # worth least: a client's repetition, or beyond a share
     turn: int                    # of its function's round-robin
-    asks: int = 0                # workers asked for a report on its account
-    asked: Any = None            # the worker whose report it waits for
+    probe_count: int = 0                # workers asked for a report on its account
+    awaited_worker: Any = None            # the worker whose report it waits for
     sends: list[Send] = field(default_factory=list)
-    risky: list[Send] = field(default_factory=list)     # sends that may have run
-    out: int = 0                 # sends without an outcome yet
+    possible_runs: list[Send] = field(default_factory=list)     # sends that may have run
+    open_send_count: int = 0                 # sends without an outcome yet
     answered: bool = False
-    begun: bool = False          # a streamed answer has begun
+    answer_started: bool = False          # a streamed answer has begun
 
     @property
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         """Nothing more can come for it."""
-        return self.answered and not self.out
+        return self.answered and not self.open_send_count
 
     def start(self, now: int) -> list[Step]:
-        return self.dispatcher.steps(self.dispatcher.go_on, self, now)
+        return self.dispatcher.collect_steps(self.dispatcher.dispatch, self, now)
 
-    def returned(self, now: int, number: int, outcome: Outcome, waited: int, *, copy: Copy = Copy.UNTOLD,
+    def on_send_ended(self, now: int, number: int, outcome: Outcome, waited: int, *, copy: Copy = Copy.UNKNOWN,
                  final: bool = False, report: Report | None = None) -> list[Step]:
         send = self.sends[number]
-        return self.dispatcher.steps(self.dispatcher.judge, send, now, outcome, waited, copy, final, report)
+        return self.dispatcher.collect_steps(
+            self.dispatcher.on_send_ended, send, now, outcome, waited, copy, final, report)
 
-    def streaming(self, now: int, number: int) -> list[Step]:
-        self.begun = True
+    def on_answer_started(self, now: int, number: int) -> list[Step]:
+        self.answer_started = True
         return []
 
-    def left(self, now: int) -> list[Step]:
-        return self.dispatcher.steps(self.dispatcher.quit, self)
+    def on_client_gone(self, now: int) -> list[Step]:
+        return self.dispatcher.collect_steps(self.dispatcher.on_client_gone, self)
 
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -18,9 +18,9 @@
 from threadshift.conf.installation import Bounds
 from threadshift.conf.values import Address
 from threadshift.interface import SECOND, Copy, Outcome, Report
-from threadshift.links.codec import VERSION, Frame, Frames, Refused, encode, pack
+from threadshift.links.codec import VERSION, Frame, Frames, ProtocolError, encode, pack
 from threadshift.links.outbox import Outbox
-from threadshift.links.redial import Redial
+from threadshift.links.redial import ReconnectBackoff
 from threadshift.links.sockets import READ, connect, since_ready, write_out
 
 PORTION = 16 << 10         # bytes of answers heard before others have their turn: some hundred
@@ -30,10 +30,10 @@
 
 
 class Answered(Protocol):
-    """What a link tells of a worker, beside answers: it is up with this hello, it said that it drains. settle() is
-    called before answers are heard: it may wait a moment."""
+    """What a link tells of a worker, beside answers: it is up with this hello, it said that it drains.
+    catch_up_after_stall() is called before answers are heard: it may wait a moment."""
 
-    def settle(self) -> None: ...
+    def catch_up_after_stall(self) -> None: ...
     def hello(self, worker: str, hello: Frame) -> str: ...
     def draining(self, worker: str) -> None: ...
     def note(self, event: str, **fields: Any) -> None: ...
@@ -55,11 +55,12 @@
     def heard(self, worker: str, frame: Frame) -> None: ...
 
 
-def invoke_fields(held: Any, left: int) -> dict[str, Any]:
+def invoke_fields(pending: Any, left: int) -> dict[str, Any]:
     """What an invoke frame says of a call with so many ns left."""
-    call = held.call
-    fields = {"function": call.function, "type": call.type, "effect": held.act.kind.effect.value, "left": left,
-              "body": call.body, "lanes": call.lanes, "activation": held.ivk}
+    call = pending.call
+    fields = {"function": call.function, "type": call.type, "effect": pending.activation.type_stats.effect.value,
+              "left": left,
+              "body": call.body, "lanes": call.lanes, "activation": pending.id}
     if call.mark:
         fields["mark"] = call.mark
     if call.work:
@@ -76,11 +77,11 @@
         self.worker, self.address, self.bounds, self.owner = worker, address, bounds, owner
         self.front_end, self.zone = front_end, zone
         self.outbox = Outbox(bounds.worker_buffer)
-        self.redial = Redial(chance)
+        self.backoff = ReconnectBackoff(chance)
         self.not_before = 0
         self.sock: socket.socket | None = None
         self.up = False
-        self.waiting: dict[int, Any] = {}       # (held, number) of an invoke, or an Asked
+        self.waiting: dict[int, Any] = {}       # (pending, number) of an invoke, or an Asked
         self.ids: dict[tuple, int] = {}         # the way back for cancels
         self.number = count(1).__next__
         self.heard = 0
@@ -89,15 +90,15 @@
         self.stopped = False
         self.greenlet = gevent.spawn(self.run)
 
-    # What the desk's port asks for.
+    # What the engine's port asks for.
 
-    def invoke(self, held: Any, number: int, left: int) -> Outcome | None:
-        return self.put((held, number), "invoke", invoke_fields(held, left))
+    def invoke(self, pending: Any, number: int, left: int) -> Outcome | None:
+        return self.put((pending, number), "invoke", invoke_fields(pending, left))
 
-    def order(self, asked: Any) -> Outcome | None:
-        return self.put(asked, "hold", {"function": asked.fn, "copies": 1})
+    def order_load(self, asked: Any) -> Outcome | None:
+        return self.put(asked, "hold", {"function": asked.function, "copies": 1})
 
-    def ask(self, asked: Any) -> Outcome | None:
+    def probe(self, asked: Any) -> Outcome | None:
         return self.put(asked, "ask", {})
 
     def put(self, what: Any, kind: str, fields: dict[str, Any]) -> Outcome | None:
@@ -113,11 +114,11 @@
         self.wake.set()
         return None
 
-    def cancel(self, held: Any, number: int, tell: bool) -> Outcome:
+    def cancel(self, pending: Any, number: int, tell: bool) -> Outcome:
         """Stops waiting for a send. MOOT where it never left."""
-        if self.withdraw(held, number):
-            return Outcome.MOOT
-        id_ = self.ids.pop((held.ivk, number), None)
+        if self.withdraw(pending, number):
+            return Outcome.NEVER_SENT
+        id_ = self.ids.pop((pending.id, number), None)
         if id_ is None:
             return Outcome.CANCELLED
         self.waiting.pop(id_, None)
@@ -126,12 +127,12 @@
             self.wake.set()
         return Outcome.CANCELLED
 
-    def withdraw(self, held: Any, number: int) -> bool:
+    def withdraw(self, pending: Any, number: int) -> bool:
         """Takes back a send of which nothing has left; False where that is too late."""
-        id_ = self.ids.get((held.ivk, number))
+        id_ = self.ids.get((pending.id, number))
         if id_ is None or not self.outbox.withdraw(id_):
             return False
-        del self.ids[held.ivk, number]
+        del self.ids[pending.id, number]
         self.waiting.pop(id_, None)
         return True
 
@@ -161,13 +162,13 @@
     @staticmethod
     def end(what: Any, now: int, outcome: Outcome) -> None:
         if isinstance(what, tuple):
-            what[0].returned(now, what[1], outcome)
+            what[0].on_send_ended(now, what[1], outcome)
         else:
-            what.answered(now, outcome)
+            what.on_answered(now, outcome)
 
     @staticmethod
     def key(what: Any) -> tuple:
-        return (what[0].ivk, what[1]) if isinstance(what, tuple) else (id(what),)
+        return (what[0].id, what[1]) if isinstance(what, tuple) else (id(what),)
 
     # The connection.
 
@@ -184,9 +185,9 @@
                 self.read(frames)
                 if frames.torn:
                     problem = "closed by the worker inside a frame"
-            except (OSError, Refused) as failed:
+            except (OSError, ProtocolError) as failed:
                 problem = str(failed) or type(failed).__name__
-                if isinstance(failed, Refused):
+                if isinstance(failed, ProtocolError):
                     self.refuse(problem)
             finally:
                 self.up = False
@@ -196,7 +197,7 @@
                     self.sock.close()
                     self.sock = None
             if self.waiting:
-                self.owner.settle()
+                self.owner.catch_up_after_stall()
             if not self.stopped:
                 self.broke(problem)
 
@@ -217,12 +218,12 @@
             first = frames.feed(data)
         hello = first.pop(0)
         if hello["kind"] != "hello":
-            raise Refused(f"'{hello['kind']}' came before hello")
+            raise ProtocolError(f"'{hello['kind']}' came before hello")
         if hello["version"] != VERSION:
-            raise Refused(f"version {hello['version']} is not spoken here, version {VERSION} is")
+            raise ProtocolError(f"version {hello['version']} is not spoken here, version {VERSION} is")
         problem = self.owner.hello(self.worker, hello)
         if problem:
-            raise Refused(problem)
+            raise ProtocolError(problem)
         if self.speaks is not None:
             self.speaks.heard(self.worker, hello)
         started = hello.get("started", 0)
@@ -232,7 +233,7 @@
         self.started = started or self.started
         self.heard = time.monotonic_ns()
         self.up = True
-        self.redial.up(self.heard)
+        self.backoff.on_connected(self.heard)
         for frame in first:
             self.hear(frame)
 
@@ -255,7 +256,7 @@
             for frame in came:
                 if frame["kind"] == "draining":
                     self.hear(frame)        # before what answers bring, also where it was said after them
-            self.owner.settle()
+            self.owner.catch_up_after_stall()
             for frame in came:
                 if frame["kind"] != "draining":
                     self.hear(frame)
@@ -296,7 +297,7 @@
         if kind == "refused":
             raise OSError(f"refused by the worker: {frame['reason'][:200]}")
         if kind not in ("result", "error", "full", "miss", "held", "status"):
-            raise Refused(f"'{kind}' is not for a worker to send here")
+            raise ProtocolError(f"'{kind}' is not for a worker to send here")
         what = self.waiting.pop(frame["id"], None)
         if what is None:
             return
@@ -304,22 +305,22 @@
         left = self.outbox.left.pop(frame["id"], now)
         load = report(frame.get("load"))
         if isinstance(what, tuple) != (kind in ("result", "error", "full", "miss")):
-            raise Refused(f"'{kind}' answers something else")
+            raise ProtocolError(f"'{kind}' answers something else")
         if kind == "held":
-            what.answered(now, HELD.get(frame["outcome"], Outcome.ERROR), copies=frame["copies"])
+            what.on_answered(now, HELD.get(frame["outcome"], Outcome.ERROR), copies=frame["copies"])
         elif kind == "status":
-            what.answered(now, Outcome.COMPLETED, report=load)
+            what.on_answered(now, Outcome.COMPLETED, report=load)
         else:
-            held, number = what
+            pending, number = what
             failed = bool(frame.get("load_failed"))
-            copy = Copy.LOAD_FAILED if failed else COPIES.get(frame.get("copy", ""), Copy.UNTOLD)
+            copy = Copy.LOAD_FAILED if failed else COPIES.get(frame.get("copy", ""), Copy.UNKNOWN)
             outcome = {"result": Outcome.COMPLETED, "error": Outcome.ERROR, "full": Outcome.FULL}.get(
                 kind, Outcome.MISS)
             error = frame.get("function_error")
             # What we held it up ourselves, before writing and since the answer lay ready, is not the worker's: at the
             # limit of our own processor every worker would look slow, be passed over, and cost yet longer walks.
             waited = max(0, now - since_ready() - left)
-            held.returned(now, number, outcome, waited=waited, body=frame.get("body", b""),
+            pending.on_send_ended(now, number, outcome, waited=waited, body=frame.get("body", b""),
                           error=error if isinstance(error, str) else "", copy=copy, report=load)
 
     def refuse(self, reason: str) -> None:
@@ -332,7 +333,7 @@
     def broke(self, problem: str) -> None:
         """Every frame that waits for an answer ends: as never run, or as maybe run. Then a pause."""
         now = time.monotonic_ns()
-        self.not_before = self.redial.broke(now)
+        self.not_before = self.backoff.on_disconnected(now)
         ended = [(what, self.outbox.never_left(id_)) for id_, what in self.waiting.items()]
         self.waiting.clear()
         self.ids.clear()
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -1,4 +1,4 @@
-"""One front end on the platform: listener, links to workers, the coordinator's stream and a timer around a desk.
+"""One front end on the platform: listener, links to workers, the coordinator's stream and a timer around an engine.
 
 Nothing here decides. run() returns once it was told to end and has left in order.
 """
@@ -18,13 +18,13 @@
 from threadshift.conf.settings import Malformed
 from threadshift.coordinator.events import ListUpdate
 from threadshift.coordinator.stream import CoordinatorStream
-from threadshift.desk import earlier
-from threadshift.desk.desk import Desk
+from threadshift.engine import previous_process
+from threadshift.engine.engine import RequestEngine
 from threadshift.fastcgi.listener import FastCgiListener
 from threadshift.frames import pool
 from threadshift.frames.link import Link
-from threadshift.gateway.fleet import Fleet
-from threadshift.interface import MS, SECOND, Listing
+from threadshift.gateway.base_front_end import BaseFrontEnd
+from threadshift.interface import MS, SECOND, WorkerListing
 from threadshift.invoke.admission import Admission
 from threadshift.links.sockets import listener
 from threadshift.log import Log
@@ -32,7 +32,7 @@
 from threadshift.node.descriptors import Descriptors
 from threadshift.node.shutdown import Shutdown, Stage
 from threadshift.node.front_end_config import FrontEndConfig
-from threadshift.roster.membership import Entry, Membership
+from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
 from threadshift.timer import ticks
 
 TICK = 5 * MS              # pace of the timer; what falls due between two ticks has one of its own
@@ -41,11 +41,12 @@
 FIRST_LIST_TIMEOUT = 4 * SECOND  # for a list with a worker in it: finding a lost coordinator may take as long
 
 
-class Node(Fleet):
-    """Carries steps to links and answers to the desk; owns every greenlet of the process."""
+class Node(BaseFrontEnd):
+    """Carries steps to links and answers to the engine; owns every greenlet of the process."""
 
     def __init__(self, config: FrontEndConfig, environment: Mapping[str, str], log: Log):
-        super().__init__(Membership(config.deployment.drain_grace, same_start=0), log)  # starts are told by one clock
+        # Starts are told by one clock.
+        super().__init__(WorkerRegistry(config.deployment.drain_grace, same_start=0), log)
         now = time.monotonic_ns()
         self.known_updates, self.config = config.known_updates, config._replace(known_updates=())
         self.environment = environment
@@ -60,11 +61,11 @@
         self.descriptors = Descriptors(config.max_sockets)
         self.listener = FastCgiListener(
             lambda: self.descriptors.client_limit(self.worker_connections), config.max_activations, types,
-            config.deployment.longest_advice, self.admission, self, self.note, self.chance)
-        self.looks = self.listener.looks
+            config.deployment.max_retry_after, self.admission, self, self.note, self.chance)
+        self.poll_monitor = self.listener.poll_monitor
         dispatcher = Dispatcher(chance.getrandbits(63), config.deployment, now)
-        earlier.assume(dispatcher, config.deployment, now)
-        self.desk = self.listener.desk = Desk(dispatcher, self, self.listener, config.load_timeout)
+        previous_process.count_free_orders_as_given(dispatcher, config.deployment, now)
+        self.engine = self.listener.engine = RequestEngine(dispatcher, self, self.listener, config.load_timeout)
         self.coordinator = CoordinatorStream(config.coordinator, self.on_list_update, self.on_coordinator_lost,
                                              self.note, self.chance)
         self.shutdown = Shutdown(max(each.action_timeout for each in types.values()))
@@ -78,12 +79,12 @@
 
     @property
     def ready_workers(self) -> int:
-        return len(self.desk.dispatcher.fleet)
+        return len(self.engine.dispatcher.ready_workers)
 
-    def link(self, it: Entry) -> Link:
+    def link(self, it: WorkerEntry) -> Link:
         return Link(it.worker, it.address, self.bounds, self, self.chance, self.bits)
 
-    def apply_listings(self, listings: list[Listing]) -> None:
+    def apply_listings(self, listings: list[WorkerListing]) -> None:
         super().apply_listings(listings)
         if self.ready_workers != self.bounded_for:
             self.bounded_for = self.ready_workers
@@ -92,7 +93,7 @@
     @property
     def listed_workers(self) -> int:
         """All that are not gone, those included that are still to be taken in."""
-        return len(self.membership.known) - len(self.membership.gone)
+        return len(self.registry.known) - len(self.registry.gone)
 
     def dials_ahead(self) -> bool:
         return self.descriptors.dials_ahead(self.listed_workers)
@@ -108,7 +109,7 @@
         if not self.open_connections[link]:
             del self.open_connections[link]
 
-    def room(self, wanted: bool) -> bool:
+    def make_room_for_connection(self, wanted: bool) -> bool:
         """Makes room for a connection to a worker; the dial that asks is counted as one already."""
         others = self.worker_connections - 1
         if self.descriptors.has_room_for_worker(len(self.listener.connections), others, self.listed_workers):
@@ -118,18 +119,19 @@
         if self.descriptors.clients_must_yield(len(self.listener.connections)) and self.listener.make_room():
             return True
         idle = {connection: link for link in self.open_connections for connection in link.connections}
-        if (goes := pool.who_goes(idle)) is None:
+        if (goes := pool.choose_connection_to_close(idle)) is None:
             return False
-        idle[goes].end(goes)
+        idle[goes].close_connection(goes)
         return True
 
-    def update_unread(self) -> bool:
-        return self.coordinator.unread()
+    def has_unread_update(self) -> bool:
+        return self.coordinator.has_unread_data()
 
     def on_list_update(self, update: ListUpdate) -> None:
         """An event of the coordinator."""
         now = time.monotonic_ns()
-        self.apply_list(update.workers, self.coordinator.freshness.told_since(now, self.looks.unread(now)))
+        self.apply_list(update.workers,
+                        self.coordinator.freshness.notified_since(now, self.poll_monitor.unread_time(now)))
 
     def on_coordinator_lost(self) -> None:
         self.roster_lost = True
@@ -152,7 +154,7 @@
     def ready(self) -> bool:
         # A list that is late or empty is waited for, not for ever: refused for it, a whole fleet would never start.
         return self.listening_socket is not None and not self.shutdown.requested_at and not self.list_is_stale() and (
-            bool(self.desk.dispatcher.fleet) or time.monotonic_ns() >= self.ready_deadline)
+            bool(self.engine.dispatcher.ready_workers) or time.monotonic_ns() >= self.ready_deadline)
 
     # Signals.
 
@@ -161,7 +163,7 @@
         now = time.monotonic_ns()
         if not self.shutdown.requested_at:
             self.shutdown.begin(now)
-            self.desk.hasten(now, self.shutdown.answer_deadline)
+            self.engine.shorten_deadlines(now, self.shutdown.answer_deadline)
 
     def reload(self) -> None:
         """Told of another configuration; from a signal. What is bad leaves the old one in force."""
@@ -186,14 +188,14 @@
             self.stop_all()
             return
         sock = listener(self.config.listen, shared=False)
-        self.listener.looks.start()
+        self.listener.poll_monitor.start()
         self.listening_socket, self.ready_deadline = sock, time.monotonic_ns() + FIRST_LIST_TIMEOUT
         self.greenlets.spawn(self.listener.accept, sock)
         self.note("started", listen=str(self.config.listen), pid=os.getpid(), workers=len(self.links),
                   last_event=self.coordinator.sequence.last, prepared_ms=self.join_duration // MS)
         self.run_timer(lambda: self.stage() not in (Stage.RUNNING, Stage.ACCEPTING))
         self.listener.closing = True        # the listener stays: who still comes is refused in words, not by a reset
-        self.note("draining", owed=self.desk.owed, connections=len(self.listener.connections))
+        self.note("draining", owed=self.engine.owed, connections=len(self.listener.connections))
         self.run_timer(lambda: self.stage() is Stage.DONE)
         self.listener.end(sock)
         self.stop_all()
@@ -202,7 +204,7 @@
         for link in self.links.values():
             link.stop()
         self.greenlets.kill()
-        self.listener.looks.stop()
+        self.listener.poll_monitor.stop()
         self.note("ended", **self.state())
 
     def join_known_workers(self) -> None:
@@ -215,13 +217,13 @@
         self.join_duration = time.monotonic_ns() - since
 
     def stage(self) -> Stage:
-        return self.shutdown.stage(time.monotonic_ns(), self.desk.owed + self.listener.under_way)
+        return self.shutdown.stage(time.monotonic_ns(), self.engine.owed + self.listener.under_way)
 
     def run_timer(self, over: Callable[[], bool]) -> None:
         """The one timer: every tick, what is due."""
         told = 0
-        for now, late in ticks(TICK, over, self.desk.due):
-            now = self.beat(now, late)
+        for now, late in ticks(TICK, over, self.engine.due):
+            now = self.on_tick(now, late)
             self.listener.tick(now)
             if now - told >= TELL:
                 told = now
@@ -229,14 +231,15 @@
 
     def state(self) -> dict[str, Any]:
         """How it goes, for one line of the log."""
-        dispatcher, now = self.desk.dispatcher, time.monotonic_ns()
+        dispatcher, now = self.engine.dispatcher, time.monotonic_ns()
         workers = dispatcher.workers.values()
-        return {"owed": self.desk.owed, "held": len(self.desk.held), "connections": len(self.listener.connections),
-                "flying": len(dispatcher.flying), "links": len(self.links),
+        return {"owed": self.engine.owed, "held": len(self.engine.requests),
+                "connections": len(self.listener.connections),
+                "flying": len(dispatcher.in_flight), "links": len(self.links),
                 "up": sum(link.up for link in self.open_connections),
                 "worker_connections": self.worker_connections, "dialled_in_all": self.total_dials,
-                "ready": len(dispatcher.fleet), "suspended": sum(it.until > now for it in workers),
+                "ready": len(dispatcher.ready_workers), "suspended": sum(it.suspended_until > now for it in workers),
                 "functions": len(dispatcher.functions), "roster_lost": self.roster_lost,
-                "lag_ms": round(self.admission.lag / MS, 1), "part": round(self.admission.part, 3),
+                "lag_ms": round(self.admission.smoothed_lag / MS, 1), "part": round(self.admission.refused_share, 3),
                 "stalls": self.stalls, "longest_stall_ms": self.longest_stall // MS,
-                "turned_away": self.listener.tally.totals(), "counts": dict(self.desk.counts)}
+                "turned_away": self.listener.refusal_counters.totals(), "counts": dict(self.engine.counts)}
--- a/threadshift/node/front_end_config.py
+++ b/threadshift/node/front_end_config.py
@@ -12,7 +12,7 @@
 from threadshift.conf.values import Address
 from threadshift.fastcgi.requests import MAX_BODY
 from threadshift.frames import pool
-from threadshift.frames.link import Told
+from threadshift.frames.link import LinkSettings
 from threadshift.interface import MS, SECOND, Deployment
 
 LONGEST_FILE = 64 << 20    # bytes; a list of ten thousand workers takes a tenth
@@ -41,11 +41,12 @@
     max_sockets: int
     memory_bytes: int                   # bytes
 
-    def link_limits(self, workers: int) -> Told:
+    def link_limits(self, workers: int) -> LinkSettings:
         """Bounds of the connections to one of so many workers."""
-        return Told(self.connect_timeout, WRITE, self.idle_timeout, self.streams_per_connection,
-                    pool.share(self.max_sockets, workers), pool.shared(self.deployment.front_ends),
-                    self.memory_bytes // BUFFER_PART + 2 * MAX_BODY, self.memory_bytes // BODY_PART)
+        return LinkSettings(self.connect_timeout, WRITE, self.idle_timeout, self.streams_per_connection,
+                            pool.connections_per_worker(self.max_sockets, workers),
+                            pool.choose_dial_threshold(self.deployment.front_ends),
+                            self.memory_bytes // BUFFER_PART + 2 * MAX_BODY, self.memory_bytes // BODY_PART)
 
 
 def read_config(environment: Mapping[str, str]) -> FrontEndConfig:
--- a/threadshift/trials/policies.py
+++ b/threadshift/trials/policies.py
@@ -1,4 +1,4 @@
-"""Baselines behind the desk's interface, for experiments only. Each replaces the choice of a worker and nothing else:
+"""Baselines behind the engine's interface, for experiments only. Each replaces the choice of a worker and no more:
 effects, drains, cold budgets and load windows are guarded as ever, so what differs is where calls go.
 
 None of them suspends, asks for reports, parks calls or orders copies on its own account. The oracle sees the true
@@ -21,16 +21,16 @@
 
     def __init__(self, seed: int, told: Deployment, now: int):
         super().__init__(seed, told, now)
-        self.may_ask = 0
+        self.probe_allowance = 0
 
-    def place(self, act: Activation, now: int) -> Worker | None:
+    def choose_worker(self, act: Activation, now: int) -> Worker | None:
         tried = {send.worker for send in act.sends}
-        able = [worker for worker in self.candidates(act) if self.cold_room(worker, act, now)]
+        able = [worker for worker in self.candidates(act) if self.has_cold_capacity(worker, act, now)]
         able = [worker for worker in able if worker not in tried] or able
         return self.pick(act, able, now) if able else None
 
     def candidates(self, act: Activation) -> list[Worker]:
-        return self.fleet
+        return self.ready_workers
 
     def pick(self, act: Activation, able: list[Worker], now: int) -> Worker:
         raise NotImplementedError
@@ -38,7 +38,7 @@
 
 class Random(Baseline):
     def pick(self, act: Activation, able: list[Worker], now: int) -> Worker:
-        return able[int(self.chance() * len(able))]
+        return able[int(self.random() * len(able))]
 
 
 class LeastInFlight(Baseline):
@@ -47,14 +47,14 @@
     def pick(self, act: Activation, able: list[Worker], now: int) -> Worker:
         least = min(len(worker.sends) for worker in able)
         idle = [worker for worker in able if len(worker.sends) == least]
-        return idle[int(self.chance() * len(idle))]
+        return idle[int(self.random() * len(idle))]
 
 
 class PowerOfTwo(Baseline):
     """The less loaded of two drawn (Mitzenmacher 2001)."""
 
     def pick(self, act: Activation, able: list[Worker], now: int) -> Worker:
-        one, other = (able[int(self.chance() * len(able))] for _ in range(2))
+        one, other = (able[int(self.random() * len(able))] for _ in range(2))
         return one if len(one.sends) <= len(other.sends) else other
 
 
@@ -62,7 +62,7 @@
     """Consistent hashing: home, or the next clockwise that may be sent to."""
 
     def candidates(self, act: Activation) -> list[Worker]:
-        return list(self.walk(act.fn))
+        return list(self.clockwise_workers(act.function))
 
     def pick(self, act: Activation, able: list[Worker], now: int) -> Worker:
         return able[0]
@@ -72,7 +72,7 @@
     """Consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam 2018), and none of our departures."""
 
     def pick(self, act: Activation, able: list[Worker], now: int) -> Worker:
-        return next((worker for worker in able if len(worker.sends) < self.cap(worker, now)), able[0])
+        return next((worker for worker in able if len(worker.sends) < self.in_flight_cap(worker, now)), able[0])
 
 
 class Oracle(Baseline):
@@ -91,17 +91,17 @@
         it = self.network.workers.get(worker.name)
         if it is None or not it.alive or it.draining:
             return float("inf")
-        work = (act.work or USUAL_WORK) * it.slowness()
+        work = (act.cost_hint or USUAL_WORK) * it.slowness()
         stuck = max(it.faults.left("hang"), it.faults.left("stall"))
         # What is on its way counts as arrived: else all calls of one moment would go to one worker.
         queued = max(it.running + len(it.ready), len(worker.sends))
         cores = max(0, queued - it.machine.cores + 1) * work / it.machine.cores
-        shelf = it.shelves.get(act.fn.name)
+        shelf = it.shelves.get(act.function.name)
         if shelf is not None and shelf.copies:
             lanes = len(shelf.copies) * shelf.lanes
             busy = sum(copy.busy for copy in shelf.copies) + len(shelf.queue)
             return stuck + max(cores, max(0, busy - lanes + 1) * work / lanes) + work
-        pack = it.store.pack(act.fn.name)
+        pack = it.store.pack(act.function.name)
         load = (pack["fetch_ms"] * max(1.0, it.store.faults.amount("slow")) + pack["start_ms"]) * MS
         if shelf is not None and shelf.loading:
             return stuck + load / 2 + (1 + len(shelf.queue)) * work
