--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -98,7 +98,8 @@
 
     def test_responses_that_carry_final_answers(self):
         self.assertEqual(requests.final_response(Answer(FinalKind.COMPLETED, "completed", b"\x00b"))[-3:], b"\n\x00b")
-        self.assertIn(b"Status: 503", requests.final_response(Answer(FinalKind.REJECTED, "no-room", retry_after=250 * MS)))
+        self.assertIn(b"Status: 503",
+                      requests.final_response(Answer(FinalKind.REJECTED, "no-room", retry_after=250 * MS)))
         self.assertIn(
             b"X-Wait-Ms: 250\r\n",
                       requests.final_response(Answer(FinalKind.REJECTED, "no-room", retry_after=250 * MS)))
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -78,7 +78,7 @@
                 it.node.engine, "00000000000000d1", Call("check", "00000000000000f1", 0), 0, deadline=1)
             link = it.node.links["s-0"]
             with mock.patch.dict(it.node.links, {"s-0": mock.Mock()}):
-                self.assertEqual(it.node.send("s-0", pending, 0), Outcome.NEVER_SENT)     # whatever the link would check
+                self.assertEqual(it.node.send("s-0", pending, 0), Outcome.NEVER_SENT)  # whatever the link would check
             id_ = bytes.fromhex(pending.id)
             self.assertEqual(link.transmit(id_, (pending, 0), current_invoke_frame(id_, pending)), Outcome.NEVER_SENT)
             self.assertEqual(it.call()[0], 200)
