--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -178,7 +178,7 @@
             connection = next(iter(it.node.listener.connections))
             self.drain_unread(it)
             for kind, number, content in Records().feed(request()):
-                connection.hear(kind, number, content)
+                connection.on_record(kind, number, content)
             self.assertEqual(client.answer()[0], 503)
             self.assert_not_sent(it)
 
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -64,8 +64,8 @@
     def test_a_request_becomes_a_call(self):
         parameters = GOOD | {b"HTTP_X_AGAIN": "1", b"HTTP_X_SIZE_MS": "8.2", b"CONTENT_LENGTH": "2",
                              b"HTTP_X_SPEC": "memory_mb:512;lanes:2;load_ms:300.5"}
-        ivk, call = requests.parse_request(parameters, b"hi", NAMES)
-        self.assertEqual((ivk, call.type, call.function, call.body), (GOOD[b"HTTP_X_JOB_ID"], "repeatable",
+        id_, call = requests.parse_request(parameters, b"hi", NAMES)
+        self.assertEqual((id_, call.type, call.function, call.body), (GOOD[b"HTTP_X_JOB_ID"], "repeatable",
                                                                       GOOD[b"HTTP_X_ITEM"], b"hi"))
         self.assertEqual((call.left, call.work, call.lanes, call.load_time, call.again),
                          (1500 * MS, 8_200_000, 2, 300_500_000, True))
--- a/threadshift/fastcgi/connection.py
+++ b/threadshift/fastcgi/connection.py
@@ -1,7 +1,7 @@
-"""One client's connection: FastCGI records to requests, answers back under their numbers.
+"""One client connection: decodes FastCGI records into requests and sends responses with the id of their request.
 
-One greenlet a connection reads; answers are written by whoever brings them, and by a greenlet of its own only while a
-client does not take them. Who is kept and for how long is decided in connection_eviction.py.
+One greenlet for each connection reads. Whoever has a response writes it; another greenlet writes only while the
+client's socket is full. connection_eviction.py decides how long a connection stays open.
 """
 from __future__ import annotations
 
@@ -21,39 +21,40 @@
 from threadshift.invoke.refusal_counters import RefusalCounters
 from threadshift.links.sockets import Outgoing, shows
 
-READ = 16 << 10            # bytes a read: several usual requests, and little memory a connection
-WRITE = 2 * SECOND         # without progress, until a client that takes no answer is cut off
-BUFFER = 1 << 20           # bytes of answers that wait for one client; its open requests' usual answers fit
-MOST_OPEN = 32             # requests on one connection; the protocol's bound
-DROPPED = 256 << 10        # bytes for requests that have ended, until the connection is closed
-IDS_TOLD = 4               # of requests whose connection ended, in one line of the log
-PROMPT = 50 * MS           # from accepting to the first bytes: what comes so soon came with the connection
+READ_SIZE = 16 << 10           # bytes a read: several usual requests, and little memory for each connection
+WRITE_TIMEOUT = 2 * SECOND     # without progress, until a client that reads no responses is disconnected
+MAX_BUFFERED = 1 << 20         # bytes of responses that wait for one client; enough for all its open requests
+MAX_OPEN_REQUESTS = 32         # on one connection; the protocol's limit
+MAX_DROPPED = 256 << 10        # bytes for requests that have ended, until the connection is closed
+MAX_LOGGED_IDS = 4             # of requests whose connection ended, in one line of the log
+FIRST_BYTES_TIME = 50 * MS     # bytes that arrive so soon after the accept arrived together with the connection
 
-MANY = requests.unavailable_response("too many requests on one connection", 0)
+TOO_MANY_REQUESTS = requests.unavailable_response("too many requests on one connection", 0)
 
 
 class Listener(Protocol):
-    """What a connection asks of the listener that accepted it."""
+    """What a connection needs from the listener that accepted it."""
 
     refusal_counters: RefusalCounters
-    max_connections: Callable[[], int]   # connections that clients may hold now
+    max_connections: Callable[[], int]   # that clients may hold now
     note: Callable[..., None]
 
-    def take(self, request: Request, unread: int) -> None: ...
+    def on_request(self, request: Request, unread: int) -> None: ...
 
 
 class Request:
-    """One request under way: being read, then held by the engine."""
+    """One open request: it is read first and then pending in the engine."""
 
-    __slots__ = ("connection", "number", "keep", "began", "params", "body", "told", "pending")
+    __slots__ = ("connection", "id", "keep_open", "began_at", "raw_parameters", "body", "parameters", "pending")
 
-    def __init__(self, connection: Connection, number: int, keep: bool, began: int):
-        self.connection, self.number, self.keep, self.began = connection, number, keep, began
-        self.params, self.body = b"", b""
-        self.told: dict[bytes, str] | None = None       # its parameters, once they are whole
-        self.pending: Any = None                           # the activation; True while it is being taken
+    def __init__(self, connection: Connection, id_: int, keep_open: bool, began_at: int):
+        self.connection, self.id, self.keep_open, self.began_at = connection, id_, keep_open, began_at
+        self.raw_parameters, self.body = b"", b""
+        self.parameters: dict[bytes, str] | None = None    # once they are complete
+        self.pending: Any = None                           # None while it is read, True until it is admitted
 
     def respond(self, content: bytes, status: int = codec.COMPLETE) -> None:
+        """Sends the response and ends the request."""
         self.connection.respond(self, content, status)
 
 
@@ -61,180 +62,187 @@
     """One client connection."""
 
     def __init__(self, sock: socket.socket, listener: Listener, unread: int):
-        super().__init__(sock, BUFFER, WRITE)
+        super().__init__(sock, MAX_BUFFERED, WRITE_TIMEOUT)
         self.listener, self.unread = listener, unread
         self.accepted = self.active = time.monotonic_ns()
-        self.limit = self.accepted + connection_eviction.FIRST_ANSWER_TIMEOUT
+        self.check_due = self.accepted + connection_eviction.FIRST_ANSWER_TIMEOUT
         self.open: dict[int, Request] = {}
-        self.answered = self.last = self.ended = False
+        self.answered = self.closes_when_done = self.ended = False
         self.offences = self.dropped = 0
 
     @property
     def busy(self) -> bool:
+        """Whether a request is open or a response is still being written."""
         return bool(self.open) or bool(self.outbox.size)
 
     def serve(self) -> None:
-        """Reads until the end. Returns with the connection closed and nothing of it held."""
+        """Reads until the end of the connection. Returns with the connection closed and its requests abandoned."""
         records = Records()
         try:
-            while not self.last or self.open:
-                data = self.sock.recv(READ)
+            while not self.closes_when_done or self.open:
+                data = self.sock.recv(READ_SIZE)
                 if not data or self.ended:
                     return
                 now = self.active = time.monotonic_ns()
-                if self.unread and now - self.accepted > PROMPT:
-                    self.unread = 0     # it was sent later
+                if self.unread and now - self.accepted > FIRST_BYTES_TIME:
+                    self.unread = 0     # the bytes were sent after the accept
                 offences = self.offences
-                for kind, number, content in records.feed(data):
-                    self.hear(kind, number, content)
+                for kind, id_, content in records.feed(data):
+                    self.on_record(kind, id_, content)
                 if self.offences > offences:
                     gevent.sleep(connection_eviction.read_pause(self.offences, bool(self.open)) / SECOND)
         except ProtocolError as problem:
             self.listener.refusal_counters.record(time.monotonic_ns(), "unreadable")
             self.listener.note("unreadable", level="debug", problem=str(problem))
             self.offences += 1
-            self.give_up_all()
+            self.abandon_all()
             gevent.sleep(connection_eviction.CLOSE_DELAY / SECOND)
         except OSError:
             pass
         finally:
-            self.give_up_all()
+            self.abandon_all()
             if self.writer is not None:
-                self.writer.join(WRITE / SECOND)
+                self.writer.join(WRITE_TIMEOUT / SECOND)
             self.sock.close()
 
-    def give_up_all(self) -> None:
-        """The client is gone, or is to go: nothing is owed to it any more."""
-        gone, self.open = list(self.open.values()), {}
-        if ids := [request.pending.id for request in gone if isinstance(request.pending, PendingRequest)]:
-            self.listener.note("client-gone", requests=len(ids), ids=ids[:IDS_TOLD])
-        for request in gone:
-            self.let_go(request)
+    def abandon_all(self) -> None:
+        """Ends all open requests without a response: the client is gone, or is about to be disconnected."""
+        abandoned, self.open = list(self.open.values()), {}
+        if ids := [request.pending.id for request in abandoned if isinstance(request.pending, PendingRequest)]:
+            self.listener.note("client-gone", requests=len(ids), ids=ids[:MAX_LOGGED_IDS])
+        for request in abandoned:
+            self.abandon(request)
 
-    def let_go(self, request: Request) -> None:
+    def abandon(self, request: Request) -> None:
+        """Tells the engine that the client of this request is gone."""
         if isinstance(request.pending, PendingRequest) and not request.pending.is_settled:
             request.pending.on_client_gone(time.monotonic_ns())
 
-    def hear(self, kind: int, number: int, content: bytes) -> None:
-        """One record. Raises ProtocolError."""
-        if number == 0:
+    def on_record(self, kind: int, id_: int, content: bytes) -> None:
+        """Handles one record. Raises ProtocolError."""
+        if id_ == 0:
             if kind == GET_VALUES:
-                self.put(codec.values(content, self.listener.max_connections(), MOST_OPEN))
-                self.offences += 1      # nobody needs it twice; asked again and again, it is answered slowly
+                self.send(codec.values(content, self.listener.max_connections(), MAX_OPEN_REQUESTS))
+                self.offences += 1      # no client needs the values twice, so repeated queries are answered slowly
             elif kind in (BEGIN, ABORT, PARAMS, STDIN):
-                raise ProtocolError(f"type {kind} under number 0")
+                raise ProtocolError(f"a record of type {kind} has request id 0")
             else:
-                self.put(codec.unknown(kind))
+                self.send(codec.unknown(kind))
                 self.offences += 1
             return
-        request = self.open.get(number)
+        request = self.open.get(id_)
         if kind == BEGIN:
-            self.begin(number, content)
+            self.on_begin(id_, content)
         elif request is None:
-            # Of a request that was answered early, or was given up: the rest of it is still on its way.
+            # The rest of a request that was answered early or aborted may still arrive.
             self.dropped += len(content)
-            if self.dropped > DROPPED:
-                raise ProtocolError("a request goes on and on after its end")
+            if self.dropped > MAX_DROPPED:
+                raise ProtocolError("a request continues too long after its end")
         elif kind == ABORT:
-            del self.open[number]
-            self.let_go(request)
+            del self.open[id_]
+            self.abandon(request)
         elif kind in (PARAMS, STDIN):
             try:
-                (self.params if kind == PARAMS else self.stdin)(request, content)
+                (self.on_params if kind == PARAMS else self.on_stdin)(request, content)
             except InvalidRequest as problem:
-                self.unfit(request, problem)
+                self.refuse_invalid(request, problem)
         else:
-            raise ProtocolError(f"type {kind} is not for a client to send")
+            raise ProtocolError(f"clients may not send records of type {kind}")
 
-    def begin(self, number: int, content: bytes) -> None:
-        role, keep = codec.begin(content)
-        if number in self.open:
-            raise ProtocolError(f"number {number} is begun twice")
+    def on_begin(self, id_: int, content: bytes) -> None:
+        """Opens a request, or refuses it where too many are open. Raises ProtocolError."""
+        role, keep_open = codec.begin(content)
+        if id_ in self.open:
+            raise ProtocolError(f"request id {id_} is begun twice")
         now = time.monotonic_ns()
-        request = Request(self, number, keep, now)
-        if len(self.open) >= MOST_OPEN:
+        request = Request(self, id_, keep_open, now)
+        if len(self.open) >= MAX_OPEN_REQUESTS:
             self.offences += 1
             self.listener.refusal_counters.record(now, "too-many-open")
-            self.put(codec.response(number, MANY))
+            self.send(codec.response(id_, TOO_MANY_REQUESTS))
             return
-        self.open[number] = request
-        self.limit = min(self.limit, now + connection_eviction.REQUEST_READ_TIMEOUT)
+        self.open[id_] = request
+        self.check_due = min(self.check_due, now + connection_eviction.REQUEST_READ_TIMEOUT)
         if role != codec.RESPONDER:
             self.offences += 1
             request.respond(b"", codec.UNKNOWN_ROLE)
 
-    def params(self, request: Request, content: bytes) -> None:
-        """Raises InvalidRequest, as stdin() does."""
-        if request.told is not None:
-            raise ProtocolError("parameters after their end")
+    def on_params(self, request: Request, content: bytes) -> None:
+        """Appends to the parameters; empty content ends them. Raises InvalidRequest and ProtocolError."""
+        if request.parameters is not None:
+            raise ProtocolError("parameters follow their end")
         if content:
-            request.params += content
-            if len(request.params) > MAX_PARAMS:
+            request.raw_parameters += content
+            if len(request.raw_parameters) > MAX_PARAMS:
                 raise InvalidRequest(413, f"parameters exceed {MAX_PARAMS} bytes")
             return
-        request.told, request.params = requests.parse_parameters(request.params), b""
+        request.parameters, request.raw_parameters = requests.parse_parameters(request.raw_parameters), b""
 
-    def stdin(self, request: Request, content: bytes) -> None:
-        if request.told is None:
-            raise ProtocolError("a body before the end of the parameters")
+    def on_stdin(self, request: Request, content: bytes) -> None:
+        """Appends to the body; empty content completes the request. Raises InvalidRequest and ProtocolError."""
+        if request.parameters is None:
+            raise ProtocolError("a body precedes the end of the parameters")
         if request.pending is not None:
-            raise ProtocolError("a body after its end")
+            raise ProtocolError("a body follows its end")
         if content:
             request.body += content
             if len(request.body) > MAX_BODY:
                 raise InvalidRequest(413, f"the body exceeds {MAX_BODY} bytes")
             return
         unread, self.unread, self.dropped = self.unread, 0, 0
-        self.listener.take(request, unread)
+        self.listener.on_request(request, unread)
 
-    def unfit(self, request: Request, problem: InvalidRequest) -> None:
+    def refuse_invalid(self, request: Request, problem: InvalidRequest) -> None:
+        """Refuses a request for its content."""
         self.offences += 1
         self.listener.refusal_counters.record(time.monotonic_ns(), "unfit")
         self.listener.note("unfit", level="debug", problem=str(problem))
         request.respond(requests.invalid_response(problem))
 
-    # Answers.
+    # Responses.
 
     def respond(self, request: Request, content: bytes, status: int = codec.COMPLETE) -> None:
-        if self.open.get(request.number) is not request:
-            return                      # its client gave it up: the number may be another's by now
-        del self.open[request.number]
+        """Sends a response and ends its request."""
+        if self.open.get(request.id) is not request:
+            return                      # its client aborted it: the id may belong to another request by now
+        del self.open[request.id]
         self.answered = True
         self.active = time.monotonic_ns()
-        self.last = self.last or not request.keep
-        self.put(codec.response(request.number, content, status))
+        self.closes_when_done = self.closes_when_done or not request.keep_open
+        self.send(codec.response(request.id, content, status))
 
-    def put(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
+        """Sends as much as the socket takes and buffers the rest; disconnects a client that reads too little."""
         if self.outbox.put(None, data):
             self.write()
         else:
-            self.shut()                 # it takes no answers
+            self.shut()
 
     def written(self) -> None:
-        if self.last and not self.open:
+        if self.closes_when_done and not self.open:
             self.shut(socket.SHUT_RD)
 
     def end(self) -> bool:
-        """Ends a connection with nothing open; False where something lies unread on it, which is a request.
+        """Closes a connection without open requests, unless input, which must be a request, is unread on it.
 
-        Nothing is read from here on: one taken from a connection that we have closed could not be answered. Found by
-        an incident, 53 requests of one day."""
+        Returns whether it is closed. Nothing is read after this: a request read from a connection that we have closed
+        could not be answered. Without the check, 53 requests were lost on one day."""
         if not self.ended and not shows(self.sock, select.POLLIN):
             self.ended = True
             self.shut()
         return self.ended
 
-    def look(self, now: int) -> None:
-        """A limit has passed, or may have: what is overdue ends."""
-        self.limit = now + connection_eviction.FIRST_ANSWER_TIMEOUT
+    def check_limits(self, now: int) -> None:
+        """Ends what is overdue and sets when the next check is due; called when a limit may have passed."""
+        self.check_due = now + connection_eviction.FIRST_ANSWER_TIMEOUT
         for request in [each for each in self.open.values() if each.pending is None]:
-            if now - request.began >= connection_eviction.REQUEST_READ_TIMEOUT:
-                self.unfit(request, InvalidRequest(400, "the request did not end in time"))
+            if now - request.began_at >= connection_eviction.REQUEST_READ_TIMEOUT:
+                self.refuse_invalid(request, InvalidRequest(400, "the request did not end in time"))
             else:
-                self.limit = min(self.limit, request.began + connection_eviction.REQUEST_READ_TIMEOUT)
+                self.check_due = min(self.check_due, request.began_at + connection_eviction.REQUEST_READ_TIMEOUT)
         if not self.busy:
             left = connection_eviction.remaining_idle_time(self, now)
             if left <= 0:
                 self.end()
             else:
-                self.limit = min(self.limit, now + left)
+                self.check_due = min(self.check_due, now + left)
--- a/threadshift/fastcgi/listener.py
+++ b/threadshift/fastcgi/listener.py
@@ -1,6 +1,7 @@
-"""The listener for FastCGI clients: accepts connections, takes or refuses their requests, ends what must make room.
+"""The listener for FastCGI clients: accepts connections, admits or refuses requests, closes connections for new ones.
 
-Who is kept and for how long is decided in connection_eviction.py, who is let in in invoke/admission.py.
+connection_eviction.py decides which connections stay open and for how long, invoke/admission.py which requests are
+admitted under overload.
 """
 from __future__ import annotations
 
@@ -16,7 +17,7 @@
 from threadshift.engine.engine import PendingRequest, RequestEngine
 from threadshift.fastcgi import codec, connection_eviction, requests
 from threadshift.fastcgi.codec import BEGIN, ProtocolError, Records
-from threadshift.fastcgi.connection import MOST_OPEN, READ, WRITE, Connection, Request
+from threadshift.fastcgi.connection import MAX_OPEN_REQUESTS, READ_SIZE, WRITE_TIMEOUT, Connection, Request
 from threadshift.fastcgi.postponed import FrontEnd, PostponedRequests
 from threadshift.fastcgi.requests import InvalidRequest
 from threadshift.interface import MS, SECOND, NamespaceType
@@ -26,169 +27,175 @@
 from threadshift.links.sockets import BACKLOG, arriving, shows
 from threadshift.log import exception_fields
 
-LOOK = 100 * MS            # between two looks at all limits; they are of seconds
-ROOM_WAIT = 2 * MS         # for connections that make room to end
-ROOM_WAITS = 10            # such waits at the most: a loop at its limit takes as long to come round
-VAIN = 100 * MS            # without waiting for room again once that was in vain: who comes is closed upon at once
-FLUSH = 100 * MS           # at the end, for what was let in last to be answered; a refusal takes a ms
+LIMIT_CHECK_INTERVAL = 100 * MS    # between two checks of the connections' time limits, which are seconds
+EVICTION_POLL = 2 * MS             # between two checks whether evicted connections are closed
+MAX_EVICTION_POLLS = 10            # an overloaded event loop takes as long to run their greenlets
+EVICTION_RETRY_DELAY = 100 * MS    # after no connection could be evicted, while new ones are refused without waiting
+FLUSH_TIME = 100 * MS              # at the end, for the last requests to be answered; a refusal takes a ms
 
+# Reasons of refusals.
 CLOSING, LATE, FULL, OVERLOADED, FAULT = "closing", "too-late", "too-many-activations", "overloaded", "fault"
-CROWDED = "too-many-connections"
+TOO_MANY_CONNECTIONS = "too-many-connections"
 
 
-def attempts_of(pending: PendingRequest) -> list[str]:
-    """The attempts of a request for its line in the log: worker, ms after the request was taken, outcome."""
+def describe_sends(pending: PendingRequest) -> list[str]:
+    """Returns the sends of a request for its line in the log: worker, ms after the admission, outcome."""
     return [f"{sent.worker} +{(sent.at - pending.admitted_at) // MS} {sent.outcome.value if sent.outcome else 'open'}"
             for sent in pending.sends]
 
 
 class FastCgiListener:
-    """The listener and all connections; the engine's port to clients."""
+    """Accepts client connections and is the engine's port to clients."""
 
     def __init__(self, max_connections: Callable[[], int], max_activations: int, types: dict[str, NamespaceType],
-                 max_retry_advice: int, admission: Admission, front_end: FrontEnd, note: Callable[..., None],
+                 max_retry_after: int, admission: Admission, front_end: FrontEnd, note: Callable[..., None],
                  chance: Callable[[], float]):
-        self.max_connections, self.max_activations, self.types, self.max_retry_advice = (
-            max_connections, max_activations, types, max_retry_advice)
+        self.max_connections, self.max_activations, self.types, self.max_retry_after = (
+            max_connections, max_activations, types, max_retry_after)
         self.admission, self.front_end, self.note, self.chance = admission, front_end, note, chance
         self.poll_monitor, self.refusal_counters = PollMonitor(), RefusalCounters()
         self.connections: set[Connection] = set()
         self.greenlets = Group()
         self.postponed = PostponedRequests(self, self.greenlets.spawn)
         self.closing = False
-        self.due = self.in_vain = 0
+        self.limit_check_due = self.eviction_failed_at = 0
         self.engine: RequestEngine
 
     def accept(self, sock: socket.socket) -> None:
+        """Accepts connections until the socket is closed."""
         for client in arriving(sock, self.note):
             self.wait_for_room()
             if len(self.connections) >= self.max_connections():
-                self.refusal_counters.record(time.monotonic_ns(), CROWDED)
-                self.turn_away(client)
+                self.refusal_counters.record(time.monotonic_ns(), TOO_MANY_CONNECTIONS)
+                self.refuse_connection(client)
                 continue
-            self.welcome(client)
+            self.add_connection(client)
 
-    def turn_away(self, client: socket.socket) -> None:
-        """Closes a connection for which there is no room; requests that lie on it already are refused in words."""
+    def refuse_connection(self, client: socket.socket) -> None:
+        """Closes a connection above the limit; requests that were received on it already get a refusal."""
         with suppress(OSError, ProtocolError):
             client.settimeout(0)
-            begun = [number for kind, number, _ in Records().feed(client.recv(READ)) if kind == BEGIN]
-            client.send(b"".join(codec.response(number, self.busy(CROWDED)) for number in begun[:MOST_OPEN]))
+            begun = [id_ for kind, id_, _ in Records().feed(client.recv(READ_SIZE)) if kind == BEGIN]
+            client.send(b"".join(codec.response(id_, self.unavailable(TOO_MANY_CONNECTIONS))
+                                 for id_ in begun[:MAX_OPEN_REQUESTS]))
         client.close()
 
     def wait_for_room(self) -> None:
-        """Ends others until one more has room: workers may have come meanwhile, and clients leave room for them.
+        """Closes other connections until one more fits; the limit shrinks as connections to workers are opened.
 
-        Hundreds that come at once are too new to go, for as long as GRACE. Closed upon for that, a usual client lost
-        what it had sent on a new connection: it waits for the first that may go. In vain, none is waited for again
-        for a while."""
+        Hundreds of connections that arrive together are too recent to be closed within ACTIVITY_GRACE. Refusing a new
+        one at once would lose the request that a usual client has sent on it, so it waits for the first that may be
+        closed. Where there is none, new ones are refused without waiting for EVICTION_RETRY_DELAY."""
         since = time.monotonic_ns()
         while len(self.connections) >= self.max_connections():
             if self.make_room():
                 continue
             now = time.monotonic_ns()
-            if now - self.in_vain < VAIN:
+            if now - self.eviction_failed_at < EVICTION_RETRY_DELAY:
                 return
-            if now - since > connection_eviction.ACTIVITY_GRACE + ROOM_WAIT:
-                self.in_vain = now
+            if now - since > connection_eviction.ACTIVITY_GRACE + EVICTION_POLL:
+                self.eviction_failed_at = now
                 return
-            gevent.sleep(ROOM_WAIT / SECOND)
+            gevent.sleep(EVICTION_POLL / SECOND)
 
-    def welcome(self, client: socket.socket) -> None:
+    def add_connection(self, client: socket.socket) -> None:
+        """Starts to serve an accepted connection."""
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = Connection(client, self, self.poll_monitor.unread_time(time.monotonic_ns()))
         self.connections.add(connection)
-        self.greenlets.spawn(self.converse, connection)
+        self.greenlets.spawn(self.serve, connection)
 
     def make_room(self) -> bool:
-        """Ends some connections that nothing is owed on, and waits until they are closed; whether any was."""
-        going = [each for each in connection_eviction.candidates(self.connections, time.monotonic_ns())
-                 if each.end()]
-        for _ in range(ROOM_WAITS if going else 0):
-            gevent.sleep(ROOM_WAIT / SECOND)
-            if any(each not in self.connections for each in going):
+        """Closes some idle connections and waits until one is closed; returns whether one was."""
+        closing = [each for each in connection_eviction.candidates(self.connections, time.monotonic_ns())
+                   if each.end()]
+        for _ in range(MAX_EVICTION_POLLS if closing else 0):
+            gevent.sleep(EVICTION_POLL / SECOND)
+            if any(each not in self.connections for each in closing):
                 return True
         return False
 
     @property
     def under_way(self) -> int:
-        """Requests being read, waiting or served, and connections with an answer that is still to be written."""
+        """The number of requests that are read, postponed or pending, and of connections with unsent responses."""
         return sum(len(each.open) + bool(each.outbox.size) for each in self.connections)
 
-    def converse(self, connection: Connection) -> None:
+    def serve(self, connection: Connection) -> None:
+        """Serves one connection until its end."""
         try:
             connection.serve()
-        except Exception as fault:      # ours; it ends this connection alone, and loudly
+        except Exception as fault:      # a fault of this program ends only this connection, and is logged
             self.note("fault", level="error", **exception_fields(fault))
         finally:
             self.connections.discard(connection)
 
-    def take(self, request: Request, unread: int) -> None:
-        """A whole request: answered, refused, or taken. Raises InvalidRequest."""
-        told = request.told
-        assert told is not None
-        if told.get(b"SCRIPT_NAME") == requests.ALIVE_PATH:
+    def on_request(self, request: Request, unread: int) -> None:
+        """Answers, refuses, postpones or admits a complete request. Raises InvalidRequest."""
+        parameters = request.parameters
+        assert parameters is not None
+        if parameters.get(b"SCRIPT_NAME") == requests.ALIVE_PATH:
             request.pending = True
-            request.respond(requests.OK_HEAD if self.front_end.ready() else self.busy("not-ready"))
+            request.respond(requests.OK_HEAD if self.front_end.ready() else self.unavailable("not-ready"))
             return
-        # First, as what is refused must cost as little as can be: at the limit all else is work for nothing.
-        if not self.admission.admit(b"HTTP_X_AGAIN" in told):
+        # This check comes first: under overload a refusal must be cheap, and all other work would be wasted.
+        if not self.admission.admit(b"HTTP_X_AGAIN" in parameters):
             self.refuse(request, OVERLOADED)
             return
-        asked = requests.parse_request(told, request.body, self.types)
-        request.pending, request.told, request.body = True, {}, b""
-        # It may have lain unread since the event loop looked last: its client's time ran all the while.
+        parsed = requests.parse_request(parameters, request.body, self.types)
+        request.pending, request.parameters, request.body = True, {}, b""
+        # The request may have waited unread since the event loop polled last, while its client's time went on.
         unread = max(unread, self.poll_monitor.unread_time(time.monotonic_ns()))
         if unread < STALL_THRESHOLD and not self.front_end.list_is_stale() and not self.front_end.has_unread_update():
-            self.let_in(request, asked, unread)
+            self.admit(request, parsed, unread)
         elif len(self.postponed) + len(self.engine.requests) >= self.max_activations:
-            self.refuse(request, FULL, asked.ivk)
+            self.refuse(request, FULL, parsed.id)
         else:
-            self.postponed.add(request, asked, unread)
+            self.postponed.add(request, parsed, unread)
 
-    # What postponed requests ask for.
+    # The owner of postponed requests.
 
-    def still_open(self, request: Request) -> bool:
-        return request.connection.open.get(request.number) is request
+    def is_open(self, request: Request) -> bool:
+        return request.connection.open.get(request.id) is request
 
-    def unread_on(self, request: Request) -> bool:
-        """Whether something lies unread on the connection of a request that is open."""
-        return self.still_open(request) and shows(request.connection.sock, select.POLLIN | select.POLLRDHUP)
+    def has_unread_input(self, request: Request) -> bool:
+        """Whether input, or the end of the connection, is unread on the connection of an open request."""
+        return self.is_open(request) and shows(request.connection.sock, select.POLLIN | select.POLLRDHUP)
 
-    def refuse_late(self, request: Request, asked: requests.ParsedRequest) -> None:
-        self.refuse(request, LATE, asked.ivk)
+    def refuse_late(self, request: Request, parsed: requests.ParsedRequest) -> None:
+        self.refuse(request, LATE, parsed.id)
 
-    def take_postponed(self, request: Request, asked: requests.ParsedRequest, unread: int) -> None:
-        """A request that has waited long enough: refused, or the engine's from here on."""
+    def admit_postponed(self, request: Request, parsed: requests.ParsedRequest, unread: int) -> None:
+        """Admits or refuses a request that has waited long enough."""
         try:
-            self.let_in(request, asked, unread)
+            self.admit(request, parsed, unread)
         except InvalidRequest as problem:
-            request.connection.unfit(request, problem)
-        except Exception as fault:      # ours; it ends this request alone, and loudly
+            request.connection.refuse_invalid(request, problem)
+        except Exception as fault:      # a fault of this program ends only this request, and is logged
             self.note("fault", level="error", **exception_fields(fault))
             self.refuse(request, FAULT)
 
-    def let_in(self, request: Request, asked: requests.ParsedRequest, unread: int) -> None:
-        """Refused, or the engine's from here on. Raises InvalidRequest."""
-        if asked.ivk in self.engine.requests:
+    def admit(self, request: Request, parsed: requests.ParsedRequest, unread: int) -> None:
+        """Refuses a request or gives it to the engine. Raises InvalidRequest."""
+        if parsed.id in self.engine.requests:
             raise InvalidRequest(409, "a request with this id is open")
-        call = asked.call._replace(left=asked.call.left - unread)
+        call = parsed.call._replace(left=parsed.call.left - unread)
         if self.closing or call.left <= 0 or len(self.engine.requests) >= self.max_activations:
-            self.refuse(request, CLOSING if self.closing else LATE if call.left <= 0 else FULL, asked.ivk)
+            self.refuse(request, CLOSING if self.closing else LATE if call.left <= 0 else FULL, parsed.id)
             return
-        request.pending = self.engine.admit(time.monotonic_ns(), asked.ivk, call, request)
+        request.pending = self.engine.admit(time.monotonic_ns(), parsed.id, call, request)
 
     def refuse(self, request: Request, reason: str, id_: str = "") -> None:
-        """Not taken: nothing ran, so trying again is harmless."""
+        """Refuses a request that was not admitted: nothing ran, so its client may safely retry."""
         now = time.monotonic_ns()
         self.refusal_counters.record(now, reason)
         if id_:
-            self.note("request-refused", reason=reason, id=id_, read_ms=(now - request.began) // MS)
+            self.note("request-refused", reason=reason, id=id_, read_ms=(now - request.began_at) // MS)
         request.pending = True
-        request.respond(self.busy(reason))
+        request.respond(self.unavailable(reason))
 
-    def busy(self, reason: str) -> bytes:
-        return requests.unavailable_response(reason, int(self.max_retry_advice * (1 - self.chance() / 2)))
+    def unavailable(self, reason: str) -> bytes:
+        """Returns a refusal whose retry advice is a random time between half the maximum and the maximum."""
+        return requests.unavailable_response(reason, int(self.max_retry_after * (1 - self.chance() / 2)))
 
     # The engine's port.
 
@@ -204,41 +211,45 @@
         if answer.reason != "completed" or len(pending.sends) > 1:
             self.note("request-ended", reason=answer.reason, id=pending.id, type=pending.call.type,
                       answer=answer.final.value, after_ms=(pending.answered_at - pending.admitted_at) // MS,
-                      left_ms=pending.time_left(pending.answered_at) // MS, attempts=attempts_of(pending))
+                      left_ms=pending.time_left(pending.answered_at) // MS, attempts=describe_sends(pending))
         pending.client.respond(requests.final_response(answer))
 
     def on_finished(self, pending: PendingRequest) -> None:
-        """Nothing is kept beyond the handle."""
+        """Does nothing: no state is kept beside the handle."""
 
     # Time.
 
     def tick(self, now: int) -> None:
-        if now < self.due:
+        """Checks the time limits of connections and logs refusals, each when it is due."""
+        if now < self.limit_check_due:
             return
-        self.due = now + LOOK
-        for each in [each for each in self.connections if each.limit <= now]:
-            each.look(now)
-        self.tell_turned_away(now)
+        self.limit_check_due = now + LIMIT_CHECK_INTERVAL
+        for each in [each for each in self.connections if each.check_due <= now]:
+            each.check_limits(now)
+        self.log_refusals(now)
 
     def end(self, sock: socket.socket) -> None:
-        """Ends the listener and all connections, once nothing is owed. What the kernel has accepted for us is let in
-        first, and what lies unread is refused in words: closed upon, it would be lost."""
+        """Closes the listening socket and all connections, once no request is pending.
+
+        Connections that the kernel has accepted are served first, and unread requests get a refusal: they would be
+        lost if their connections were just closed."""
         sock.settimeout(0)
         with suppress(OSError):
             for _ in range(BACKLOG):
-                self.welcome(sock.accept()[0])
+                self.add_connection(sock.accept()[0])
         sock.close()
-        until = time.monotonic_ns() + FLUSH
-        gevent.sleep(ROOM_WAIT / SECOND)
+        until = time.monotonic_ns() + FLUSH_TIME
+        gevent.sleep(EVICTION_POLL / SECOND)
         while time.monotonic_ns() < until and any(
                 each.busy or shows(each.sock, select.POLLIN) for each in self.connections):
-            gevent.sleep(ROOM_WAIT / SECOND)
+            gevent.sleep(EVICTION_POLL / SECOND)
         for each in list(self.connections):
             each.shut()
-        self.greenlets.join(WRITE / SECOND)
+        self.greenlets.join(WRITE_TIMEOUT / SECOND)
         self.greenlets.kill()
-        self.tell_turned_away(time.monotonic_ns(), all_=True)
+        self.log_refusals(time.monotonic_ns(), flush=True)
 
-    def tell_turned_away(self, now: int, all_: bool = False) -> None:
-        for line in self.refusal_counters.due_reports(now, all_):
-            self.note("turned-away", level="warning", **line)
+    def log_refusals(self, now: int, flush: bool = False) -> None:
+        """Logs the counts of refusals that are due, or all of them."""
+        for report in self.refusal_counters.due_reports(now, flush):
+            self.note("turned-away", level="warning", **report)
--- a/threadshift/fastcgi/postponed.py
+++ b/threadshift/fastcgi/postponed.py
@@ -22,8 +22,8 @@
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.poll_monitor import CATCH_UP_TIME
 
-MAX_READ_WAIT = 5 * CATCH_UP_TIME  # until a connection has been read empty; one that is flooded never is
-ANSWER_MARGIN = 20 * MS     # before the end of a request's time, by when it is refused: two reviews
+MAX_READ_WAIT = 5 * CATCH_UP_TIME    # until a connection has been read empty; one that is flooded never is
+ANSWER_MARGIN = 20 * MS              # before the end of a request's time, by when it is refused: two reviews
 
 
 class Postponed(NamedTuple):
@@ -57,9 +57,9 @@
     closing: bool
     front_end: FrontEnd
 
-    def still_open(self, request: Any) -> bool: ...
-    def unread_on(self, request: Any) -> bool: ...
-    def take_postponed(self, request: Any, parsed: ParsedRequest, unread: int) -> None: ...
+    def is_open(self, request: Any) -> bool: ...
+    def has_unread_input(self, request: Any) -> bool: ...
+    def admit_postponed(self, request: Any, parsed: ParsedRequest, unread: int) -> None: ...
     def refuse_late(self, request: Any, parsed: ParsedRequest) -> None: ...
 
 
@@ -90,16 +90,16 @@
         stale = self.owner.front_end.list_is_stale() and not self.owner.closing
         reviewed, self.waiting = self.waiting, []
         for each in reviewed:
-            if not self.owner.still_open(each.request):
-                continue                    # its client has given it up
+            if not self.owner.is_open(each.request):
+                continue                    # its client has aborted it
             if stale and each.expired(now):
                 self.owner.refuse_late(each.request, each.parsed)
-            elif stale or self.has_unread_input(each, now):
+            elif stale or self.must_wait_for_input(each, now):
                 self.waiting.append(each)
             else:
-                self.owner.take_postponed(each.request, each.parsed, each.waited(now))
+                self.owner.admit_postponed(each.request, each.parsed, each.waited(now))
 
-    def has_unread_input(self, each: Postponed, now: int) -> bool:
+    def must_wait_for_input(self, each: Postponed, now: int) -> bool:
         """Tells whether input that arrived after the request, or an update of the worker list, is still unread."""
         return now - each.since < MAX_READ_WAIT and (
-            self.owner.front_end.has_unread_update() or self.owner.unread_on(each.request))
+            self.owner.front_end.has_unread_update() or self.owner.has_unread_input(each.request))
--- a/threadshift/fastcgi/requests.py
+++ b/threadshift/fastcgi/requests.py
@@ -47,7 +47,7 @@
 class ParsedRequest(NamedTuple):
     """A call with the id of its activation."""
 
-    ivk: str
+    id: str
     call: Call
 
 
@@ -104,8 +104,8 @@
     type_ = types.get(path[len(PATH_PREFIX):]) if path.startswith(PATH_PREFIX) else None
     if type_ is None:
         raise InvalidRequest(404, f"there is no namespace type at '{path[:80]}'")
-    ivk, function = required(b"HTTP_X_JOB_ID"), required(b"HTTP_X_ITEM")
-    for what, text in (("X-Job-Id", ivk), ("X-Item", function)):
+    id_, function = required(b"HTTP_X_JOB_ID"), required(b"HTTP_X_ITEM")
+    for what, text in (("X-Job-Id", id_), ("X-Item", function)):
         if not ID.fullmatch(text):
             raise InvalidRequest(400, f"{what} '{text[:40]}' is not 16 hex digits")
     if parameters.get(b"HTTP_X_AGAIN", "1") != "1":
@@ -119,7 +119,7 @@
     if length and (not length.isascii() or not length.isdigit() or int(length[:12]) != len(body)):
         raise InvalidRequest(400, f"CONTENT_LENGTH '{length[:40]}' does not match a body of {len(body)} bytes")
     lanes, load = parse_spec(parameters.get(b"HTTP_X_SPEC", ""))
-    return ParsedRequest(ivk, Call(
+    return ParsedRequest(id_, Call(
         type_.name, function, round(left * MS), body, parameters.get(b"HTTP_X_TEAM", ""), mark,
         round(work * MS), lanes, load, b"HTTP_X_AGAIN" in parameters))
 
