--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -530,7 +530,7 @@
             self.assertLess(config.max_activations * 2 * (16 << 10), config.memory_bytes // 4)
             for workers in (12, 120, 400):
                 descriptors = Descriptors(config.max_sockets)
-                dialled = workers * config.link_limits(workers).max_connections
+                dialled = workers * config.link_settings(workers).max_connections
                 clients = descriptors.client_limit(dialled)
                 self.assertGreaterEqual(clients, sockets // 3)
                 # Connections that do not fit beside the clients are not dialled.
--- a/threadshift/fastcgi/__init__.py
+++ b/threadshift/fastcgi/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's clients: FastCGI 1.0 records, reading of a request, connections and who is kept on them."""
+"""The server side of FastCGI 1.0: records, requests, connections and their eviction."""
--- a/threadshift/fastcgi/connection_eviction.py
+++ b/threadshift/fastcgi/connection_eviction.py
@@ -53,10 +53,10 @@
             else connection.accepted + FIRST_ANSWER_TIMEOUT - now)
 
 
-Connection = TypeVar("Connection", bound=ClientConnection)
+ConnectionT = TypeVar("ConnectionT", bound=ClientConnection)
 
 
-def candidates(connections: Collection[Connection], now: int) -> list[Connection]:
+def candidates(connections: Collection[ConnectionT], now: int) -> list[ConnectionT]:
     """Returns the connections to close first.
 
     Those with offences or without an answer come before the rest, each group with the least recently active first.
--- a/threadshift/node/__init__.py
+++ b/threadshift/node/__init__.py
@@ -1,1 +1,1 @@
-"""A front end as the platform starts it: what it is told, its signals, the one timer, order of start and end."""
+"""A front end as the platform starts it: configuration, signals, timer, and the order of start and shutdown."""
--- a/threadshift/node/__main__.py
+++ b/threadshift/node/__main__.py
@@ -1,4 +1,4 @@
-"""python -m threadshift.node: what `run` starts. The command line is not loaded: two hundred starts pay for it."""
+"""`python -m threadshift.node`: one front end. It doesn't load the command line, which would slow down 200 starts."""
 import os
 import sys
 
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -1,6 +1,6 @@
-"""One front end on the platform: listener, links to workers, the coordinator's stream and a timer around an engine.
+"""One front end on the platform: an engine with its listener, links to workers, coordinator's stream and timer.
 
-Nothing here decides. run() returns once it was told to end and has left in order.
+This module connects these parts and makes no decisions itself. run() returns after an orderly shutdown.
 """
 from __future__ import annotations
 
@@ -35,27 +35,27 @@
 from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
 from threadshift.timer import ticks
 
-TICK = 5 * MS              # pace of the timer; what falls due between two ticks has one of its own
-SIGNALS_HEARD = MS         # for a signal that came while the list was taken in
-TELL = 10 * SECOND         # between two lines on how it goes
+TICK = 5 * MS                    # of the timer; a deadline between two ticks gets a tick of its own
+SIGNAL_TIME = MS                 # for handling a signal that arrived while the first worker list was applied
+STATE_LOG_INTERVAL = 10 * SECOND
 FIRST_LIST_TIMEOUT = 4 * SECOND  # for a list with a worker in it: finding a lost coordinator may take as long
 
 
 class Node(BaseFrontEnd):
-    """Carries steps to links and answers to the engine; owns every greenlet of the process."""
+    """A front end on the platform. It owns every greenlet of the process."""
 
     def __init__(self, config: FrontEndConfig, environment: Mapping[str, str], log: Log):
-        # Starts are told by one clock.
+        # All start times in the list come from one clock.
         super().__init__(WorkerRegistry(config.deployment.drain_grace, same_start=0), log)
         now = time.monotonic_ns()
         self.known_updates, self.config = config.known_updates, config._replace(known_updates=())
         self.environment = environment
-        self.bounds, self.bounded_for = config.link_limits(0), 0
-        self.worker_connections = 0                      # connections to workers, those under way included ...
-        self.total_dials = 0                             # ... and since the start
-        self.open_connections: dict[Link, int] = {}  # links that have some
-        chance = random.Random(config.seed)
-        self.chance, self.bits = chance.random, chance.getrandbits
+        self.link_settings, self.link_settings_for = config.link_settings(0), 0    # and for how many workers they are
+        self.worker_connections = 0                      # open and dialled ones
+        self.total_dials = 0                             # since the start
+        self.open_connections: dict[Link, int] = {}      # of the links that have any, dials included
+        rng = random.Random(config.seed)
+        self.chance, self.random_bits = rng.random, rng.getrandbits
         types = {each.name: each for each in config.deployment.types}
         self.admission = Admission(min(each.target_latency for each in types.values()))
         self.descriptors = Descriptors(config.max_sockets)
@@ -63,7 +63,7 @@
             lambda: self.descriptors.client_limit(self.worker_connections), config.max_activations, types,
             config.deployment.max_retry_after, self.admission, self, self.note, self.chance)
         self.poll_monitor = self.listener.poll_monitor
-        dispatcher = Dispatcher(chance.getrandbits(63), config.deployment, now)
+        dispatcher = Dispatcher(rng.getrandbits(63), config.deployment, now)
         previous_process.count_free_orders_as_given(dispatcher, config.deployment, now)
         self.engine = self.listener.engine = RequestEngine(dispatcher, self, self.listener, config.load_timeout)
         self.coordinator = CoordinatorStream(config.coordinator, self.on_list_update, self.on_coordinator_lost,
@@ -71,9 +71,9 @@
         self.shutdown = Shutdown(max(each.action_timeout for each in types.values()))
         self.greenlets = Group()
         self.listening_socket: socket.socket | None = None
-        self.join_duration = 0       # ns that the list of the configuration took
-        self.list_complete = False   # the first list has been received, or is no longer waited for
-        self.ready_deadline = 0      # from then on it serves without an answer of a coordinator, or without workers
+        self.join_duration = 0       # ns that applying the configuration's worker list took
+        self.list_complete = False   # the first list has been received, or its timeout has passed
+        self.ready_deadline = 0      # when it becomes ready even without a coordinator's answer or without workers
 
     # Workers.
 
@@ -82,20 +82,21 @@
         return len(self.engine.dispatcher.ready_workers)
 
     def link(self, it: WorkerEntry) -> Link:
-        return Link(it.worker, it.address, self.bounds, self, self.chance, self.bits)
+        return Link(it.worker, it.address, self.link_settings, self, self.chance, self.random_bits)
 
     def apply_listings(self, listings: list[WorkerListing]) -> None:
         super().apply_listings(listings)
-        if self.ready_workers != self.bounded_for:
-            self.bounded_for = self.ready_workers
-            self.bounds = self.config.link_limits(self.ready_workers)
+        if self.ready_workers != self.link_settings_for:
+            self.link_settings_for = self.ready_workers
+            self.link_settings = self.config.link_settings(self.ready_workers)
 
     @property
     def listed_workers(self) -> int:
-        """All that are not gone, those included that are still to be taken in."""
+        """The number of workers that are not gone, including those that are still to be joined."""
         return len(self.registry.known) - len(self.registry.gone)
 
     def dials_ahead(self) -> bool:
+        """Tells whether connections are dialled before anything waits for them."""
         return self.descriptors.dials_ahead(self.listed_workers)
 
     def connection_opened(self, link: Link) -> None:
@@ -110,7 +111,9 @@
             del self.open_connections[link]
 
     def make_room_for_connection(self, wanted: bool) -> bool:
-        """Makes room for a connection to a worker; the dial that asks is counted as one already."""
+        """Tells whether there is a descriptor for a connection to a worker, whose dial is counted already.
+
+        Other connections are closed for it only where this one is wanted for something that waits."""
         others = self.worker_connections - 1
         if self.descriptors.has_room_for_worker(len(self.listener.connections), others, self.listed_workers):
             return True
@@ -118,17 +121,17 @@
             return False
         if self.descriptors.clients_must_yield(len(self.listener.connections)) and self.listener.make_room():
             return True
-        idle = {connection: link for link in self.open_connections for connection in link.connections}
-        if (goes := pool.choose_connection_to_close(idle)) is None:
+        links = {connection: link for link in self.open_connections for connection in link.connections}
+        if (closed := pool.choose_connection_to_close(links)) is None:
             return False
-        idle[goes].close_connection(goes)
+        links[closed].close_connection(closed)
         return True
 
     def has_unread_update(self) -> bool:
         return self.coordinator.has_unread_data()
 
     def on_list_update(self, update: ListUpdate) -> None:
-        """An event of the coordinator."""
+        """Applies an update of the worker list."""
         now = time.monotonic_ns()
         self.apply_list(update.workers,
                         self.coordinator.freshness.notified_since(now, self.poll_monitor.unread_time(now)))
@@ -137,10 +140,10 @@
         self.roster_lost = True
 
     def list_is_stale(self) -> bool:
-        """Whether the list is still the one of the configuration, which is as old as the start of this process.
+        """Tells whether the worker list is still that of the configuration, which is as old as the process.
 
-        A worker that drained since then counts as told of all the same, so nothing is sent before the coordinator
-        has answered; but not for ever, or no front end would serve while there is none."""
+        The front end counts as notified of workers that have drained since then, so nothing is sent before the
+        coordinator has answered. There is a timeout, as otherwise no front end would serve without a coordinator."""
         if self.list_complete:
             return False
         answered = self.coordinator.freshness.answered or time.monotonic_ns() >= self.ready_deadline
@@ -152,21 +155,25 @@
         return not self.list_complete
 
     def ready(self) -> bool:
-        # A list that is late or empty is waited for, not for ever: refused for it, a whole fleet would never start.
+        """Tells whether the health check succeeds.
+
+        It waits for a late or empty worker list, but not without end: otherwise a whole fleet would never start."""
         return self.listening_socket is not None and not self.shutdown.requested_at and not self.list_is_stale() and (
             bool(self.engine.dispatcher.ready_workers) or time.monotonic_ns() >= self.ready_deadline)
 
     # Signals.
 
     def end(self) -> None:
-        """Told to end; from a signal."""
+        """Begins the shutdown; the handler of SIGTERM and SIGINT."""
         now = time.monotonic_ns()
         if not self.shutdown.requested_at:
             self.shutdown.begin(now)
             self.engine.shorten_deadlines(now, self.shutdown.answer_deadline)
 
     def reload(self) -> None:
-        """Told of another configuration; from a signal. What is bad leaves the old one in force."""
+        """Applies the updates and the coordinator of a changed configuration file; the handler of SIGHUP.
+
+        An invalid file changes nothing."""
         try:
             config = front_end_config.read_config(self.environment)
         except Malformed as problem:
@@ -180,11 +187,11 @@
     # Running.
 
     def run(self) -> None:
-        """Serves until told to end and what is held has its answers. Raises OSError where it cannot listen."""
-        self.greenlets.spawn(self.coordinator.run)    # before the links dial: calls wait for the coordinator's answer
+        """Serves until a shutdown is requested and all requests are answered. Raises OSError if it cannot listen."""
+        self.greenlets.spawn(self.coordinator.run)    # before the links dial, since requests wait for it
         self.join_known_workers()
-        gevent.sleep(SIGNALS_HEARD / SECOND)
-        if self.shutdown.requested_at:          # told to end before anything could be taken
+        gevent.sleep(SIGNAL_TIME / SECOND)
+        if self.shutdown.requested_at:          # before any request could be accepted
             self.stop_all()
             return
         sock = listener(self.config.listen, shared=False)
@@ -194,13 +201,14 @@
         self.note("started", listen=str(self.config.listen), pid=os.getpid(), workers=len(self.links),
                   last_event=self.coordinator.sequence.last, prepared_ms=self.join_duration // MS)
         self.run_timer(lambda: self.stage() not in (Stage.RUNNING, Stage.ACCEPTING))
-        self.listener.closing = True        # the listener stays: who still comes is refused in words, not by a reset
+        self.listener.closing = True    # the socket stays open: late requests get a refusal instead of a reset
         self.note("draining", owed=self.engine.owed, connections=len(self.listener.connections))
         self.run_timer(lambda: self.stage() is Stage.DONE)
         self.listener.end(sock)
         self.stop_all()
 
     def stop_all(self) -> None:
+        """Stops all links and greenlets."""
         for link in self.links.values():
             link.stop()
         self.greenlets.kill()
@@ -208,8 +216,10 @@
         self.note("ended", **self.state())
 
     def join_known_workers(self) -> None:
-        """Takes in the list of the configuration. With thousands of workers this takes a while, and a request counts
-        as taken once the operating system has accepted its connection: so it comes before the listener."""
+        """Applies the worker list of the configuration.
+
+        This takes a while for thousands of workers, and a request counts as accepted once the operating system has
+        accepted its connection. So it happens before the listening socket is opened."""
         since = time.monotonic_ns()
         self.coordinator.apply_known(self.known_updates)
         self.known_updates = ()
@@ -217,20 +227,21 @@
         self.join_duration = time.monotonic_ns() - since
 
     def stage(self) -> Stage:
+        """The current stage of the shutdown."""
         return self.shutdown.stage(time.monotonic_ns(), self.engine.owed + self.listener.under_way)
 
-    def run_timer(self, over: Callable[[], bool]) -> None:
-        """The one timer: every tick, what is due."""
-        told = 0
-        for now, late in ticks(TICK, over, self.engine.due):
+    def run_timer(self, is_done: Callable[[], bool]) -> None:
+        """Does what is due at every tick of the process's only timer, until it is done."""
+        logged_at = 0
+        for now, late in ticks(TICK, is_done, self.engine.due):
             now = self.on_tick(now, late)
             self.listener.tick(now)
-            if now - told >= TELL:
-                told = now
+            if now - logged_at >= STATE_LOG_INTERVAL:
+                logged_at = now
                 self.note("state", **self.state())
 
     def state(self) -> dict[str, Any]:
-        """How it goes, for one line of the log."""
+        """Counts and sizes, as the fields of one log line."""
         dispatcher, now = self.engine.dispatcher, time.monotonic_ns()
         workers = dispatcher.workers.values()
         return {"owed": self.engine.owed, "held": len(self.engine.requests),
--- a/threadshift/node/start.py
+++ b/threadshift/node/start.py
@@ -1,4 +1,4 @@
-"""Starts a front end by its environment, with its signals heard from the first moment."""
+"""Starts a front end with the configuration that its environment names; handles signals from the first moment."""
 from __future__ import annotations
 
 import signal
@@ -6,12 +6,12 @@
 from collections.abc import Mapping
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-LOG_LINES = 500            # that wait for a slow reader: memory is short
+MAX_LOG_LINES = 500        # buffered for a slow reader; memory is limited
 
 
 def main(environment: Mapping[str, str]) -> int:
-    """Serves until told to end; the exit code."""
-    # Held until there is somebody to hear them: a signal's default is to end the process.
+    """Serves until a shutdown is requested; returns the exit status."""
+    # Signals are blocked until their handlers are installed: by default they end the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     from threadshift.conf.settings import Malformed
     from threadshift.node import front_end_config
@@ -25,7 +25,7 @@
     from threadshift import garbage_collection
     from threadshift.log import Log
     from threadshift.node.front import Node
-    log = Log("json", "info", LOG_LINES, front_end=config.name)
+    log = Log("json", "info", MAX_LOG_LINES, front_end=config.name)
     try:
         node = Node(config, environment, log)
         garbage_collection.freeze_startup_objects()
@@ -38,7 +38,7 @@
         print(f"threadshift: cannot listen at {config.listen}: {problem}", file=sys.stderr)
         return 1
     finally:
-        # One that comes from here on finds nobody to hear it, and would end the process by its default.
+        # From here on there are no handlers: a further signal would end the process by default.
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
         log.close()
     return 0
