--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -1,5 +1,5 @@
-"""Settings that a customer could have: valid ones, drawn, start, answer and keep their promises; bad ones are one
-line."""
+"""Settings of other installations: with random valid ones requests are answered and the rules hold; invalid ones are
+reported in one line."""
 import json
 import unittest
 
@@ -20,15 +20,15 @@
 from threadshift.node.front_end_config import parse_config
 
 EFFECTS = ("safe", "keyed", "unsafe")
-WORD = st.text("abcXYZ019._-", min_size=1, max_size=12)
+NAME = st.text("abcXYZ019._-", min_size=1, max_size=12)
 LANE = st.fixed_dictionaries(
-    {"name": WORD, "aim": st.floats(1, 60_000), "effect": st.sampled_from(EFFECTS), "worth": st.floats(0, 1000)},
+    {"name": NAME, "aim": st.floats(1, 60_000), "effect": st.sampled_from(EFFECTS), "worth": st.floats(0, 1000)},
     optional={"lateValue": st.none() | st.floats(0, 1), "group": st.sampled_from(("all", "zone", "cell")),
               "memorySpan": st.none() | st.floats(0, 10_000), "streaming": st.just(False)})
 OPTIONAL = {
-    "orgs": st.lists(st.fixed_dictionaries({"name": WORD}, optional={
+    "orgs": st.lists(st.fixed_dictionaries({"name": NAME}, optional={
         "share": st.none() | st.floats(0, 1), "quotaPerS": st.none() | st.floats(0, 500)}), max_size=6),
-    "peersTotal": st.integers(1, 400), "tick": st.floats(0.5, 10), "zone": st.none() | WORD,
+    "peersTotal": st.integers(1, 400), "tick": st.floats(0.5, 10), "zone": st.none() | NAME,
     "limits": st.fixed_dictionaries({}, optional={
         "maxAttempts": st.integers(1, 6), "cancel": st.booleans(), "mayDuplicate": st.booleans(),
         "probes": st.booleans(), "retryAfter": st.booleans(), "maxRetryAfter": st.none() | st.floats(0, 3000),
@@ -45,6 +45,7 @@
 
 @st.composite
 def customers(draw):
+    """Draws the content of a configuration file."""
     lanes = draw(st.lists(LANE, min_size=1, max_size=7, unique_by=lambda each: each["name"]))
     for each in lanes:
         each["giveUp"] = each["aim"] * draw(st.floats(1, 8))
@@ -107,7 +108,7 @@
             engine.tick(now)
         return until
 
-    def test_what_is_bad_is_one_line_that_names_it(self):
+    def test_an_invalid_setting_is_reported_in_one_line_that_names_it(self):
         def lane(**facts):
             return {"lanes": [{"name": "a", "aim": 1, "giveUp": 2, "effect": "safe", "worth": 1} | facts]}
         cases = (
@@ -116,48 +117,48 @@
             (lane(name=None), "lanes.0.name"), (lane() | {"peersTotal": 0}, "peersTotal"),
             (lane() | {"peersTotal": 2.5}, "peersTotal"), (lane() | {"limits": {"maxAttempts": "x"}}, "maxAttempts"),
             (lane() | {"lanes": []}, "lanes"), (lane() | {"lanes": None}, "lanes"))
-        for told, words in cases:
+        for content, words in cases:
             with self.assertRaises(Malformed, msg=words) as caught:
-                parse_config(configuration(settings=json.loads(json.dumps(told))), {}, "/run/config.json")
+                parse_config(configuration(settings=json.loads(json.dumps(content))), {}, "/run/config.json")
             self.assertIn(words, str(caught.exception))
             self.assertIn("/run/config.json", str(caught.exception))
             self.assertNotIn("\n", str(caught.exception))
 
 
-class Fields(unittest.TestCase):
-    """What requests of a site with tenants and deduplicated types bring, as the platform's real.json names it."""
+class TenantsAndIdempotencyKeys(unittest.TestCase):
+    """Requests at an installation with tenants and deduplicated types; names as in the platform's real.json."""
 
-    def played(self):
-        told = json.loads(json.dumps(SETTINGS))
-        told["lanes"][0] |= {"effect": "keyed", "memorySpan": 2000.0}
-        told["orgs"] = [{"name": "one", "share": 1.0, "quotaPerS": 1000.0}]
-        return Platform(settings=told)
+    def platform(self):
+        content = json.loads(json.dumps(SETTINGS))
+        content["lanes"][0] |= {"effect": "keyed", "memorySpan": 2000.0}
+        content["orgs"] = [{"name": "one", "share": 1.0, "quotaPerS": 1000.0}]
+        return Platform(settings=content)
 
-    def test_a_mark_goes_on_to_the_worker_and_only_where_there_is_one(self):
-        with self.played() as it:
+    def test_an_idempotency_key_is_forwarded_to_the_worker_if_there_is_one(self):
+        with self.platform() as it:
             self.assertEqual(it.call(HTTP_X_UNIQUE="f4031e2e", HTTP_X_TEAM="one")[0], 200)
             self.assertEqual(it.call(id_="00000000000000a2", type_="submit", HTTP_X_TEAM="one")[0], 200)
-            marked, plain = it.workers[0].frames_with(INVOKE)
-            self.assertEqual((marked.fields["once"], "once" in plain.fields), ("f4031e2e", False))
+            with_key, without_key = it.workers[0].frames_with(INVOKE)
+            self.assertEqual((with_key.fields["once"], "once" in without_key.fields), ("f4031e2e", False))
 
-    def test_a_mark_that_would_break_a_frame_is_refused(self):
-        with self.played() as it:
-            for mark in ("a,b", "a=b\n", "x" * 200):
-                self.assertEqual(it.call(HTTP_X_UNIQUE=mark)[0], 400)
+    def test_an_idempotency_key_that_would_break_a_frame_is_refused(self):
+        with self.platform() as it:
+            for key in ("a,b", "a=b\n", "x" * 200):
+                self.assertEqual(it.call(HTTP_X_UNIQUE=key)[0], 400)
             self.assertEqual(it.workers[0].frames_with(INVOKE), [])
 
-    def test_a_tenants_calls_are_its_own_and_not_nobodys(self):
-        with self.played() as it:
-            taken, take = [], it.node.engine.dispatcher.admit
+    def test_calls_count_against_their_tenant_and_those_without_one_have_low_priority(self):
+        with self.platform() as it:
+            admitted, admit = [], it.node.engine.dispatcher.admit
 
-            def note(*words, **facts):
-                act = take(*words, **facts)
-                taken.append((facts["tenant"], act.low_priority))
-                return act
-            it.node.engine.dispatcher.admit = note
+            def record(*arguments, **facts):
+                activation = admit(*arguments, **facts)
+                admitted.append((facts["tenant"], activation.low_priority))
+                return activation
+            it.node.engine.dispatcher.admit = record
             it.call(HTTP_X_TEAM="one")
             it.call(id_="00000000000000a2")
-            self.assertEqual(taken, [("one", False), ("", True)])
+            self.assertEqual(admitted, [("one", False), ("", True)])
 
 
 if __name__ == "__main__":
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -109,27 +109,27 @@
         return process.poll() is not None
 
 
-class LooksAfterAStop(unittest.TestCase):
-
-    def look_at(self, *times):
-        """What is read at the last of these times may have waited so long; each is (wait began, wait ended) in ms."""
-        it = poll_monitor.PollMonitor()
-        it.previous_poll = it.last_poll = it.wait_started = it.previous_wait_started = SECOND
-        for began, ended in times:
-            it.wait_started = SECOND + int(began * MS)
-            it.record_poll(SECOND + int(ended * MS))
-        return it.unread_time(it.last_poll) / MS
-
-    def test_a_wait_that_a_stop_interrupted_is_no_look(self):
-        self.assertEqual(self.look_at((0, 1), (1, 401), (401, 401.1)), 400.1)
-
-    def test_a_wait_after_an_interrupted_one_is_not_believed(self):
-        # The process may have been preempted in it: what it found lay there before.
-        self.assertEqual(self.look_at((0, 1), (1, 401), (401, 403)), 402)
-        self.assertEqual(self.look_at((0, 1), (1, 401), (401, 403), (403, 406)), 0)
-
-    def test_what_a_usual_wait_finds_has_just_come(self):
-        self.assertEqual(self.look_at((0, 1), (2, 5), (6, 9)), 0)
+class PollsAfterAStop(unittest.TestCase):
+
+    def unread_ms(self, *waits):
+        """For how many ms input read after the last of these waits, (began, ended) in ms, may have been unread."""
+        monitor = poll_monitor.PollMonitor()
+        monitor.previous_poll = monitor.last_poll = monitor.wait_started = monitor.previous_wait_started = SECOND
+        for began, ended in waits:
+            monitor.wait_started = SECOND + int(began * MS)
+            monitor.record_poll(SECOND + int(ended * MS))
+        return monitor.unread_time(monitor.last_poll) / MS
+
+    def test_a_wait_that_a_stop_interrupted_does_not_count_as_a_poll(self):
+        self.assertEqual(self.unread_ms((0, 1), (1, 401), (401, 401.1)), 400.1)
+
+    def test_a_wait_after_an_interrupted_one_does_not_count_either(self):
+        # The process may have been preempted during it: what it found may have arrived before.
+        self.assertEqual(self.unread_ms((0, 1), (1, 401), (401, 403)), 402)
+        self.assertEqual(self.unread_ms((0, 1), (1, 401), (401, 403), (403, 406)), 0)
+
+    def test_input_that_an_ordinary_wait_finds_has_just_arrived(self):
+        self.assertEqual(self.unread_ms((0, 1), (2, 5), (6, 9)), 0)
 
 
 if __name__ == "__main__":
