--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -14,19 +14,20 @@
 
 
 def front_end(workers=4, seed=1, now=0, since=0, **changes):
-    it = Dispatcher(seed, deployment(**changes), now)
-    it.update_workers(now, [listing(f"w{n}", started_at=since) for n in range(workers)], full=True)
-    return it
+    """A dispatcher with so many ready workers."""
+    dispatcher = Dispatcher(seed, deployment(**changes), now)
+    dispatcher.update_workers(now, [listing(f"w{n}", started_at=since) for n in range(workers)], full=True)
+    return dispatcher
 
 
 def listing(worker, state=WorkerState.READY, **facts):
     return WorkerListing(worker, state, **facts)
 
 
-def call(it, ivk="a", now=0, fn="f", effect=Effect.REPEATABLE, left=2500 * MS, **facts):
+def call(dispatcher, id_="a", now=0, function="f", effect=Effect.REPEATABLE, left=2500 * MS, **facts):
     """Starts an activation; returns its handle and the first steps."""
-    act = it.admit(now, ivk, effect.value, fn, left, **facts)
-    return act, act.start(now)
+    activation = dispatcher.admit(now, id_, effect.value, function, left, **facts)
+    return activation, activation.start(now)
 
 
 def sent_to(steps):
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -42,7 +42,7 @@
             home = serve(it, lanes=lanes)
             stops = [worker.name for worker in it.clockwise_workers(it.functions["f"])]
             it.workers[stops[1]].warm_until["f"] = 10 * SECOND
-            went = [place for n in range(held) for place in sent_to(call(it, f"c{n}", fn="f")[1])]
+            went = [place for n in range(held) for place in sent_to(call(it, f"c{n}", function="f")[1])]
             self.assertEqual((went[0], len(set(went))), (home, used), (held, fronts, lanes))
 
     def test_a_home_that_is_no_stop_is_no_last_choice(self):
@@ -180,7 +180,7 @@
                 for n in range(24):
                     now = start + age + n * 125 * MS
                     it.completed_work, it.completed_work_at, it.retry_budget = budget, now, 10.0
-                    act, steps = call(it, f"c{n}", now, fn=f"fn{n}")
+                    act, steps = call(it, f"c{n}", now, function=f"fn{n}")
                     sends += [now - start - age] * len(sent_to(steps))
                     act.on_send_ended(now, 0, Outcome.FULL, 0) if sent_to(steps) else None
                     worker.suspended_until, worker.in_flight_limit = 0, 100.0
@@ -221,7 +221,7 @@
             for n in range(taken):
                 act = it.admit(SECOND, f"c{n}", AGAIN.value, "f", SECOND)
                 act.on_client_gone(SECOND)
-            call(it, fn="g")
+            call(it, function="g")
             it.recent_admissions.clear()
             it.recent_admissions.extend([SECOND] * taken)
             given = 0
@@ -306,7 +306,7 @@
                 it.adjust_load_limit(True, n * SECOND)
             begun, now = 0, 200 * SECOND
             for n in range(1000):
-                act, steps = call(it, f"a{n}", now, fn=f"new{n}", left=600 * MS)
+                act, steps = call(it, f"a{n}", now, function=f"new{n}", left=600 * MS)
                 if sent_to(steps):
                     begun += 1
                     it.typical_load_time = float(SECOND)
@@ -509,7 +509,7 @@
     def test_full_answers_shrink_the_limit_once_a_while(self):
         it = front_end(1)
         for n, limit in ((0, 0.85), (1, 0.85)):
-            act, _ = call(it, f"c{n}", SECOND + n * MS, fn=f"fn{n}")
+            act, _ = call(it, f"c{n}", SECOND + n * MS, function=f"fn{n}")
             act.on_send_ended(SECOND + n * MS, 0, Outcome.FULL, 0)
             self.assertAlmostEqual(it.workers["w0"].in_flight_limit, max(1.0, limit), 2)
 
@@ -724,7 +724,7 @@
         it = front_end(8)
         serve(it, "real", ivk="first")
         for fn, sends in (("made-up", 2), ("real", 4)):
-            act, steps = call(it, fn, fn=fn, now=SECOND)
+            act, steps = call(it, fn, function=fn, now=SECOND)
             it.retry_budget = 10.0
             while sent_to(steps):
                 steps = act.on_send_ended(SECOND, len(act.sends) - 1, Outcome.ERROR, MS)
