--- a/threadshift/fastcgi/connection_eviction.py
+++ b/threadshift/fastcgi/connection_eviction.py
@@ -31,7 +31,7 @@
 
     accepted: int                        # monotonic ns
     active: int                          # when the last bytes were received or sent, monotonic ns
-    offences: int                        # requests that could not be used
+    offences: int                        # invalid or superfluous requests and records
     answered: bool                       # at least one answer was sent
 
     @property
--- a/threadshift/fastcgi/listener.py
+++ b/threadshift/fastcgi/listener.py
@@ -28,8 +28,8 @@
 from threadshift.log import exception_fields
 
 LIMIT_CHECK_INTERVAL = 100 * MS    # between two checks of the connections' time limits, which are seconds
-EVICTION_POLL = 2 * MS             # between two checks whether evicted connections are closed
-MAX_EVICTION_POLLS = 10            # an overloaded event loop takes as long to run their greenlets
+CLOSE_POLL_INTERVAL = 2 * MS       # between two checks whether connections are closed
+MAX_CLOSE_POLLS = 10               # an overloaded event loop takes as long to run their greenlets
 EVICTION_RETRY_DELAY = 100 * MS    # after no connection could be evicted, while new ones are refused without waiting
 FLUSH_TIME = 100 * MS              # at the end, for the last requests to be answered; a refusal takes a ms
 
@@ -93,10 +93,10 @@
             now = time.monotonic_ns()
             if now - self.eviction_failed_at < EVICTION_RETRY_DELAY:
                 return
-            if now - since > connection_eviction.ACTIVITY_GRACE + EVICTION_POLL:
+            if now - since > connection_eviction.ACTIVITY_GRACE + CLOSE_POLL_INTERVAL:
                 self.eviction_failed_at = now
                 return
-            gevent.sleep(EVICTION_POLL / SECOND)
+            gevent.sleep(CLOSE_POLL_INTERVAL / SECOND)
 
     def add_connection(self, client: socket.socket) -> None:
         """Starts to serve an accepted connection."""
@@ -109,8 +109,8 @@
         """Closes some idle connections and waits until one is closed; returns whether one was."""
         closing = [each for each in connection_eviction.candidates(self.connections, time.monotonic_ns())
                    if each.end()]
-        for _ in range(MAX_EVICTION_POLLS if closing else 0):
-            gevent.sleep(EVICTION_POLL / SECOND)
+        for _ in range(MAX_CLOSE_POLLS if closing else 0):
+            gevent.sleep(CLOSE_POLL_INTERVAL / SECOND)
             if any(each not in self.connections for each in closing):
                 return True
         return False
@@ -239,10 +239,10 @@
                 self.add_connection(sock.accept()[0])
         sock.close()
         until = time.monotonic_ns() + FLUSH_TIME
-        gevent.sleep(EVICTION_POLL / SECOND)
+        gevent.sleep(CLOSE_POLL_INTERVAL / SECOND)
         while time.monotonic_ns() < until and any(
                 each.busy or shows(each.sock, select.POLLIN) for each in self.connections):
-            gevent.sleep(EVICTION_POLL / SECOND)
+            gevent.sleep(CLOSE_POLL_INTERVAL / SECOND)
         for each in list(self.connections):
             each.shut()
         self.greenlets.join(WRITE_TIMEOUT / SECOND)
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -81,8 +81,8 @@
     def ready_workers(self) -> int:
         return len(self.engine.dispatcher.ready_workers)
 
-    def link(self, it: WorkerEntry) -> Link:
-        return Link(it.worker, it.address, self.link_settings, self, self.chance, self.random_bits)
+    def link(self, entry: WorkerEntry) -> Link:
+        return Link(entry.worker, entry.address, self.link_settings, self, self.chance, self.random_bits)
 
     def apply_listings(self, listings: list[WorkerListing]) -> None:
         super().apply_listings(listings)
