--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -93,7 +93,7 @@
         return len(sent) / len(firsts), worst
 
     def test_sends_are_bounded_in_the_worst_stretch(self):
-        """A client makes up to 3 attempts with up to 4 sends each; the worst seen is 2.6 sends for a first one."""
+        """A client makes up to 3 attempts with up to 4 sends each; at worst 2.6 sends for each first attempt."""
         for name, trouble in STORMS.items():
             for seed in (1, 2):
                 overall, worst = self.sends(trouble, seed)
--- a/threadshift/fastcgi/postponed.py
+++ b/threadshift/fastcgi/postponed.py
@@ -3,10 +3,10 @@
 A request waits here while the reader of its connection goes on, so that an ABORT or a close that follows it is read:
 
 - after a stall, until everything that arrived during it has been read: its client may have gone;
-- while an update of the worker list has arrived and is not read yet, however long that takes: an update counts as
-  notified once it has arrived;
-- after the start, until the coordinator has answered: the worker list of the configuration is older than updates that
-  already count as notified.
+- while an update of the worker list has arrived and is not read yet, however long that takes: the front end counts as
+  notified of an update as soon as it has arrived;
+- after the start, until the coordinator has answered: the front end counts as notified of updates that are newer than
+  the worker list of its configuration.
 
 A request whose time ends meanwhile is refused. The caller limits the number of waiting requests.
 """
