--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -3,7 +3,7 @@
 from itertools import islice
 
 from tests.helpers import call, does, front_end, ready, sent
-from threadshift.choice import NAMES, PARKED
+from threadshift.choice import MAX_FUNCTIONS, MAX_PARKED_PER_LANE
 from threadshift.interface import (
     MS, SECOND, Action, Copy, Effect, NamespaceType, Outcome, Report, Tenant, WorkerState)
 from threadshift.ring import POINTS
@@ -649,8 +649,8 @@
     def test_calls_that_ended_while_they_waited_take_no_place(self):
         it = front_end(4)
         first, steps = call(it, "a", 0, lanes=1)
-        gone = [call(it, f"b{n}", 0)[0] for n in range(PARKED)]
-        self.assertEqual(len(it.functions["f"].parked), PARKED)
+        gone = [call(it, f"b{n}", 0)[0] for n in range(MAX_PARKED_PER_LANE)]
+        self.assertEqual(len(it.functions["f"].parked), MAX_PARKED_PER_LANE)
         for act in gone:
             act.on_client_gone(MS)
         act, steps = call(it, "c", 2 * MS)
@@ -672,10 +672,10 @@
             serve(it, f"f{n}", n * 100 * MS, f"c{n}", tenant=f"t{n}")
         self.assertLess(max(len(worker.warm_until) for worker in it.workers.values()), 400)
         self.assertEqual(len(it.share_used_until), 0)
-        for n in range(NAMES + 500):
+        for n in range(MAX_FUNCTIONS + 500):
             act, _ = call(it, f"d{n}", 300 * SECOND, f"g{n}")
             act.on_client_gone(300 * SECOND)
-        self.assertLessEqual(len(it.functions), NAMES)
+        self.assertLessEqual(len(it.functions), MAX_FUNCTIONS)
 
     def test_calls_of_nobody_are_beyond_every_share(self):
         tenants = (Tenant("a", 0.5, 10.0),)
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -17,7 +17,7 @@
 from tests.live import until
 from tests.platform import SETTINGS, Coordinator, Platform, Worker, event, instance
 from tests.processes import FrontEndProcess
-from threadshift.choice import FAR_REACH, Dispatcher
+from threadshift.choice import FALLBACK_CANDIDATE_LIMIT, Dispatcher
 from threadshift.coordinator.events import parse_update
 from threadshift.coordinator.stream import Response
 from threadshift.desk.desk import Asked
@@ -263,7 +263,7 @@
         with mock.patch.object(dispatcher, "has_cold_capacity", return_value=False) as looked, mock.patch.object(
                 dispatcher, "is_eligible", return_value=False):
             act.start(0)
-        self.assertEqual(looked.call_count, FAR_REACH)
+        self.assertEqual(looked.call_count, FALLBACK_CANDIDATE_LIMIT)
 
     def test_a_walk_comes_to_every_worker_once_and_ends(self):
         dispatcher, act = self.one_call(50)
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -1,9 +1,12 @@
-"""Decides, for one front end, where each activation runs, when to send again and when to give up.
+"""The policy of one front end: where each activation runs, when to send it again and when to give up.
 
-Make a Dispatcher(seed, deployment, now) and call roster() with each list of workers. take() gives an
-Activation; call its start(), then returned() at each send's end and left() if the client quits. held() brings
-answers to load orders; tick() is wanted when due() has come. Each returns the Steps to carry out, in order.
-Interface: interface.py; what is remembered: state.py. Mechanism and departures from it: docs/design.md.
+Make a Dispatcher(seed, deployment, now) and pass each list of workers to update_workers(). admit() returns an
+Activation: call its start(), then on_send_ended() for each send that ends, and on_client_gone() if the client
+disconnects. on_load_ended() and on_report() take the answers to load orders and probes. tick() must be called
+when due() has come. Each call returns the Steps to carry out, in order.
+
+The types shared with callers are in interface.py, the recorded state is in state.py. docs/design.md describes
+the mechanism and where the policy departs from it.
 """
 from __future__ import annotations
 
@@ -18,148 +21,209 @@
     MS, SECOND, Action, Activation, Copy, Deployment, Effect, Outcome, Report, Send, Step, WorkerListing,
     WorkerState)
 from threadshift.ring import HashRing, pair_of_points
-from threadshift.state import Function, Zone, TypeStats, DispatcherState, CountMinSketch, Worker
-
-EPSILON = 0.25             # room above the mean in flight; middle of the design's 0.1 to 0.5
-REACH = 16                 # fit stops that a walk looks at; past them a call is as badly off as at home
-FAR_REACH = 128            # ready stops looked at where all look bad; with thousands, a walk around takes long
-SKETCH_WIDTH, SKETCH_DEPTH = 4096, 4       # count-min cells a row, rows; the write-up's figures
-SKETCH_WINDOW, SKETCH_LEAST = 10 * SECOND, 100     # time, the design's, and calls that pass before a reset
-SKETCH_PRIOR = 50          # calls of nothing added to the sketch's total, as few calls make chance look hot
-HOT_SHARE = 0.05           # of recent calls; the design's threshold; twice it earns the second successor
-SLICE, KNOWN = 0.25, 2.0   # of a worker's mean load that a function brings to each stop; with one front end
-KEPT = 3.0                 # calls by others, within the time an idle copy stays, that are taken to keep one
-REPORT_KEEP, FRESH_FOR = 3 * SECOND, 300 * MS      # a report counts so long; no new one is asked for so long
-WAITING, SILENT, PINNED = 2.0, 2.0, 10.0   # calls waiting that press; load if silent; calls that fill memory
-CORES_FREE = 0.9           # share of cores at work below which no call waits for one
-IDLE = 0.6                 # share of cores at work below which a worker that loads is silent for that alone
-HELD = 2.0                 # calls held, when told, that press no worker
-SEEN = 0.5                 # calls of ours in flight a worker, from which our counts say more than reports
-ASKS, ASK_WAIT, UNTOLD = 4, 30 * MS, 40    # stops asked a call; later, it is busy; so many told none: no more
-TELLS, ASKED = 0.1, 2.0     # weight of a report in the share that tells of press; questions by that share
-TURNS, GOLDEN = 1 << 20, 0.6180339887  # where front ends' turns begin, by chance; step, even at any length
-PROBED = 100 * MS          # for an answer from a worker that seems silent; far above a network's delay
-ROUND = 100 * MS           # period of the health round; a small part of any target latency in sight
-TYPICAL_START, LOAD_START = 0.25, SECOND   # until seen: usual share of the target latency, a load's time
-PATIENCE, EASE = 4, 0.45   # times the expected until overdue, 98% are in; of the target that answers may take
-TREND, FRESH = 0.03, 0.15  # weight of the newest answer in what is usual for all, in a worker's pace
-PACE_HALF = 3.5 * SECOND   # without an answer half of a pace is left after this; then it is tried again
-FIRST_LIMIT, GROW = 4.0, 1.0   # sends in flight at a worker until it shows what it bears; a second regained
-CUT, CUT_PAUSE = 0.85, 200 * MS    # left by a cut, as answers vary; between two, so one queue cuts once
-STRIKES, SUSPEND, SUSPEND_MOST = 2, 500 * MS, 8 * SECOND   # failures that suspend; first and longest time
-DOUBT = 3                  # workers of a hall that failed since any of it answered: the hall is in doubt
-BUDGET_SHARE, BUDGET_MOST = 0.1, 10.0      # further sends earned by a completed one, saved up; bounds storms
-COLD_RATE, COLD_BURST = 0.5, 0.2   # of the stated cold budget: earned a stretch, saved up; rest for chance
-RATE_MEMORY = 10 * SECOND  # memory of the rate of completed work
-SKEW, SPARE = 1.2, 0.6     # our part of a tenant's share over an equal one; of pace, open to the least worth
-SAVED, PARKED = 12, 8      # calls of a share saved up for chance; calls a lane that may wait for a load
-NAMES, LEFT = 20_000, 16   # functions remembered; workers gone that are remembered, or as many as are ready
-SOON = 0.5                 # of the usual load time: with less time left no load that has not begun can serve
-ADVICE = 0.5               # of the longest advice is by chance: all told the same, they come back as one
-LOADS, WIDEN = 3.0, 0.5    # loads at once a worker, by all front ends; of them, open to further copies
-CROWDED, LEAST_LOADS = 2.0, 0.1    # times the usual load time that tell a crowded store; ours at once, then
+from threadshift.state import CountMinSketch, DispatcherState, Function, TypeStats, Worker, Zone
+
+# Choice of a worker.
+EPSILON = 0.25                   # headroom of the in-flight cap over the mean; the design allows 0.1 to 0.5
+CANDIDATE_LIMIT = 16             # eligible workers considered; beyond them a call fares as badly as at home
+FALLBACK_CANDIDATE_LIMIT = 128   # ready workers considered if none is eligible; thousands would take too long
+TURN_RANGE = 1 << 20             # round-robin turns start at random within it, apart from other front ends
+TURN_STEP = 0.6180339887         # golden ratio: successive turns are spread evenly over any number of workers
+
+# How many workers a function is spread over.
+SKETCH_WIDTH = 4096              # cells per row of the count-min sketch
+SKETCH_DEPTH = 4                 # rows of the count-min sketch
+SKETCH_WINDOW = 10 * SECOND      # a sketch is replaced after this time ...
+SKETCH_MIN_CALLS = 100           # ... and this many calls
+SKETCH_PRIOR = 50                # calls added to the total: among few calls, a function looks hot by chance
+HOT_SHARE = 0.05                 # of recent calls, for a second worker; twice this share earns a third
+MIN_LOAD_PER_CANDIDATE = 0.25    # share of a worker's mean load that a function brings to each candidate ...
+LOAD_PER_CANDIDATE = 2.0         # ... or this, divided by the number of front ends, if that is more
+KEEP_WARM_CALLS = 3.0            # calls by other front ends in a keep-alive time that are assumed to keep one
+
+# Load reports and probes.
+REPORT_MAX_AGE = 3 * SECOND      # an older report is ignored
+REPORT_FRESH_TIME = 300 * MS     # no new report is requested so soon after a report or a probe
+REPORT_WAIT = 30 * MS            # a worker that does not answer a probe in this time counts as busy
+MAX_PROBES_PER_ACTIVATION = 4    # workers that one activation may wait for
+MAX_EMPTY_ANSWERS = 40           # probe answers without a load, in a row, that end the requests for reports
+PRESSURE_SMOOTHING = 0.1         # weight of the newest report in the share of reports that show pressure
+PROBES_PER_PRESSURE = 2.0        # probability of a probe, as a multiple of that share
+PRESSURE_QUEUE = 2.0             # queued activations that amount to a pressure of 1
+SILENT_LOAD = 2.0                # load assumed of a worker that does not answer a probe
+ACTIVATIONS_PER_MEMORY = 10.0    # activations that fill a worker's memory
+MIN_USUAL_LOAD = 2.0             # reported activations that are no pressure, however low the mean is
+CORES_FREE_BELOW = 0.9           # share of busy cores below which no activation waits for a core
+IDLE_BELOW = 0.6                 # share of busy cores below which loads alone explain a worker's silence
+MIN_OWN_IN_FLIGHT = 0.5          # own sends in flight per worker from which own counts say more than reports
+
+# Latency of a worker, relative to the target latency.
+INITIAL_LATENCY_SHARE = 0.25     # typical latency before the first answers, as a share of the target latency
+LATENCY_GOAL = 0.45              # share of the target latency that answers may take
+TREND_WEIGHT = 0.03              # weight of the newest value in fleet-wide means
+LATENCY_WEIGHT = 0.15            # weight of the newest answer in a worker's relative latency
+LATENCY_HALF_LIFE = 3.5 * SECOND  # of a relative latency without new answers; then the worker is tried again
+OVERDUE_FACTOR = 4               # times the expected latency until a send is overdue; 98% have ended by then
+
+# Limit of sends in flight at a worker.
+INITIAL_IN_FLIGHT_LIMIT = 4.0    # until the worker has shown how many it can process at once
+LIMIT_RECOVERY_PER_SECOND = 1.0  # sends in flight regained after a cut
+LIMIT_CUT_FACTOR = 0.85          # what a cut leaves; it is mild because latencies vary
+LIMIT_CUT_INTERVAL = 200 * MS    # between two cuts, so that one queue causes one cut
+
+# Failures.
+HEALTH_ROUND_INTERVAL = 100 * MS  # small compared with any target latency
+PROBE_TIMEOUT = 100 * MS         # for an answer from a worker that seems silent; far above a network's delay
+FAILURES_TO_SUSPEND = 2          # consecutive failures that suspend a worker
+MIN_SUSPENSION = 500 * MS        # length of the first suspension; it doubles each time
+MAX_SUSPENSION = 8 * SECOND
+ZONE_FAILURES_TO_SUSPEND = 3     # workers failed since any in their zone answered, that suspend the zone
+BUDGET_SHARE = 0.1               # further sends earned by a completed one; the budget bounds retry storms
+BUDGET_MOST = 10.0               # further sends that can be saved up
+
+# Workers that have just started.
+COLD_BUDGET_SHARE = 0.5          # share of the stated cold budget that is earned per `fall_time` ...
+COLD_BURST_SHARE = 0.2           # ... and that can be saved up; the rest is a margin for chance
+COMPLETION_WINDOW = 10 * SECOND  # memory of the rate of completed work
+
+# Tenants' shares.
+SHARE_SKEW = 1.2                 # a front end's part of a tenant's share, relative to an equal split
+SHARE_BURST = 12                 # calls of a share that can be saved up, as calls arrive at random
+LOW_PRIORITY_LIMIT = 0.6         # share of a worker's limit and pressure open to low-priority activations
+
+# Loads of copies.
+INITIAL_LOAD_TIME = SECOND       # typical time of a load before the first ones end
+MAX_PARKED_PER_LANE = 8          # activations that may wait for a load, per lane
+MIN_LOAD_TIME_SHARE = 0.5        # of the typical load time; with less time left, a new load cannot serve
+LOADS_PER_WORKER = 3.0           # loads at once, by all front ends together
+EXTRA_COPY_SHARE = 0.5           # share of the load limit that further copies may use
+CROWDED_LOAD_FACTOR = 2.0        # times the typical load time that show a crowded store
+MIN_LOADS_WHEN_CROWDED = 0.1     # loads at once by one front end while the store is crowded
+
+# Memory and advice.
+MAX_FUNCTIONS = 20_000           # functions remembered
+MIN_GONE_WORKERS = 16            # workers that are gone and remembered, or as many as are ready
+RETRY_AFTER_JITTER = 0.5         # random share of the advice; clients told the same would return at once
 
 NEVER_RAN = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NEVER_SENT, Outcome.MISS)
 FAILED = (Outcome.UNREACHABLE, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR)
 
 
 class Dispatcher(DispatcherState):
-    """One front end's decisions."""
+    """Makes the decisions of one front end."""
 
-    def __init__(self, seed: int, told: Deployment, now: int):
+    def __init__(self, seed: int, deployment: Deployment, now: int):
         super().__init__(completed_work_at=now)
         self.random = random.Random(seed).random
-        best = max((each.utility for each in told.types), default=0.0) or 1.0
+        best = max((each.utility for each in deployment.types), default=0.0) or 1.0
         self.types = {
             each.name: TypeStats(each.target_latency, each.effect, each.dedup_scope, each.dedup_window,
-                                 each.utility / best, TYPICAL_START * each.target_latency)
-            for each in told.types}
+                                 each.utility / best, INITIAL_LATENCY_SHARE * each.target_latency)
+            for each in deployment.types}
         self.deadline_margin, self.front_ends, self.idle_keep_alive = (
-            2 * told.tick, told.front_ends, told.idle_keep_alive)
+            2 * deployment.tick, deployment.front_ends, deployment.idle_keep_alive)
         self.max_sends, self.may_cancel, self.may_duplicate = (
-            told.max_sends, told.may_cancel, told.may_duplicate)
-        # caps of all together bound no load
-        self.has_many_front_ends = told.front_ends * (1 + EPSILON) > FIRST_LIMIT
-        # own hall first, others being priced
-        self.preferred_zone = told.zone if told.cross_zone_fee and self.has_many_front_ends else None
-        self.max_retry_after, self.loads_on_miss = told.max_retry_after, told.loads_on_miss
-        self.load_window, self.load_ratio = told.load_window or 1, told.load_ratio
-        self.min_load_limit = min(1.0, max(LEAST_LOADS, LOADS / told.front_ends))  # when crowded
-        self.load_free = (
-            -1.0 if not told.may_order_loads else told.load_free if told.load_window else float("inf"))
-        self.cold_share, self.cold_time, self.fall_time = told.cold_share, told.cold_time, told.fall_time
-        self.cold_factor = told.fall_multiple * told.fall_time / RATE_MEMORY
-        self.share_intervals = {each.name: int(SECOND * told.front_ends / SKEW / each.per_second)    # ns a call takes
-                       if each.per_second > 0 else 0 for each in told.tenants}      # within our part; 0: any
+            deployment.max_sends, deployment.may_cancel, deployment.may_duplicate)
+        # Each front end's cap is at least one, so with many front ends the caps together bound no load.
+        self.has_many_front_ends = deployment.front_ends * (1 + EPSILON) > INITIAL_IN_FLIGHT_LIMIT
+        # Workers of the own zone are preferred where a send to another zone costs a fee.
+        self.preferred_zone = (
+            deployment.zone if deployment.cross_zone_fee and self.has_many_front_ends else None)
+        self.max_retry_after, self.loads_on_miss = deployment.max_retry_after, deployment.loads_on_miss
+        self.load_window, self.load_ratio = deployment.load_window or 1, deployment.load_ratio
+        # The lower bound of the load limit while the store is crowded.
+        self.min_load_limit = min(1.0, max(MIN_LOADS_WHEN_CROWDED, LOADS_PER_WORKER / deployment.front_ends))
+        self.load_free = -1.0 if not deployment.may_order_loads else (
+            deployment.load_free if deployment.load_window else float("inf"))
+        self.cold_share, self.cold_time, self.fall_time = (
+            deployment.cold_share, deployment.cold_time, deployment.fall_time)
+        self.cold_factor = deployment.fall_multiple * deployment.fall_time / COMPLETION_WINDOW
+        # The time of this front end's part of a tenant's share that one call uses up, in ns; 0: unlimited.
+        self.share_intervals = {
+            each.name: int(SECOND * deployment.front_ends / SHARE_SKEW / each.per_second)
+            if each.per_second > 0 else 0 for each in deployment.tenants}
         self.probe_allowance, self.may_probe = (
-            UNTOLD if told.may_probe and self.has_many_front_ends else 0, told.may_probe)
+            MAX_EMPTY_ANSWERS if deployment.may_probe and self.has_many_front_ends else 0,
+            deployment.may_probe)
         self.previous_sketch, self.sketch = (
             CountMinSketch(SKETCH_DEPTH, SKETCH_WIDTH, now) for _ in range(2))
         self.next_health_round, self.retry_budget, self.typical_load_time = (
-            now + ROUND, BUDGET_MOST / 2, float(LOAD_START))
+            now + HEALTH_ROUND_INTERVAL, BUDGET_MOST / 2, float(INITIAL_LOAD_TIME))
 
     def collect_steps(self, decide, *args) -> list[Step]:
+        """Makes a decision and returns the steps that it has queued."""
         decide(*args)
-        out, self.pending_steps = self.pending_steps, []
-        return out
+        steps, self.pending_steps = self.pending_steps, []
+        return steps
 
     def due(self) -> int:
+        """The time at which tick() must be called."""
         while self.timers and self.timers[0][2].answered:
             heapq.heappop(self.timers)
         return min(self.next_health_round, self.timers[0][0]) if self.timers else self.next_health_round
 
     def tick(self, now: int) -> list[Step]:
+        """Handles the timers that have expired, and runs the health round when it is due."""
         while self.timers and self.timers[0][0] <= now:
             self.on_timeout(heapq.heappop(self.timers)[2], now)
         return self.collect_steps(self.run_health_round, now)
 
-    def shorten_deadlines(self, last: int) -> None:
-        """This front end ends: none may be owed an answer past `last`, as nobody would give it."""
-        for _, _, act in self.timers:
-            act.answer_due = min(act.answer_due, last - self.deadline_margin)
-        self.timers = [(min(at, act.answer_due), number, act) for at, number, act in self.timers]
+    def shorten_deadlines(self, latest: int) -> None:
+        """Makes every answer due by `latest`: this front end shuts down and can give no answer after that."""
+        for _, _, activation in self.timers:
+            activation.answer_due = min(activation.answer_due, latest - self.deadline_margin)
+        self.timers = [(min(at, activation.answer_due), serial, activation)
+                       for at, serial, activation in self.timers]
         heapq.heapify(self.timers)
 
-    def on_timeout(self, act: Activation, now: int) -> None:
-        """Its own time is up, or it waited long enough for a worker's report, which tells that it is busy."""
-        if now >= act.answer_due and not act.answer_started:
-            self.give_up(act, now)
-        elif act.awaited_worker is not None and not act.answered and (
-                now - act.awaited_worker.last_probe_at >= ASK_WAIT):
-            act.awaited_worker.reported_load, act.awaited_worker.load_updated_at = SILENT, now
-            self.dispatch(act, now)
+    def on_timeout(self, activation: Activation, now: int) -> None:
+        """Handles the end of an activation's time, or of its wait for a worker's report.
+
+        A worker that has not sent its report in time counts as busy."""
+        if now >= activation.answer_due and not activation.answer_started:
+            self.give_up(activation, now)
+        elif activation.awaited_worker is not None and not activation.answered and (
+                now - activation.awaited_worker.last_probe_at >= REPORT_WAIT):
+            activation.awaited_worker.reported_load, activation.awaited_worker.load_updated_at = (
+                SILENT_LOAD, now)
+            self.dispatch(activation, now)
 
     def update_workers(self, now: int, listings: list[WorkerListing], full: bool) -> list[Step]:
+        """Applies a list of workers. If it is full, workers that it does not name are gone."""
         for worker in self.workers.values() if full else ():
             worker.ready, worker.gone = False, True
-        for told in listings:
-            worker = self.workers.get(told.worker)
+        for listing in listings:
+            worker = self.workers.get(listing.worker)
             if worker is None:
-                worker = self.workers[told.worker] = Worker(told.worker, in_flight_limit=FIRST_LIMIT)
-            worker.zone, worker.cell, worker.size = told.zone, told.cell, max(told.size, 0.01)
-            self.zones.setdefault(told.zone, Zone())
-            worker.ready, worker.gone = told.state is WorkerState.READY, told.state is WorkerState.GONE
-            if told.started_at > worker.started_at:
-                worker.started_at = told.started_at
-                worker.warm_until.clear()     # what we knew was of another process
-                worker.consecutive_failures = worker.consecutive_suspensions = (
-                    worker.suspended_until) = worker.limit_cut_at = 0
-                worker.relative_latency, worker.in_flight_limit, worker.cold_credit, worker.load_updated_at = (
-                    0.0, FIRST_LIMIT, -1.0, 0)
+                worker = self.workers[listing.worker] = Worker(
+                    listing.worker, in_flight_limit=INITIAL_IN_FLIGHT_LIMIT)
+            worker.zone, worker.cell, worker.size = listing.zone, listing.cell, max(listing.size, 0.01)
+            self.zones.setdefault(listing.zone, Zone())
+            worker.ready, worker.gone = listing.state is WorkerState.READY, listing.state is WorkerState.GONE
+            if listing.started_at > worker.started_at:
+                # What was recorded concerns the worker's previous process.
+                worker.started_at = listing.started_at
+                worker.warm_until.clear()
+                worker.consecutive_failures = worker.consecutive_suspensions = 0
+                worker.suspended_until = worker.limit_cut_at = worker.load_updated_at = 0
+                worker.relative_latency, worker.in_flight_limit, worker.cold_credit = (
+                    0.0, INITIAL_IN_FLIGHT_LIMIT, -1.0)
         self.ready_workers = [worker for worker in self.workers.values() if worker.ready]
         self.place_on_ring(listings)
         self.mean_size = sum(worker.size for worker in self.ready_workers) / max(1, len(self.ready_workers))
         self.max_ready_workers = max(self.max_ready_workers, len(self.ready_workers))
-        self.max_loads = max(1.0, len(self.ready_workers) * min(1.0, LOADS / self.front_ends))
+        self.max_loads = max(1.0, len(self.ready_workers) * min(1.0, LOADS_PER_WORKER / self.front_ends))
         self.load_limit = self.load_limit or self.max_loads
         return []
 
     def place_on_ring(self, listings: list[WorkerListing]) -> None:
-        """Adds the points of new workers; those of unready ones are passed over. Workers whose names never come back
-        are forgotten once they are many: walks would pass over ever more of them."""
-        if len(self.workers) - len(self.ready_workers) > max(LEFT, len(self.ready_workers)):
+        """Adds workers that have become ready to the ring, where unready ones stay and are skipped.
+
+        Workers whose names never return are forgotten once they are many, as searches would skip ever more of
+        them."""
+        if len(self.workers) - len(self.ready_workers) > max(MIN_GONE_WORKERS, len(self.ready_workers)):
             self.forget_gone_workers()
-        added = [worker for told in listings if (worker := self.workers.get(told.worker)) is not None
+        added = [worker for listing in listings if (worker := self.workers.get(listing.worker)) is not None
                  and worker.ready and worker.ring_number < 0]
         if self.ring.is_full:
             self.ring, added = HashRing(), list(self.workers.values())
@@ -169,566 +233,700 @@
             self.ring_version += 1
 
     def forget_gone_workers(self) -> None:
-        left = [worker for worker in self.workers.values() if worker.gone and not (
+        """Forgets workers that are gone, if they are many and nothing is outstanding at them."""
+        forgotten = [worker for worker in self.workers.values() if worker.gone and not (
             worker.sends or worker.load_orders or worker.open_probes)]
-        if len(left) <= max(LEFT, len(self.ready_workers)):
+        if len(forgotten) <= max(MIN_GONE_WORKERS, len(self.ready_workers)):
             return
-        for worker in left:
+        for worker in forgotten:
             del self.workers[worker.name]
             if worker.ring_number >= 0:
                 self.ring.remove(worker.ring_number)
         self.ring_version += 1
 
-    def clockwise_workers(self, fn: Function) -> Iterator[Worker]:
-        """Distinct ready workers clockwise from its hash, worked out no further than asked for."""
-        if fn.ring_version != self.ring_version:
-            fn.candidates, fn.ring_version = {}, self.ring_version
-            fn.cursor = self.ring.after(fn.ring_point)
-        yield from [worker for worker in fn.candidates if worker.ready]
-        # Once all have come it ends: the points that are left, most of them, are of workers that came before.
-        while len(fn.candidates) < self.ring.members:
-            worker, fn.cursor = self.ring.next(fn.cursor)
-            if worker is not None and worker not in fn.candidates:
-                fn.candidates[worker] = None
+    def clockwise_workers(self, function: Function) -> Iterator[Worker]:
+        """Yields distinct ready workers clockwise from the function's ring point.
+
+        The order is computed only as far as it is consumed, and is remembered with the function."""
+        if function.ring_version != self.ring_version:
+            function.candidates, function.ring_version = {}, self.ring_version
+            function.cursor = self.ring.after(function.ring_point)
+        yield from [worker for worker in function.candidates if worker.ready]
+        # Ends once all members were found: most of the points that are left belong to workers seen before.
+        while len(function.candidates) < self.ring.members:
+            worker, function.cursor = self.ring.next(function.cursor)
+            if worker is not None and worker not in function.candidates:
+                function.candidates[worker] = None
                 if worker.ready:
                     yield worker
 
-    def admit(self, now: int, ivk: str, type_name: str, fn_name: str, left: int, *, tenant: str = "",
-             cost_hint: int = 0, lanes: int = 1, load_time: int = 0, is_client_retry: bool = False) -> Activation:
-        fn = self.functions.pop(fn_name, None)
-        if fn is None:
-            at, spread = pair_of_points(fn_name)
-            fn = Function(
-                fn_name, max(1, lanes), max(1, lanes // self.front_ends), load_time, at,
-                self.sketch.cells_of(spread), turn=int(self.random() * TURNS))
-        fn.turn += 1
-        self.functions[fn_name] = fn    # the latest called stands last; the first go when they are too many
-        while len(self.functions) > NAMES:
-            for act in self.parked_activations(self.functions.pop(next(iter(self.functions)))):
-                self.give_up(act, now)
-        if now - self.sketch.started_at >= SKETCH_WINDOW and self.sketch.total >= SKETCH_LEAST:
+    def admit(self, now: int, activation_id: str, type_name: str, function_name: str, time_left: int, *,
+              tenant: str = "", cost_hint: int = 0, lanes: int = 1, load_time: int = 0,
+              is_client_retry: bool = False) -> Activation:
+        """Admits an activation, which must be answered within `time_left`, and returns its handle."""
+        function = self.functions.pop(function_name, None)
+        if function is None:
+            ring_point, sketch_number = pair_of_points(function_name)
+            function = Function(
+                function_name, max(1, lanes), max(1, lanes // self.front_ends), load_time, ring_point,
+                self.sketch.cells_of(sketch_number), turn=int(self.random() * TURN_RANGE))
+        function.turn += 1
+        # Functions are kept in the order of their latest call; those called least recently are dropped.
+        self.functions[function_name] = function
+        while len(self.functions) > MAX_FUNCTIONS:
+            for activation in self.parked_activations(self.functions.pop(next(iter(self.functions)))):
+                self.give_up(activation, now)
+        if now - self.sketch.started_at >= SKETCH_WINDOW and self.sketch.total >= SKETCH_MIN_CALLS:
             self.previous_sketch, self.sketch = self.sketch, CountMinSketch(SKETCH_DEPTH, SKETCH_WIDTH, now)
             for worker in self.workers.values():
                 worker.warm_until = {name: until for name, until in worker.warm_until.items() if until > now}
-        self.sketch.add(fn.sketch_cells)
+        self.sketch.add(function.sketch_cells)
         self.recent_admissions.append(now)
-        # orders may be rare: without this the times would pile up
+        # Drops the times that have expired: load orders may be rare, and the times would pile up until one.
         self.count_recent(self.recent_admissions, now)
-        kind = self.types[type_name]
+        type_stats = self.types[type_name]
         if cost_hint:
-            kind.mean_cost_hint += (
-                TREND * (cost_hint - kind.mean_cost_hint) if kind.mean_cost_hint else cost_hint)
-            kind.mean_cost = kind.mean_cost_hint / SECOND
-        self.mean_cost += TREND * (kind.mean_cost - self.mean_cost) if self.mean_cost else kind.mean_cost
-        self.update_spread(fn, kind, now)
-        act = Activation(self, ivk, kind, fn, now, now + max(0, left - self.deadline_margin), cost_hint,
-                         is_client_retry or self.exceeds_share(tenant, now), fn.turn)
-        heapq.heappush(self.timers, (act.answer_due, self.next_serial(), act))
-        return act
+            type_stats.mean_cost_hint += (
+                TREND_WEIGHT * (cost_hint - type_stats.mean_cost_hint) if type_stats.mean_cost_hint
+                else cost_hint)
+            type_stats.mean_cost = type_stats.mean_cost_hint / SECOND
+        self.mean_cost += (
+            TREND_WEIGHT * (type_stats.mean_cost - self.mean_cost) if self.mean_cost
+            else type_stats.mean_cost)
+        self.update_spread(function, type_stats, now)
+        activation = Activation(
+            self, activation_id, type_stats, function, now, now + max(0, time_left - self.deadline_margin),
+            cost_hint, is_client_retry or self.exceeds_share(tenant, now), function.turn)
+        heapq.heappush(self.timers, (activation.answer_due, self.next_serial(), activation))
+        return activation
 
     def exceeds_share(self, tenant: str, now: int) -> bool:
-        """Whether this is more than our part of what its tenant may ask; some are saved up for chance."""
-        pays = self.share_intervals.get(tenant)
-        if not pays:        # calls of nobody are worth least, where there are shares; else names are not kept
-            return pays is None and bool(self.share_intervals)
-        paid = max(self.share_used_until.get(tenant, -SECOND), now - max(SECOND, SAVED * pays))
-        if paid <= now:
-            self.share_used_until[tenant] = paid + pays
-        return paid > now
-
-    def update_spread(self, fn: Function, kind: TypeStats, now: int) -> None:
-        """Over how many stops: when hot, by the sketch, two or three, or by its part of the fleet's work.
-
-        The less one front end sees, the thinner: all would send to the same three of a hundred workers. And
-        where it sees little of a stop, what all others send there keeps a copy: the ring is evidence."""
-        seen = self.previous_sketch.estimate(fn.sketch_cells) + self.sketch.estimate(fn.sketch_cells)
-        share = (seen - 1) / (self.previous_sketch.total + self.sketch.total + SKETCH_PRIOR)
-        part = share * len(self.ready_workers) * kind.mean_cost / self.mean_cost
-        fn.spread = max(1 + (share > HOT_SHARE) + (share > 2 * HOT_SHARE),
-                       round(part / max(SLICE, KNOWN / self.front_ends)))
-        ours = seen * self.idle_keep_alive / max(
-            self.idle_keep_alive, now - self.previous_sketch.started_at, 1) / fn.spread
-        fn.kept_warm_by_others = ours <= 1 and ours * (self.front_ends - 1) >= KEPT
-
-    def expected_latency(self, act: Activation) -> float:
-        hint = act.cost_hint / act.type_stats.mean_cost_hint if (
-            act.cost_hint and act.type_stats.mean_cost_hint) else 1.0
-        return act.type_stats.typical_latency * (0.5 + 0.5 * hint)
+        """Whether a call exceeds this front end's part of its tenant's share.
+
+        Part of an unused share is saved up, as calls arrive at random. Where tenants have shares, calls of
+        unknown tenants always exceed theirs; such names are not stored."""
+        interval = self.share_intervals.get(tenant)
+        if not interval:
+            return interval is None and bool(self.share_intervals)
+        used_until = max(
+            self.share_used_until.get(tenant, -SECOND), now - max(SECOND, SHARE_BURST * interval))
+        if used_until <= now:
+            self.share_used_until[tenant] = used_until + interval
+        return used_until > now
+
+    def update_spread(self, function: Function, type_stats: TypeStats, now: int) -> None:
+        """Sets how many ring candidates the function is spread over.
+
+        A hot function has two or three, or more in line with its part of the fleet's work. The more front
+        ends there are, the thinner it is spread: otherwise all of them would send to the same three of a
+        hundred workers. Where this front end rarely sends to a candidate, the calls of the others are assumed
+        to keep a copy there, as every front end computes the same ring."""
+        calls = self.previous_sketch.estimate(function.sketch_cells) + self.sketch.estimate(
+            function.sketch_cells)
+        share = (calls - 1) / (self.previous_sketch.total + self.sketch.total + SKETCH_PRIOR)
+        load = share * len(self.ready_workers) * type_stats.mean_cost / self.mean_cost
+        function.spread = max(1 + (share > HOT_SHARE) + (share > 2 * HOT_SHARE),
+                              round(load / max(MIN_LOAD_PER_CANDIDATE, LOAD_PER_CANDIDATE / self.front_ends)))
+        own_calls = calls * self.idle_keep_alive / max(
+            self.idle_keep_alive, now - self.previous_sketch.started_at, 1) / function.spread
+        function.kept_warm_by_others = own_calls <= 1 and own_calls * (self.front_ends - 1) >= KEEP_WARM_CALLS
+
+    def expected_latency(self, activation: Activation) -> float:
+        """Expected ns from send to answer at a warm worker; half of it grows with the cost hint."""
+        relative_hint = activation.cost_hint / activation.type_stats.mean_cost_hint if (
+            activation.cost_hint and activation.type_stats.mean_cost_hint) else 1.0
+        return activation.type_stats.typical_latency * (0.5 + 0.5 * relative_hint)
 
     def in_flight_cap(self, worker: Worker, now: int) -> float:
-        """The design's cap, by told size; from one upwards for a worker that has just started."""
+        """The cap of consistent hashing with bounded loads, by the worker's size.
+
+        For a worker that has just started it rises from one."""
         cap = max(1.0, len(self.in_flight) / len(self.ready_workers)) * (
             1 + EPSILON) * worker.size / self.mean_size
         return min(cap, 1.0 + max(0.0, cap - 1.0) * self.warmup_progress(worker, now))
 
     def warmup_progress(self, worker: Worker, now: int) -> float:
-        # share of its warming that is over, at the latest
+        """The share of the warm-up time that has passed; at 1 the worker is warm at the latest."""
         return min(1.0, (now - worker.started_at) / self.cold_time) if (
             worker.started_at and self.cold_time) else 1.0
 
-    def has_cold_capacity(self, worker: Worker, act: Activation, now: int) -> bool:
-        """Our part of what a just started worker can surely take is earned over time, from a point drawn by
-        chance: one send at once from each front end would push it over. Unknown: one a stretch by all."""
-        age, mean, units = self.warmup_progress(worker, now), act.type_stats.mean_cost, self.cold_cost(act)
-        if age >= 1:
+    def has_cold_capacity(self, worker: Worker, activation: Activation, now: int) -> bool:
+        """Whether the worker, if it has just started, can take this activation without being overloaded.
+
+        This front end earns its part of what the worker can surely take over time, and starts at a random
+        credit: an immediate send from each front end would overload the worker. All front ends together may
+        send at least one activation per `fall_time`, also while no work has been completed yet."""
+        progress, mean_cost, cost = (
+            self.warmup_progress(worker, now), activation.type_stats.mean_cost, self.cold_cost(activation))
+        if progress >= 1:
             return True
-        able = (self.cold_share + (1 - self.cold_share) * age) * min(1.0, worker.size / self.mean_size)
-        budget = self.cold_factor * able * self.completed_work / self.max_ready_workers
+        capacity = (self.cold_share + (1 - self.cold_share) * progress) * min(
+            1.0, worker.size / self.mean_size)
+        budget = self.cold_factor * capacity * self.completed_work / self.max_ready_workers
         if worker.cold_credit < 0:
-            worker.cold_credit, worker.credit_updated_at = mean * self.random(), now
-        gain = max(COLD_RATE * budget, mean / self.front_ends) * (
+            worker.cold_credit, worker.credit_updated_at = mean_cost * self.random(), now
+        earned = max(COLD_BUDGET_SHARE * budget, mean_cost / self.front_ends) * (
             now - worker.credit_updated_at) / self.fall_time
         worker.cold_credit, worker.credit_updated_at = (
-            min(max(units, COLD_BURST * budget), worker.cold_credit + gain), now)
-        return worker.cold_credit >= units
+            min(max(cost, COLD_BURST_SHARE * budget), worker.cold_credit + earned), now)
+        return worker.cold_credit >= cost
 
-    def cold_cost(self, act: Activation) -> float:     # on a cold worker; by its own hint where that says more
-        return max(act.type_stats.mean_cost, act.cost_hint / SECOND)
+    def cold_cost(self, activation: Activation) -> float:
+        """What an activation costs a cold worker: the mean of its type, or its own hint if that is more."""
+        return max(activation.type_stats.mean_cost, activation.cost_hint / SECOND)
 
     def apply_elapsed_time(self, worker: Worker, now: int) -> None:
-        """What time alone does: limits recover, and a pace not heard of for a while fades."""
-        passed, worker.adjusted_at = now - worker.adjusted_at, now
-        worker.in_flight_limit += GROW * passed / SECOND if worker.limit_cut_at else 0
-        if now - worker.last_answer_at > ROUND and worker.relative_latency:
-            worker.relative_latency *= 0.5 ** (passed / PACE_HALF)
+        """Applies what time alone changes.
+
+        The limit recovers after a cut, and the relative latency decays while there are no answers."""
+        elapsed, worker.adjusted_at = now - worker.adjusted_at, now
+        worker.in_flight_limit += LIMIT_RECOVERY_PER_SECOND * elapsed / SECOND if worker.limit_cut_at else 0
+        if now - worker.last_answer_at > HEALTH_ROUND_INTERVAL and worker.relative_latency:
+            worker.relative_latency *= 0.5 ** (elapsed / LATENCY_HALF_LIFE)
+
+    def is_eligible(self, worker: Worker, activation: Activation, now: int) -> bool:
+        """Whether the worker may be sent the activation, whatever its load.
 
-    def is_eligible(self, worker: Worker, act: Activation, now: int) -> bool:
+        It must not be suspended, nor its zone, and if it has just started it must have cold capacity."""
         self.apply_elapsed_time(worker, now)
-        hall, trial = self.zones[worker.zone], act.type_stats.effect is not Effect.ONCE_ONLY
-        return worker.suspended_until <= now and hall.suspended_until <= now and self.has_cold_capacity(
-                worker, act, now) and (
-            # Suspended before, it is on trial: one repeatable send at a time until an answer. So is its hall.
-            not worker.consecutive_suspensions or not worker.sends and trial) and (
-            not hall.consecutive_suspensions or trial and all(
+        zone, may_be_trial = (
+            self.zones[worker.zone], activation.type_stats.effect is not Effect.ONCE_ONLY)
+        return worker.suspended_until <= now and zone.suspended_until <= now and self.has_cold_capacity(
+            worker, activation, now) and (
+            # After a suspension a worker is on trial until it answers: it gets one send at a time, and no
+            # once-only activation. The same holds for a zone.
+            not worker.consecutive_suspensions or not worker.sends and may_be_trial) and (
+            not zone.consecutive_suspensions or may_be_trial and all(
                 send.worker.zone != worker.zone for send in self.in_flight))
 
-    def has_capacity(self, worker: Worker, now: int, heft: float = 1.0) -> bool:
+    def has_capacity(self, worker: Worker, now: int, relative_cost: float = 1.0) -> bool:
+        """Whether the worker is below its cap, its limit and the pressure that it should carry."""
         return len(worker.sends) < min(self.in_flight_cap(worker, now), worker.in_flight_limit) and (
-            self.pressure(worker, now) * heft <= 1)
+            self.pressure(worker, now) * relative_cost <= 1)
 
     @property
     def relies_on_reports(self) -> bool:
-        """Whether our own counts say little of a worker's load: many front ends, few calls of ours a worker.
+        """Whether own counts say little of a worker's load: many front ends, few own sends per worker.
 
-        Else reports, late and rough, bar workers that our own counts and answers show to be free."""
-        return self.has_many_front_ends and len(self.in_flight) < SEEN * len(self.ready_workers)
+        Otherwise reports, which are late and rough, would bar workers that own counts and answers show to be
+        free."""
+        return self.has_many_front_ends and len(self.in_flight) < MIN_OWN_IN_FLIGHT * len(self.ready_workers)
 
     def pressure(self, worker: Worker, now: int) -> float:
-        """How hard others press it, 1 being what it should carry, by its answers and its last report."""
-        return max(worker.relative_latency / EASE, worker.reported_load if (
-            self.relies_on_reports and now - worker.load_updated_at < REPORT_KEEP) else 0.0)
-
-    def is_warm_for(self, worker: Worker, fn: Function, now: int) -> bool:   # by our own calls, or by others'
-        return worker.has_copy(fn, now) or fn.kept_warm_by_others and worker in fn.primaries
-
-    def ring_candidates(self, fn: Function) -> Iterator[Worker]:     # the stops that are looked at
-        return islice(self.clockwise_workers(fn), fn.spread + REACH)
-
-    def has_second_copy(self, fn: Function, now: int) -> bool:   # whether a second copy could serve instead
-        standing = (worker for worker in self.ring_candidates(fn) if self.is_warm_for(worker, fn, now))
-        return len(list(islice(standing, 2))) == 2
-
-    def choose_worker(self, act: Activation, now: int) -> Worker | None:
-        fn, stops, chosen = act.function, [], None
-        ready = list(self.ring_candidates(fn))
-        group = ready[:fn.spread]
-        fn.primaries = dict.fromkeys(group)
-        near = [worker for worker in group if worker.zone == self.preferred_zone]
-        # far ones are for what overflows
-        near, far = near or group, [
-            worker for worker in group if worker.zone != self.preferred_zone] if near else []
-        sizes = list(accumulate(worker.size for worker in near)) or [0.0]   # in turn, the larger more often
-        shift = min(bisect.bisect(sizes, act.turn * GOLDEN % 1.0 * sizes[-1]), len(sizes) - 1)
-        on = act.turn % max(1, len(far))
-        # Heard of a copy since, as by our order after a 'miss', a worker is worth trying again.
-        tried = [send.worker for send in act.sends if not send.worker.has_copy(
-            fn, send.sent_at + self.idle_keep_alive)]
-        heft = max(1.0, self.expected_latency(act) / act.type_stats.typical_latency) / (
-            SPARE if act.low_priority else 1.0)
-        turned = (one for one in chain(
-            near[shift:], near[:shift], far[on:], far[:on], ready[fn.spread:]) if one not in tried)
-        fit = (one for one in chain(turned, tried) if one.ready and self.is_eligible(one, act, now))
-        for worker in islice(fit, REACH):
-            if stops and worker in tried:
+        """The load on a worker by all front ends, by its latency and its last report; it should carry 1."""
+        return max(worker.relative_latency / LATENCY_GOAL, worker.reported_load if (
+            self.relies_on_reports and now - worker.load_updated_at < REPORT_MAX_AGE) else 0.0)
+
+    def is_warm_for(self, worker: Worker, function: Function, now: int) -> bool:
+        """Whether the worker is believed to have a copy, by own calls or by those of other front ends."""
+        return worker.has_copy(function, now) or function.kept_warm_by_others and worker in function.primaries
+
+    def ring_candidates(self, function: Function) -> Iterator[Worker]:
+        """The ready workers that a decision considers, clockwise from the function's ring point."""
+        return islice(self.clockwise_workers(function), function.spread + CANDIDATE_LIMIT)
+
+    def has_second_copy(self, function: Function, now: int) -> bool:
+        """Whether two candidates are believed to have a copy, so that one could replace the other."""
+        warm = (worker for worker in self.ring_candidates(function)
+                if self.is_warm_for(worker, function, now))
+        return len(list(islice(warm, 2))) == 2
+
+    def choose_worker(self, activation: Activation, now: int) -> Worker | None:
+        """Returns the worker for the next send; None if it is parked now or no worker may take it.
+
+        Where another copy seems useful, orders a load as well."""
+        function, candidates, chosen = activation.function, [], None
+        ready = list(self.ring_candidates(function))
+        primaries = ready[:function.spread]
+        function.primaries = dict.fromkeys(primaries)
+        near = [worker for worker in primaries if worker.zone == self.preferred_zone]
+        # Workers of other zones take what overflows.
+        near, far = near or primaries, [
+            worker for worker in primaries if worker.zone != self.preferred_zone] if near else []
+        # Workers take turns, larger ones more often.
+        cumulative_sizes = list(accumulate(worker.size for worker in near)) or [0.0]
+        first_near = min(
+            bisect.bisect(cumulative_sizes, activation.turn * TURN_STEP % 1.0 * cumulative_sizes[-1]),
+            len(cumulative_sizes) - 1)
+        first_far = activation.turn % max(1, len(far))
+        # A worker that has got a copy since, such as by a load order after a miss, is worth another try.
+        tried = [send.worker for send in activation.sends if not send.worker.has_copy(
+            function, send.sent_at + self.idle_keep_alive)]
+        relative_cost = max(
+            1.0, self.expected_latency(activation) / activation.type_stats.typical_latency) / (
+            LOW_PRIORITY_LIMIT if activation.low_priority else 1.0)
+        untried = (worker for worker in chain(
+            near[first_near:], near[:first_near], far[first_far:], far[:first_far], ready[function.spread:])
+            if worker not in tried)
+        eligible = (worker for worker in chain(untried, tried)
+                    if worker.ready and self.is_eligible(worker, activation, now))
+        for worker in islice(eligible, CANDIDATE_LIMIT):
+            if candidates and worker in tried:
                 break
-            stops.append(worker)
-            home = group[0] if fn.spread > 1 else stops[0]
-            if self.is_warm_for(worker, fn, now) and worker.count_sends(fn) < fn.own_lanes and (
-                    not act.low_priority or len(worker.sends) < SPARE * worker.in_flight_limit) and (
-                    self.has_capacity(worker, now, heft) or worker is home and self.warmup_progress(home, now) >= 1
-                    and self.pressure(home, now) * heft <= 1 and len(worker.sends) < worker.in_flight_limit):
+            candidates.append(worker)
+            home = primaries[0] if function.spread > 1 else candidates[0]
+            # Once warmed up, home may exceed the cap, though not its own limit.
+            if self.is_warm_for(worker, function, now) and (
+                    worker.count_sends(function) < function.own_lanes) and (
+                    not activation.low_priority
+                    or len(worker.sends) < LOW_PRIORITY_LIMIT * worker.in_flight_limit) and (
+                    self.has_capacity(worker, now, relative_cost)
+                    or worker is home and self.warmup_progress(home, now) >= 1
+                    and self.pressure(home, now) * relative_cost <= 1
+                    and len(worker.sends) < worker.in_flight_limit):
                 chosen = worker
                 break
-        if not stops:
-            # All look bad, by a shared cause: suspensions are set aside; cold workers stay guarded.
-            return next((worker for worker in islice(self.clockwise_workers(fn), FAR_REACH)
-                         if self.has_cold_capacity(worker, act, now)), None)
-        first, warm = stops[0], [worker for worker in stops if self.is_warm_for(worker, fn, now)]
+        if not candidates:
+            # All workers look bad, by a common cause: suspensions are ignored, cold workers stay protected.
+            return next((
+                worker for worker in islice(self.clockwise_workers(function), FALLBACK_CANDIDATE_LIMIT)
+                if self.has_cold_capacity(worker, activation, now)), None)
+        first, warm = candidates[0], [
+            worker for worker in candidates if self.is_warm_for(worker, function, now)]
         if not warm:
-            coming = next((worker for worker in stops if worker.is_loading(fn)), None)
-            if coming is None and self.may_load(now):
-                # Not home: spread over more stops, home may be no stop at all, cold or suspended.
-                return next((worker for worker in stops if self.has_capacity(worker, now)), first)
-            if coming is None and self.cannot_load_in_time(act, now):
+            loading = next((worker for worker in candidates if worker.is_loading(function)), None)
+            if loading is None and self.may_load(now):
+                # Not necessarily home: that of a function with a spread may be cold or suspended.
+                return next((worker for worker in candidates if self.has_capacity(worker, now)), first)
+            if loading is None and self.cannot_load_in_time(activation, now):
                 return None
-            if coming is not None and coming.count_sends(fn) < fn.own_lanes:
-                return coming
-            if len(self.parked_activations(fn)) < PARKED * fn.lanes and not act.low_priority:
-                fn.parked.append(act)   # more waiting there than lanes would bring copy after copy
+            if loading is not None and loading.count_sends(function) < function.own_lanes:
+                return loading
+            # More activations waiting there than it has lanes would make it load copy after copy.
+            if len(self.parked_activations(function)) < MAX_PARKED_PER_LANE * function.lanes and (
+                    not activation.low_priority):
+                function.parked.append(activation)
             return None
         if chosen is None:
-            if act.low_priority:
+            if activation.low_priority:
                 return None
             first = next(
-                (worker for worker in stops if worker not in warm and self.has_capacity(worker, now)), first)
-            able = [one for one in warm if len(one.sends) < one.in_flight_limit * (
-                SPARE if act.low_priority else 1.0) and self.pressure(one, now) * heft * EASE <= (
-                1.0 if self.relies_on_reports else act.type_stats.relative_utility)]
-            able.sort(key=lambda one: (
-                self.relies_on_reports and self.pressure(one, now), len(one.sends) / one.in_flight_limit))
+                (worker for worker in candidates if worker not in warm and self.has_capacity(worker, now)),
+                first)
+            able = [worker for worker in warm if len(worker.sends) < worker.in_flight_limit * (
+                LOW_PRIORITY_LIMIT if activation.low_priority else 1.0) and (
+                self.pressure(worker, now) * relative_cost * LATENCY_GOAL <= (
+                    1.0 if self.relies_on_reports else activation.type_stats.relative_utility))]
+            able.sort(key=lambda worker: (
+                self.relies_on_reports and self.pressure(worker, now),
+                len(worker.sends) / worker.in_flight_limit))
             chosen = able[0] if able else next(
-                (worker for worker in stops if self.has_capacity(worker, now) and self.may_load(now, WIDEN)), None)
-            if len(self.parked_activations(fn)) < fn.lanes and any(worker.count_sends(fn) for worker in warm):
-                fn.parked.append(act)   # sent on, it would make the worker start a copy that few calls use
+                (worker for worker in candidates
+                 if self.has_capacity(worker, now) and self.may_load(now, EXTRA_COPY_SHARE)), None)
+            if len(self.parked_activations(function)) < function.lanes and any(
+                    worker.count_sends(function) for worker in warm):
+                # Sent to another worker, it would make that start a copy which few calls use.
+                function.parked.append(activation)
                 chosen = None
         if first not in warm and chosen is not first and self.has_capacity(first, now):
-            self.order_load(first, fn, now)
+            self.order_load(first, function, now)
         return chosen
 
-    def cannot_load_in_time(self, act: Activation, now: int) -> bool:
-        """Whether it could only wait for its time to end: no load is under way, and none could be in time."""
-        return act.answer_due - now < SOON * (act.function.load_time or self.typical_load_time)
+    def cannot_load_in_time(self, activation: Activation, now: int) -> bool:
+        """Whether the activation would wait in vain, as no load that starts now could end in time."""
+        return activation.answer_due - now < MIN_LOAD_TIME_SHARE * (
+            activation.function.load_time or self.typical_load_time)
 
-    def may_load(self, now: int, part: float = 1.0) -> bool:
-        room, out = self.load_limit * part, self.open_load_orders + self.open_cold_sends
-        # Room for less than one: one at a time, then none for as long as makes up for it. A least of one
-        # each, by all together, is what crowds a store.
-        return out < room if room >= 1 else (
-            not out and now - self.last_load_at >= self.typical_load_time * (1 / room - 1))
+    def may_load(self, now: int, share: float = 1.0) -> bool:
+        """Whether one more load may begin within this share of the load limit."""
+        limit, loads = self.load_limit * share, self.open_load_orders + self.open_cold_sends
+        # A limit below one allows one load at a time, and then none for as long as makes up for it. A minimum
+        # of one load per front end, over all of them, is what crowds a store.
+        return loads < limit if limit >= 1 else (
+            not loads and now - self.last_load_at >= self.typical_load_time * (1 / limit - 1))
 
     def count_recent(self, times: deque[int], now: int) -> int:
+        """Drops the times before the load window and counts the others."""
         while times and times[0] <= now - self.load_window:
             times.popleft()
         return len(times)
 
-    def order_load(self, worker: Worker, fn: Function, now: int) -> bool:
-        """Every load order passes here: rationed by rule, paced by us, one a function at a time."""
-        most = self.load_free + self.load_ratio * self.count_recent(self.recent_admissions, now)
-        if not worker.ready or fn.next_order_at > now or fn.name in worker.load_orders or not self.may_load(
-                now, WIDEN) or (
-                self.count_recent(self.recent_load_orders, now) + 1 > most):
+    def order_load(self, worker: Worker, function: Function, now: int) -> bool:
+        """Orders a load of the function at the worker, if that is allowed; the only place that does.
+
+        Load orders are rationed by the deployment's window, paced by the load limit, and limited to one at a
+        time for a function."""
+        max_orders = self.load_free + self.load_ratio * self.count_recent(self.recent_admissions, now)
+        if not worker.ready or function.next_order_at > now or function.name in worker.load_orders or (
+                not self.may_load(now, EXTRA_COPY_SHARE)) or (
+                self.count_recent(self.recent_load_orders, now) + 1 > max_orders):
             return False
-        worker.load_orders.add(fn.name)
+        worker.load_orders.add(function.name)
         self.workers_with_orders[worker] = None
-        fn.next_order_at = now + int(fn.load_time or self.typical_load_time)
+        function.next_order_at = now + int(function.load_time or self.typical_load_time)
         self.open_load_orders, self.last_load_at = self.open_load_orders + 1, now
         self.recent_load_orders.append(now)
-        self.pending_steps.append(Step(Action.LOAD, worker=worker.name, function=fn.name, amount=1))
+        self.pending_steps.append(Step(Action.LOAD, worker=worker.name, function=function.name, amount=1))
         return True
 
-    def on_load_ended(self, now: int, name: str, fn_name: str, outcome: Outcome, copies: int) -> list[Step]:
-        worker = self.workers[name]
-        self.open_load_orders -= fn_name in worker.load_orders
-        worker.load_orders.discard(fn_name)
+    def on_load_ended(self, now: int, worker_name: str, function_name: str, outcome: Outcome,
+                      copies: int) -> list[Step]:
+        """Handles the answer to a load order, and resumes activations that waited for the load."""
+        worker = self.workers[worker_name]
+        self.open_load_orders -= function_name in worker.load_orders
+        worker.load_orders.discard(function_name)
         if not worker.load_orders:
             self.workers_with_orders.pop(worker, None)
         if outcome is Outcome.COMPLETED and copies:
-            worker.warm_until[fn_name] = now + self.idle_keep_alive
-        return self.collect_steps(self.resume_parked, self.functions.get(fn_name), now)
-
-    def may_send(self, act: Activation, worker: Worker, now: int) -> bool:
-        """Rules 1 to 3 for one send; true only where nothing can happen twice that must not."""
-        kind, maybe = act.type_stats, self.all_possible_runs(act)
-        if act.answered or act.answer_started or not worker.ready or act.answer_due <= now or (
-                len(act.sends) >= self.max_sends) or (act.open_send_count and not self.may_duplicate):
+            worker.warm_until[function_name] = now + self.idle_keep_alive
+        return self.collect_steps(self.resume_parked, self.functions.get(function_name), now)
+
+    def may_send(self, activation: Activation, worker: Worker, now: int) -> bool:
+        """Checks rules 1 to 3 for one send: it must not make anything happen twice that must happen once."""
+        type_stats, possible_runs = activation.type_stats, self.all_possible_runs(activation)
+        if activation.answered or activation.answer_started or not worker.ready or (
+                activation.answer_due <= now) or (
+                len(activation.sends) >= self.max_sends) or (
+                activation.open_send_count and not self.may_duplicate):
             return False
-        return not maybe or kind.effect is Effect.REPEATABLE or kind.effect is Effect.DEDUPLICATED and all(
-            (kind.dedup_scope == "all" or getattr(send.worker, kind.dedup_scope) == getattr(worker, kind.dedup_scope))
-            and now + self.deadline_margin < send.sent_at + kind.dedup_window for send in maybe)
-
-    def all_possible_runs(self, act: Activation) -> list[Send]:     # sends that may have run, or may run yet
-        return act.possible_runs + [send for send in act.sends if send.is_open]
-
-    def send(self, act: Activation, worker: Worker, now: int) -> bool:   # every send passes here
-        if not self.may_send(act, worker, now):
+        return not possible_runs or type_stats.effect is Effect.REPEATABLE or (
+            type_stats.effect is Effect.DEDUPLICATED and all(
+                (type_stats.dedup_scope == "all"
+                 or getattr(send.worker, type_stats.dedup_scope) == getattr(worker, type_stats.dedup_scope))
+                and now + self.deadline_margin < send.sent_at + type_stats.dedup_window
+                for send in possible_runs))
+
+    def all_possible_runs(self, activation: Activation) -> list[Send]:
+        """The sends that may have run, or may run yet."""
+        return activation.possible_runs + [send for send in activation.sends if send.is_open]
+
+    def send(self, activation: Activation, worker: Worker, now: int) -> bool:
+        """Sends the activation to the worker, if that is allowed; the only place that does."""
+        if not self.may_send(activation, worker, now):
             return False
-        # A repeat that waits for its connection must have left while the earlier ones are remembered.
-        spans = [one.sent_at + act.type_stats.dedup_window - self.deadline_margin - now
-                 for one in self.all_possible_runs(act)]
-        wait = min(spans, default=0) if act.type_stats.effect is Effect.DEDUPLICATED else 0
-        send = Send(act, len(act.sends), worker, now, self.is_warm_for(worker, act.function, now))
-        act.sends.append(send)
+        # A repeat that waits for its connection must leave while the earlier sends are still remembered.
+        remembered = [each.sent_at + activation.type_stats.dedup_window - self.deadline_margin - now
+                      for each in self.all_possible_runs(activation)]
+        time_to_leave = min(remembered, default=0) if (
+            activation.type_stats.effect is Effect.DEDUPLICATED) else 0
+        send = Send(activation, len(activation.sends), worker, now,
+                    self.is_warm_for(worker, activation.function, now))
+        activation.sends.append(send)
         worker.sends[send] = self.in_flight[send] = None
-        act.open_send_count, self.open_cold_sends = act.open_send_count + 1, self.open_cold_sends + (not send.warm)
+        activation.open_send_count, self.open_cold_sends = (
+            activation.open_send_count + 1, self.open_cold_sends + (not send.warm))
         self.last_load_at = self.last_load_at if send.warm else now
-        worker.cold_credit = max(0.0, worker.cold_credit - self.cold_cost(act))
-        self.pending_steps.append(Step(Action.SEND, act, worker.name, amount=wait))
+        worker.cold_credit = max(0.0, worker.cold_credit - self.cold_cost(activation))
+        self.pending_steps.append(Step(Action.SEND, activation, worker.name, amount=time_to_leave))
         return True
 
-    def dispatch(self, act: Activation, now: int) -> None:
-        act.awaited_worker, fn = None, act.function
-        worker = None if act.answered else self.choose_worker(act, now)
-        if act.answered or fn.parked and fn.parked[-1] is act or worker and self.await_report(worker, act, now):
+    def dispatch(self, activation: Activation, now: int) -> None:
+        """Sends the activation, parks it, makes it wait for a report, or gives it up."""
+        activation.awaited_worker, function = None, activation.function
+        worker = None if activation.answered else self.choose_worker(activation, now)
+        if activation.answered or function.parked and function.parked[-1] is activation or (
+                worker and self.await_report(worker, activation, now)):
             return
-        # Work done again, and load after load begun on one walk, would feed a storm: both are budgeted.
-        cost = bool(act.possible_runs) + (not self.is_warm_for(worker, fn, now)) if worker and act.sends else 0
-        if worker is not None and self.retry_budget >= cost and self.send(act, worker, now):
+        # Repeated work, and load after load begun by one activation, would feed a retry storm: both use the
+        # retry budget.
+        cost = bool(activation.possible_runs) + (not self.is_warm_for(worker, function, now)) if (
+            worker and activation.sends) else 0
+        if worker is not None and self.retry_budget >= cost and self.send(activation, worker, now):
             self.retry_budget -= cost
-        elif not act.open_send_count:
-            self.give_up(act, now)
-
-    def resume_parked(self, fn: Function | None, now: int) -> None:
-        """Two of those parked go on for each answer, so that a fresh copy is not flooded at once."""
-        for act in self.parked_activations(fn)[:2] if fn else ():
-            fn.parked.remove(act)
-            self.dispatch(act, now)
-
-    def parked_activations(self, fn: Function) -> list[Activation]:
-        """Those parked that still wait: answered ones, and ones that left, must take no place and no turn."""
-        if any(act.answered for act in fn.parked):
-            fn.parked = deque(act for act in fn.parked if not act.answered)
-        return list(fn.parked)
-
-    def give_up(self, act: Activation, now: int) -> None:
-        """A rejection says that trying again is harmless, so it must be; else abort."""
-        safe = act.type_stats.effect is Effect.REPEATABLE or act.type_stats.effect is Effect.DEDUPLICATED and (
-            act.type_stats.dedup_scope == "all")
-        self.finish(act, Action.REJECT if safe or not (act.possible_runs or act.open_send_count) else Action.ABORT)
-
-    def on_client_gone(self, act: Activation) -> None:
-        """Its client is gone. It earns no load orders: hundreds withdrawn at once would widen the ration."""
-        if not act.answered and act.admitted_at in self.recent_admissions:
-            self.recent_admissions.remove(act.admitted_at)
-        self.finish(act, None)
-
-    def finish(self, act: Activation, how: Action | None) -> None:
-        """The one place that gives a final answer; None where the client has it or wants none."""
-        if act.answered:
+        elif not activation.open_send_count:
+            self.give_up(activation, now)
+
+    def resume_parked(self, function: Function | None, now: int) -> None:
+        """Dispatches two parked activations for each answer, so that a new copy is not flooded at once."""
+        for activation in self.parked_activations(function)[:2] if function else ():
+            function.parked.remove(activation)
+            self.dispatch(activation, now)
+
+    def parked_activations(self, function: Function) -> list[Activation]:
+        """The parked activations that still wait.
+
+        Those that are answered, or whose clients are gone, are dropped, so that they take no place and no
+        turn."""
+        if any(activation.answered for activation in function.parked):
+            function.parked = deque(activation for activation in function.parked if not activation.answered)
+        return list(function.parked)
+
+    def give_up(self, activation: Activation, now: int) -> None:
+        """Rejects the activation if it is harmless for its client to try again, or else aborts it."""
+        is_repeat_safe = activation.type_stats.effect is Effect.REPEATABLE or (
+            activation.type_stats.effect is Effect.DEDUPLICATED and (
+                activation.type_stats.dedup_scope == "all"))
+        self.finish(activation, Action.REJECT if is_repeat_safe or not (
+            activation.possible_runs or activation.open_send_count) else Action.ABORT)
+
+    def on_client_gone(self, activation: Activation) -> None:
+        """Handles a client that is gone.
+
+        Its activation no longer counts towards load orders: hundreds withdrawn at once would raise the
+        ration."""
+        if not activation.answered and activation.admitted_at in self.recent_admissions:
+            self.recent_admissions.remove(activation.admitted_at)
+        self.finish(activation, None)
+
+    def finish(self, activation: Activation, action: Action | None) -> None:
+        """Gives the final answer, and cancels the open sends; the only place that does.
+
+        The action is None where the client has its answer or wants none."""
+        if activation.answered:
             return
-        act.answered = True
-        if how:
-            told = self.max_retry_after * (1 - ADVICE * self.random()) if how is Action.REJECT else 0
-            self.pending_steps.append(Step(how, act, amount=int(told)))
-        for send in act.sends if self.may_cancel and not act.answer_started else ():
+        activation.answered = True
+        if action:
+            retry_after = self.max_retry_after * (1 - RETRY_AFTER_JITTER * self.random()) if (
+                action is Action.REJECT) else 0
+            self.pending_steps.append(Step(action, activation, amount=int(retry_after)))
+        for send in activation.sends if self.may_cancel and not activation.answer_started else ():
             if send.is_open:
-                self.pending_steps.append(Step(Action.CANCEL, act, send.worker.name, amount=send.number))
+                self.pending_steps.append(
+                    Step(Action.CANCEL, activation, send.worker.name, amount=send.number))
 
     def on_send_ended(self, send: Send, now: int, outcome: Outcome, waited: int, copy: Copy, final: bool,
-              report: Report | None) -> None:
-        act, worker, fn = send.activation, send.worker, send.activation.function
+                      report: Report | None) -> None:
+        """Handles the end of a send after `waited` ns; `final` means that the client has its answer."""
+        activation, worker, function = send.activation, send.worker, send.activation.function
         if not send.is_open:
             return
-        send.is_open, act.open_send_count, self.open_cold_sends = (
-            False, act.open_send_count - 1, self.open_cold_sends - (not send.warm))
+        send.is_open, activation.open_send_count, self.open_cold_sends = (
+            False, activation.open_send_count - 1, self.open_cold_sends - (not send.warm))
         del worker.sends[send], self.in_flight[send]
         self.record_report(worker, now, report)
         self.update_estimates(send, now, outcome, waited, copy)
         if outcome not in NEVER_RAN:
-            act.possible_runs.append(send)
-        self.resume_parked(fn, now)
+            activation.possible_runs.append(send)
+        self.resume_parked(function, now)
         if final:
-            self.finish(act, None)
-        elif act.answered or act.open_send_count or act.answer_started:
+            self.finish(activation, None)
+        elif activation.answered or activation.open_send_count or activation.answer_started:
             return
-        elif outcome is Outcome.ERROR and len(act.possible_runs) > 1 and not fn.last_completed_at:
-            # Never completed, failed by two workers: names made up would use up what may be sent again.
-            self.give_up(act, now)
+        elif outcome is Outcome.ERROR and len(activation.possible_runs) > 1 and (
+                not function.last_completed_at):
+            # A function that was never completed and that failed at two workers: calls of made-up names would
+            # use up the retry budget.
+            self.give_up(activation, now)
         elif outcome is Outcome.MISS and not self.loads_on_miss and copy is not Copy.LOAD_FAILED and (
-                self.order_load(worker, fn, now) or fn.name in worker.load_orders):
-            fn.parked.append(act)
+                self.order_load(worker, function, now) or function.name in worker.load_orders):
+            function.parked.append(activation)
         else:
-            self.dispatch(act, now)
+            self.dispatch(activation, now)
 
     def update_estimates(self, send: Send, now: int, outcome: Outcome, waited: int, copy: Copy) -> None:
-        worker, act, fn = send.worker, send.activation, send.activation.function
+        """Updates the estimates for the worker, function, type and store from the end of a send."""
+        worker, activation, function = send.worker, send.activation, send.activation.function
         self.apply_elapsed_time(worker, now)
         if outcome in (Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL, Outcome.MISS):
-            worker.last_answer_at, hall = now, self.zones[worker.zone]
-            hall.failed_workers.clear()
-            hall.consecutive_suspensions = hall.suspended_until = 0
+            worker.last_answer_at, zone = now, self.zones[worker.zone]
+            zone.failed_workers.clear()
+            zone.consecutive_suspensions = zone.suspended_until = 0
         if outcome is Outcome.COMPLETED:
             worker.consecutive_failures = worker.consecutive_suspensions = 0
-            worker.warm_until[fn.name], fn.last_completed_at = now + self.idle_keep_alive, now
+            worker.warm_until[function.name], function.last_completed_at = now + self.idle_keep_alive, now
             self.retry_budget = min(BUDGET_MOST, self.retry_budget + BUDGET_SHARE)
-            self.completed_work *= max(0.0, 1 - (now - self.completed_work_at) / RATE_MEMORY)
-            self.completed_work, self.completed_work_at = self.completed_work + act.type_stats.mean_cost, now
+            self.completed_work *= max(0.0, 1 - (now - self.completed_work_at) / COMPLETION_WINDOW)
+            self.completed_work, self.completed_work_at = (
+                self.completed_work + activation.type_stats.mean_cost, now)
             if copy is Copy.FOUND or (copy is Copy.UNKNOWN and send.warm):
                 ratio = self.record_latency(send, waited, now)
-                act.type_stats.typical_latency *= 1 + TREND * (min(ratio, PATIENCE) - 1)
-                if worker.relative_latency <= EASE and len(worker.sends) + 1 >= worker.in_flight_limit:
+                activation.type_stats.typical_latency *= 1 + TREND_WEIGHT * (min(ratio, OVERDUE_FACTOR) - 1)
+                if worker.relative_latency <= LATENCY_GOAL and (
+                        len(worker.sends) + 1 >= worker.in_flight_limit):
                     worker.in_flight_limit += 1 / worker.in_flight_limit if worker.limit_cut_at else 1
             elif copy is Copy.LOAD_STARTED:
-                self.typical_load_time *= 1 - TREND if waited < self.typical_load_time else 1 + TREND / 2
-                self.adjust_load_limit(waited > CROWDED * self.typical_load_time, now)
-        elif outcome is Outcome.CANCELLED and send.warm and waited > self.expected_latency(act):
-            self.record_latency(send, waited, now)    # longer still: else one that seldom answers looks fast
+                self.typical_load_time *= (
+                    1 - TREND_WEIGHT if waited < self.typical_load_time else 1 + TREND_WEIGHT / 2)
+                self.adjust_load_limit(waited > CROWDED_LOAD_FACTOR * self.typical_load_time, now)
+        elif outcome is Outcome.CANCELLED and send.warm and waited > self.expected_latency(activation):
+            # It would have taken longer still; without it, a worker that seldom answers would look fast.
+            self.record_latency(send, waited, now)
         elif outcome is Outcome.FULL:
-            worker.suspended_until = max(worker.suspended_until, now + CUT_PAUSE)
-            worker.relative_latency += FRESH * (1.0 - worker.relative_latency)
+            worker.suspended_until = max(worker.suspended_until, now + LIMIT_CUT_INTERVAL)
+            worker.relative_latency += LATENCY_WEIGHT * (1.0 - worker.relative_latency)
             self.cut_in_flight_limit(worker, now)
             if not send.warm:
                 self.adjust_load_limit(True, now)
         elif outcome is Outcome.MISS:
-            worker.warm_until.pop(fn.name, None)
+            worker.warm_until.pop(function.name, None)
         elif copy is not Copy.LOAD_FAILED and outcome in FAILED and not (
-                # A function that nobody serves, or a call that failed before, would suspend the whole fleet.
-                outcome is Outcome.ERROR and (act.possible_runs or not fn.last_completed_at)):
+                # Errors of a function that no worker can run, or of a call that failed before, would suspend
+                # the whole fleet.
+                outcome is Outcome.ERROR and (activation.possible_runs or not function.last_completed_at)):
             self.record_failure(worker, now)
 
     def record_report(self, worker: Worker, now: int, report: Report | None) -> None:
-        """Load: calls that wait, or are held, but for loads, over the usual; less as answers lengthen."""
-        told = (report.held, report.pinned and PINNED * report.pinned, report.waiting) if report else ()
-        if (held := next((each for each in told if each is not None), None)) is None:
+        """Updates a worker's reported load: its activations, except those waiting for loads, over the usual.
+
+        Fewer activations are usual while latencies are above their goal."""
+        values = (report.held, report.pinned and ACTIVATIONS_PER_MEMORY * report.pinned,
+                  report.waiting) if report else ()
+        if (held := next((each for each in values if each is not None), None)) is None:
             return
-        rate, loading = self.mean_size / worker.size, report.loading or 0.0
-        if report.busy is not None and report.busy < CORES_FREE:
-            # Cores are free, so who waits waits for a load, several behind each: not pressed by those.
+        size_factor, loading = self.mean_size / worker.size, report.loading or 0.0
+        if report.busy is not None and report.busy < CORES_FREE_BELOW:
+            # Cores are free, so activations that wait do so for a load, several of them for one: no pressure.
             loading = max(loading, report.waiting or 0.0)
-        load, waits = (max(0.0, each - loading) * rate for each in (held, report.waiting or 0.0))
-        part = min(1 + EPSILON, *(EASE * kind.target_latency / kind.typical_latency for kind in self.types.values()))
-        worker.reported_load, worker.load_updated_at = (
-            max(load / max(HELD, self.mean_reported_load * part), waits / WAITING), now)
-        self.mean_reported_load += TREND * (load - self.mean_reported_load)
-        self.pressure_share += TELLS * ((worker.reported_load > 1) - self.pressure_share)
-
-    def await_report(self, worker: Worker, act: Activation, now: int) -> bool:
-        """Whether the activation waits a moment for a report, where the last one is too old to go by."""
-        if not self.relies_on_reports or min(self.probe_allowance, ASKS - act.probe_count) <= 0 or (
-                now - max(worker.load_updated_at, worker.last_probe_at) < FRESH_FOR) or (
-                # Nothing hangs on the answer where all are calm, or no second copy stands and none could be
-                # loaded now: the store is crowded, or our loads are under way.
-                self.random() >= ASKED * self.pressure_share or not self.has_second_copy(act.function, now) and (
-                    self.load_limit < self.max_loads or not self.may_load(now, WIDEN))):
+        load, waiting = (
+            max(0.0, each - loading) * size_factor for each in (held, report.waiting or 0.0))
+        usual_share = min(1 + EPSILON, *(
+            LATENCY_GOAL * type_stats.target_latency / type_stats.typical_latency
+            for type_stats in self.types.values()))
+        worker.reported_load, worker.load_updated_at = max(
+            load / max(MIN_USUAL_LOAD, self.mean_reported_load * usual_share), waiting / PRESSURE_QUEUE), now
+        self.mean_reported_load += TREND_WEIGHT * (load - self.mean_reported_load)
+        self.pressure_share += PRESSURE_SMOOTHING * ((worker.reported_load > 1) - self.pressure_share)
+
+    def await_report(self, worker: Worker, activation: Activation, now: int) -> bool:
+        """Makes the activation wait briefly for a report if the last one is old; returns whether it waits."""
+        if not self.relies_on_reports or (
+                min(self.probe_allowance, MAX_PROBES_PER_ACTIVATION - activation.probe_count) <= 0) or (
+                now - max(worker.load_updated_at, worker.last_probe_at) < REPORT_FRESH_TIME) or (
+                # The report would change nothing where workers show no pressure, or where there is no second
+                # copy and none could be loaded now: the store is crowded, or own loads are under way.
+                self.random() >= PROBES_PER_PRESSURE * self.pressure_share
+                or not self.has_second_copy(activation.function, now) and (
+                    self.load_limit < self.max_loads or not self.may_load(now, EXTRA_COPY_SHARE))):
             return False
-        act.probe_count, act.awaited_worker = act.probe_count + 1, worker
+        activation.probe_count, activation.awaited_worker = activation.probe_count + 1, worker
         if not worker.awaiting_report:
             self.send_probe(worker, now)
-        worker.awaiting_report.append(act)
-        heapq.heappush(self.timers, (worker.last_probe_at + ASK_WAIT, self.next_serial(), act))
+        worker.awaiting_report.append(activation)
+        heapq.heappush(self.timers, (worker.last_probe_at + REPORT_WAIT, self.next_serial(), activation))
         return True
 
-    def on_report(self, now: int, name: str, outcome: Outcome, report: Report | None) -> list[Step]:
-        worker = self.workers[name]
+    def on_report(self, now: int, worker_name: str, outcome: Outcome, report: Report | None) -> list[Step]:
+        """Handles the answer to a probe, and dispatches the activations that waited for it."""
+        worker = self.workers[worker_name]
         worker.open_probes -= 1
         worker.last_probe_answer_at = now if outcome is Outcome.COMPLETED else worker.last_probe_answer_at
         self.record_report(worker, now, report)
-        if outcome is not Outcome.COMPLETED:    # turned away or lost, it tells as much as a long queue
-            worker.reported_load, worker.load_updated_at = SILENT, now
-        elif report and report.loading and report.busy is not None and report.busy < IDLE:
-            # cores are free, so what it has not answered for long waits for a load
+        if outcome is not Outcome.COMPLETED:
+            # A probe that was refused or lost says as much as a long queue.
+            worker.reported_load, worker.load_updated_at = SILENT_LOAD, now
+        elif report and report.loading and report.busy is not None and report.busy < IDLE_BELOW:
+            # Cores are free, so sends that it has not answered for long wait for a load.
             worker.last_answer_at = now
-        # some places' probes tell no load
-        self.probe_allowance = UNTOLD if worker.load_updated_at == now else self.probe_allowance - 1
-        askers, worker.awaiting_report = worker.awaiting_report, []
-        return self.collect_steps(lambda: [self.dispatch(act, now) for act in askers if act.awaited_worker is worker])
+        # On some platforms the answers to probes never carry a load.
+        self.probe_allowance = (
+            MAX_EMPTY_ANSWERS if worker.load_updated_at == now else self.probe_allowance - 1)
+        waiting, worker.awaiting_report = worker.awaiting_report, []
+        return self.collect_steps(lambda: [
+            self.dispatch(activation, now) for activation in waiting if activation.awaited_worker is worker])
 
     def record_latency(self, send: Send, waited: int, now: int) -> float:
-        """Notes what one send took, for its weight, and eases the worker; returns it over the expected."""
-        worker, kind = send.worker, send.activation.type_stats
+        """Records the latency of a send in proportion to its cost, and cuts the limit of a slow worker.
+
+        Returns the ratio to the expected latency."""
+        worker, type_stats = send.worker, send.activation.type_stats
         ratio = waited / max(1.0, self.expected_latency(send.activation))
-        worker.relative_latency += FRESH * (
-            min(1.0, kind.typical_latency * ratio / kind.target_latency) - worker.relative_latency)
-        if worker.relative_latency > EASE:
+        worker.relative_latency += LATENCY_WEIGHT * (
+            min(1.0, type_stats.typical_latency * ratio / type_stats.target_latency)
+            - worker.relative_latency)
+        if worker.relative_latency > LATENCY_GOAL:
             self.cut_in_flight_limit(worker, now)
         return ratio
 
     def adjust_load_limit(self, crowded: bool, now: int) -> None:
-        # lengthening or failing loads mean fewer at once
+        """Lowers the load limit if loads lengthen or fail, which shows a crowded store; else raises it."""
         if not crowded:
             self.load_limit = min(self.load_limit + min(1.0, 1 / self.load_limit), self.max_loads)
-        elif now - self.load_limit_cut_at >= CUT_PAUSE:
-            self.load_limit, self.load_limit_cut_at = max(self.min_load_limit, CUT * self.load_limit), now
+        elif now - self.load_limit_cut_at >= LIMIT_CUT_INTERVAL:
+            self.load_limit, self.load_limit_cut_at = (
+                max(self.min_load_limit, LIMIT_CUT_FACTOR * self.load_limit), now)
 
     def cut_in_flight_limit(self, worker: Worker, now: int) -> None:
-        """Too much for it, whether small, slow, full or pressed by others: it gets fewer at a time."""
-        if now - worker.limit_cut_at >= CUT_PAUSE:
-            worker.in_flight_limit = max(1.0, CUT * min(worker.in_flight_limit, len(worker.sends) + 1))
+        """Lowers the limit of a worker that has too much, be it small, slow, full or loaded by others."""
+        if now - worker.limit_cut_at >= LIMIT_CUT_INTERVAL:
+            worker.in_flight_limit = max(
+                1.0, LIMIT_CUT_FACTOR * min(worker.in_flight_limit, len(worker.sends) + 1))
             worker.limit_cut_at = now
 
     def record_failure(self, worker: Worker, now: int) -> None:
-        """Fast failures and silence look idle to the cap: suspend, longer each time, then one trial."""
+        """Counts a failure, and suspends the worker or its whole zone after several.
+
+        To the in-flight cap, a worker that fails fast or is silent looks idle. Each suspension in a row is
+        longer, and a trial follows it."""
         worker.consecutive_failures += 1
-        hall = self.zones[worker.zone]
-        hall.failed_workers.add(worker)
-        if self.has_many_front_ends and len(
-                hall.failed_workers) >= DOUBT and hall.suspended_until <= now and len(self.zones) > 1:
-            self.suspend(hall, now)
+        zone = self.zones[worker.zone]
+        zone.failed_workers.add(worker)
+        if self.has_many_front_ends and len(zone.failed_workers) >= ZONE_FAILURES_TO_SUSPEND and (
+                zone.suspended_until <= now) and len(self.zones) > 1:
+            self.suspend(zone, now)
         if worker.suspended_until > now or (
-                worker.consecutive_failures < STRIKES and not worker.consecutive_suspensions):
+                worker.consecutive_failures < FAILURES_TO_SUSPEND and not worker.consecutive_suspensions):
             return
         self.suspend(worker, now)
         worker.warm_until.clear()
 
-    def suspend(self, it: Worker | Zone, now: int) -> None:
-        length = min(SUSPEND_MOST, SUSPEND << min(it.consecutive_suspensions, 8)) * (0.75 + 0.5 * self.random())
-        it.suspended_until, it.consecutive_suspensions = now + int(length), it.consecutive_suspensions + 1
+    def suspend(self, target: Worker | Zone, now: int) -> None:
+        """Suspends a worker or a zone, twice as long each time, with a jitter of 25% either way."""
+        length = min(MAX_SUSPENSION, MIN_SUSPENSION << min(target.consecutive_suspensions, 8)) * (
+            0.75 + 0.5 * self.random())
+        target.suspended_until, target.consecutive_suspensions = (
+            now + int(length), target.consecutive_suspensions + 1)
 
     def silence_limits(self, send: Send) -> tuple[float, float]:
-        """From when on its worker is asked whether it is there; and until when it may be loading for it."""
-        usual = max(PATIENCE * self.expected_latency(send.activation),
-                    EASE * send.activation.type_stats.target_latency)
-        load = 0 if send.warm and not send.activation.function.kept_warm_by_others else 2 * CROWDED * (
-            send.activation.function.load_time or self.typical_load_time)
+        """How long a send may go unanswered until its worker is probed, and until it cannot be loading."""
+        usual = max(OVERDUE_FACTOR * self.expected_latency(send.activation),
+                    LATENCY_GOAL * send.activation.type_stats.target_latency)
+        load = 0 if send.warm and not send.activation.function.kept_warm_by_others else (
+            2 * CROWDED_LOAD_FACTOR * (send.activation.function.load_time or self.typical_load_time))
         return usual + (0 if self.may_probe and self.has_many_front_ends else load), usual + load
 
     def run_health_round(self, now: int) -> None:
-        """Looks for workers that answer nothing and moves what may be moved away from them."""
+        """Finds workers that do not answer, reroutes their activations, and resumes parked ones."""
         if now < self.next_health_round:
             return
-        self.next_health_round = now + ROUND
+        self.next_health_round = now + HEALTH_ROUND_INTERVAL
         for send in list(self.in_flight):
-            worker, waited, (asks, loads) = send.worker, now - send.sent_at, self.silence_limits(send)
-            if waited <= asks:
+            worker, waited, (probe_after, may_load_until) = (
+                send.worker, now - send.sent_at, self.silence_limits(send))
+            if waited <= probe_after:
                 continue
             if worker.last_answer_at < send.sent_at and worker.suspended_until <= now:
                 if self.zones[worker.zone].suspended_until <= now and (
-                        self.may_probe and now - worker.last_probe_at < PROBED
+                        self.may_probe and now - worker.last_probe_at < PROBE_TIMEOUT
                         or self.probe_silent_worker(worker, send, now)):
                     continue
-                if waited <= loads and worker.last_probe_answer_at > send.sent_at:
-                    continue        # it answers questions, so it may load
-                worker.consecutive_failures = STRIKES
+                if waited <= may_load_until and worker.last_probe_answer_at > send.sent_at:
+                    continue        # It answers probes, so it may be loading.
+                worker.consecutive_failures = FAILURES_TO_SUSPEND
                 self.record_failure(worker, now)
             if worker.suspended_until > now or not worker.ready:
                 self.reroute(send, now)
-        parked = [fn for fn in self.functions.values() if fn.parked]
-        coming = self.loads_under_way(now) if parked else ()
-        for fn in sorted(parked, key=lambda fn: -len(fn.parked)):
-            if fn.name not in coming:
-                for act in [each for each in self.parked_activations(fn)
-                            if not each.open_send_count and self.cannot_load_in_time(each, now)]:
-                    fn.parked.remove(act)
-                    self.give_up(act, now)
-                self.resume_parked(fn, now)
+        with_parked = [function for function in self.functions.values() if function.parked]
+        loading = self.loads_under_way(now) if with_parked else ()
+        for function in sorted(with_parked, key=lambda function: -len(function.parked)):
+            if function.name not in loading:
+                for activation in [each for each in self.parked_activations(function)
+                                   if not each.open_send_count and self.cannot_load_in_time(each, now)]:
+                    function.parked.remove(activation)
+                    self.give_up(activation, now)
+                self.resume_parked(function, now)
 
     def loads_under_way(self, now: int) -> set[str]:
-        """Functions of which a load may be under way. A suspended worker is not waited for: what it was to load may
-        never come."""
+        """The functions that may be loading; not at suspended workers, whose loads may never end."""
         named = chain(((send.worker, send.activation.function.name) for send in self.in_flight),
                       ((worker, name) for worker in self.workers_with_orders for name in worker.load_orders))
         return {name for worker, name in named if worker.ready and worker.suspended_until <= now}
 
     def probe_silent_worker(self, worker: Worker, send: Send, now: int) -> bool:
-        """Asks a worker that seems silent, once a send, whether it loads: one whose copies were dropped does
-        so for calls that we thought warm, and says nothing. Suspended for it, all would be, in turn."""
+        """Probes a worker that seems silent, once per send, to find out whether it is loading.
+
+        A worker whose copies were dropped loads for sends that were thought warm, and does not say so. If it
+        were suspended for that, all workers would be, one after the other."""
         if not self.may_probe or worker.last_probe_at > send.sent_at:
             return False
         self.send_probe(worker, now)
         return True
 
     def send_probe(self, worker: Worker, now: int) -> None:
-        # while one is out it is not forgotten
+        """Probes a worker, which is not forgotten while the probe is open."""
         worker.last_probe_at, worker.open_probes = now, worker.open_probes + 1
         self.pending_steps.append(Step(Action.PROBE, worker=worker.name))
 
-    def reroute(self, send: Send, now: int) -> None:    # off a suspended worker
-        act = send.activation
-        if act.answered or act.answer_started or act.open_send_count > 1 or (
-                act.type_stats.effect is not Effect.REPEATABLE) or (
-                self.retry_budget < 1 or act.answer_due <= now or len(act.sends) >= self.max_sends):
+    def reroute(self, send: Send, now: int) -> None:
+        """Moves an activation off a worker that is suspended or no longer ready, where that is allowed."""
+        activation = send.activation
+        if activation.answered or activation.answer_started or activation.open_send_count > 1 or (
+                activation.type_stats.effect is not Effect.REPEATABLE) or (
+                self.retry_budget < 1 or activation.answer_due <= now
+                or len(activation.sends) >= self.max_sends):
             return
         if self.may_duplicate:
-            act.possible_runs.append(send)      # it may be running, so the second send is budgeted
-            self.dispatch(act, now)
+            # The first send may be running, so the second one uses the retry budget.
+            activation.possible_runs.append(send)
+            self.dispatch(activation, now)
         elif self.may_cancel:
-            self.pending_steps.append(Step(Action.CANCEL, act, send.worker.name, amount=send.number))
+            self.pending_steps.append(Step(Action.CANCEL, activation, send.worker.name, amount=send.number))
