--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -209,13 +209,14 @@
             extra = "peers {\n" + "\n".join(lines) + "\n}" if kind == "on" else ""
             with Live(4, work_ms=1, extra=extra) as live:
                 if kind == "on":
-                    until(lambda it=live.front: it.together and it.together.carrier.status()["holds"], 10)
+                    until(lambda it=live.front: it.replicated_services
+                          and it.replicated_services.carrier.status()["holds"], 10)
                 done = [0]
 
                 def loop(it=live, done=done) -> None:
                     client = it.client()
                     while True:
-                        done[0] += client.ask("POST", "/v1/functions/check-a/calls", {}, b"x").status == 200
+                        done[0] += client.request("POST", "/v1/functions/check-a/calls", {}, b"x").status == 200
 
                 greenlets = [gevent.spawn(loop) for _ in range(16)]
                 gevent.sleep(1)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -2,7 +2,7 @@
 import unittest
 from itertools import islice
 
-from tests.helpers import call, does, front_end, ready, sent
+from tests.helpers import actions, call, front_end, listing, sent_to
 from threadshift.choice import MAX_FUNCTIONS, MAX_PARKED_PER_LANE
 from threadshift.interface import (
     MS, SECOND, Action, Copy, Effect, NamespaceType, Outcome, Report, Tenant, WorkerState)
@@ -15,13 +15,13 @@
     """One call asked for and completed at once; where it went."""
     act, steps = call(it, ivk, now, fn, **facts)
     act.on_send_ended(now + took, 0, Outcome.COMPLETED, took, copy=copy, final=True)
-    return sent(steps)[0]
+    return sent_to(steps)[0]
 
 
 class Mechanism(unittest.TestCase):
     def test_homes_agree_and_move_minimally(self):
         one, other, third = front_end(8, seed=1), front_end(8, seed=2), front_end(8)
-        third.update_workers(0, [ready("w3", WorkerState.DRAINING)], full=False)
+        third.update_workers(0, [listing("w3", WorkerState.DRAINING)], full=False)
         for fn in [f"fn{n}" for n in range(60)]:
             homes = [serve(it, fn) for it in (one, other, third)]
             self.assertEqual(homes[0], homes[1])
@@ -42,7 +42,7 @@
             home = serve(it, lanes=lanes)
             stops = [worker.name for worker in it.clockwise_workers(it.functions["f"])]
             it.workers[stops[1]].warm_until["f"] = 10 * SECOND
-            went = [place for n in range(held) for place in sent(call(it, f"c{n}", fn="f")[1])]
+            went = [place for n in range(held) for place in sent_to(call(it, f"c{n}", fn="f")[1])]
             self.assertEqual((went[0], len(set(went))), (home, used), (held, fronts, lanes))
 
     def test_a_home_that_is_no_stop_is_no_last_choice(self):
@@ -62,7 +62,7 @@
                 home.suspended_until = 9 * SECOND
             else:
                 home.started_at, home.cold_credit, home.credit_updated_at = 2 * SECOND, 0.0, 2 * SECOND
-            went = sent(call(it, "b", 2 * SECOND)[1])
+            went = sent_to(call(it, "b", 2 * SECOND)[1])
             self.assertEqual(len(went), 1)
             self.assertNotIn(home.name, went, why)
 
@@ -98,7 +98,7 @@
         home.warm_until.clear()
         other.warm_until["f"] = 10 * SECOND
         _, steps = call(it, now=2 * SECOND)
-        self.assertEqual(sent(steps), [other.name])
+        self.assertEqual(sent_to(steps), [other.name])
         self.assertEqual([step.worker for step in steps if step.action is Action.LOAD], [home.name])
         it.on_load_ended(3 * SECOND, home.name, "f", Outcome.COMPLETED, 1)
         self.assertEqual(serve(it, now=3 * SECOND), home.name)
@@ -106,17 +106,17 @@
     def test_calls_wait_for_one_load(self):
         it = front_end(4)
         acts = [call(it, f"c{n}", lanes=2) for n in range(5)]
-        self.assertEqual([len(sent(steps)) for _, steps in acts], [1, 0, 0, 0, 0])
+        self.assertEqual([len(sent_to(steps)) for _, steps in acts], [1, 0, 0, 0, 0])
         steps = acts[0][0].on_send_ended(SECOND, 0, Outcome.COMPLETED, SECOND, copy=Copy.LOAD_STARTED, final=True)
-        self.assertEqual(len(sent(steps)), 2)
+        self.assertEqual(len(sent_to(steps)), 2)
 
     def test_miss_orders_a_copy_and_sends_again(self):
         it = front_end(4, loads_on_miss=False)
         act, steps = call(it)
-        home = sent(steps)[0]
+        home = sent_to(steps)[0]
         steps = act.on_send_ended(5 * MS, 0, Outcome.MISS, 5 * MS)
         self.assertEqual([(step.action, step.worker, step.amount) for step in steps], [(Action.LOAD, home, 1)])
-        self.assertEqual(sent(it.on_load_ended(SECOND, home, "f", Outcome.COMPLETED, 1)), [home])
+        self.assertEqual(sent_to(it.on_load_ended(SECOND, home, "f", Outcome.COMPLETED, 1)), [home])
 
 
 class Rules(unittest.TestCase):
@@ -129,18 +129,18 @@
                 steps = act.on_send_ended(10 * MS, 0, outcome, 10 * MS)
                 # workers here share one zone, so a deduplicated activation may go to any of them
                 again = effect is not ONCE or outcome in unrun
-                self.assertEqual(does(steps), [Action.SEND if again else Action.ABORT], (outcome, effect))
+                self.assertEqual(actions(steps), [Action.SEND if again else Action.ABORT], (outcome, effect))
 
     def test_deduplicated_stays_in_group_and_span(self):
         # zone of the other worker, when the time-out comes, whether sent again
         for zone, when, again in (("z", SECOND, True), ("y", SECOND, False), ("z", 1990 * MS, True),
                                   ("z", 1993 * MS, False)):
             it = front_end(0)
-            it.update_workers(0, [ready("w0", zone="z"), ready("w1", zone=zone)], full=True)
+            it.update_workers(0, [listing("w0", zone="z"), listing("w1", zone=zone)], full=True)
             act, steps = call(it, effect=MARKED)
-            it.workers[sent(steps)[0]].suspended_until = 10 * SECOND
+            it.workers[sent_to(steps)[0]].suspended_until = 10 * SECOND
             steps = act.on_send_ended(when, 0, Outcome.TIMEOUT, when)
-            self.assertEqual(does(steps), [Action.SEND if again else Action.ABORT], (zone, when))
+            self.assertEqual(actions(steps), [Action.SEND if again else Action.ABORT], (zone, when))
 
     def test_answered_in_time_and_once(self):
         for effect in Effect:
@@ -151,13 +151,13 @@
                 now = it.due()
                 self.assertLess(now, 100 * MS)
                 steps += it.tick(now)
-            final = [do for do in does(steps) if do in (Action.ABORT, Action.REJECT)]
+            final = [do for do in actions(steps) if do in (Action.ABORT, Action.REJECT)]
             self.assertEqual(final, [Action.REJECT if effect is AGAIN else Action.ABORT])
             self.assertEqual(act.on_send_ended(99 * MS, 0, Outcome.FULL, 99 * MS), [])
 
     def test_nothing_new_to_draining_gone_or_unlisted(self):
-        listings = ([ready("w0", WorkerState.DRAINING)], [ready("w0", WorkerState.GONE)])
-        for changes, full in ((listings[0], False), (listings[1], False), ([ready("w1")], True)):
+        listings = ([listing("w0", WorkerState.DRAINING)], [listing("w0", WorkerState.GONE)])
+        for changes, full in ((listings[0], False), (listings[1], False), ([listing("w1")], True)):
             it = front_end(2)
             it.update_workers(0, changes, full=full)
             for n in range(20):
@@ -166,7 +166,7 @@
                 self.assertFalse(it.order_load(it.workers["w0"], it.functions[fn], 0))
 
     def test_empty_ring_rejects_at_once(self):
-        self.assertEqual(does(call(front_end(0))[1]), [Action.REJECT])
+        self.assertEqual(actions(call(front_end(0))[1]), [Action.REJECT])
 
     def test_a_cold_worker_gets_no_more_than_its_budget_from_all_front_ends(self):
         # front ends, age, completed work a second and worker in all, most and least sends in one stretch
@@ -181,8 +181,8 @@
                     now = start + age + n * 125 * MS
                     it.completed_work, it.completed_work_at, it.retry_budget = budget, now, 10.0
                     act, steps = call(it, f"c{n}", now, fn=f"fn{n}")
-                    sends += [now - start - age] * len(sent(steps))
-                    act.on_send_ended(now, 0, Outcome.FULL, 0) if sent(steps) else None
+                    sends += [now - start - age] * len(sent_to(steps))
+                    act.on_send_ended(now, 0, Outcome.FULL, 0) if sent_to(steps) else None
                     worker.suspended_until, worker.in_flight_limit = 0, 100.0
             counts = [sum(0 <= it - at < SECOND for it in sends) for at in range(0, 2 * SECOND, MS * 125)]
             self.assertLessEqual(max(counts), most, (fronts, age, rate))
@@ -191,10 +191,10 @@
     def test_told_tables_of_workers_new_and_gone(self):
         it = front_end(3)
         homes = [serve(it, f"fn{n}", ivk=str(n)) for n in range(30)]
-        it.update_workers(0, [ready("new1"), ready("new2")], full=False)
-        it.update_workers(0, [ready("new1", WorkerState.GONE), ready("new2", WorkerState.DRAINING)], full=False)
+        it.update_workers(0, [listing("new1"), listing("new2")], full=False)
+        it.update_workers(0, [listing("new1", WorkerState.GONE), listing("new2", WorkerState.DRAINING)], full=False)
         self.assertEqual([serve(it, f"fn{n}", ivk=f"b{n}") for n in range(30)], homes)
-        it.update_workers(0, [ready(f"later{n}") for n in range(5)], full=True)
+        it.update_workers(0, [listing(f"later{n}") for n in range(5)], full=True)
         self.assertEqual({serve(it, f"fn{n}", ivk=f"c{n}")[:5] for n in range(30)}, {"later"})
 
     def test_calls_withdrawn_by_their_clients_earn_no_load_orders(self):
@@ -239,7 +239,7 @@
                 now += chance.randrange(40) * MS
                 if chance.random() < 0.05:
                     it.update_workers(
-                        now, [ready(f"w{n % 5}", chance.choice(list(WorkerState)), started_at=now)], full=False)
+                        now, [listing(f"w{n % 5}", chance.choice(list(WorkerState)), started_at=now)], full=False)
                 steps = it.tick(now)
                 if chance.random() < 0.5:
                     act, more = call(it, str(n), now, f"fn{n % 7}", chance.choice(list(Effect)),
@@ -294,7 +294,7 @@
                 it = self.front_end(pressed, copies, seed=seed)
                 it.adjust_load_limit(crowded, SECOND)
                 it.open_load_orders += loads
-                asked += Action.PROBE in does(call(it, "a", SECOND)[1])
+                asked += Action.PROBE in actions(call(it, "a", SECOND)[1])
             self.assertTrue(least <= asked / 100 <= most, (pressed, copies, crowded, loads, asked))
 
     def test_a_crowded_store_is_asked_for_less_than_one_load_each(self):
@@ -307,7 +307,7 @@
             begun, now = 0, 200 * SECOND
             for n in range(1000):
                 act, steps = call(it, f"a{n}", now, fn=f"new{n}", left=600 * MS)
-                if sent(steps):
+                if sent_to(steps):
                     begun += 1
                     it.typical_load_time = float(SECOND)
                     act.on_send_ended(now + SECOND, 0, Outcome.COMPLETED, SECOND // 2, copy=Copy.UNKNOWN)
@@ -324,7 +324,7 @@
         for fronts, price, zone, used in ((100, 0.03, "a", {"a"}), (100, 0.0, "a", {"a", "b"}),
                                           (3, 0.03, "a", {"a", "b"}), (100, 0.03, "c", {"a", "b"})):
             it = front_end(6, front_ends=fronts, cross_zone_fee=price, zone=zone)
-            it.update_workers(0, [ready(f"w{n}", zone="ab"[n % 2]) for n in range(6)], full=True)
+            it.update_workers(0, [listing(f"w{n}", zone="ab"[n % 2]) for n in range(6)], full=True)
             it.update_spread = lambda fn, kind, now: setattr(fn, "spread", 6)
             for worker in it.ready_workers:
                 worker.warm_until["f"] = 9 * SECOND
@@ -358,12 +358,12 @@
             it = self.front_end()
             act, steps = call(it, "a", SECOND, "f")
             asked = [step.worker for step in steps if step.action is Action.PROBE]
-            self.assertEqual((len(asked), sent(steps)), (1, []))
+            self.assertEqual((len(asked), sent_to(steps)), (1, []))
             if report:
                 steps = it.on_report(SECOND + MS, asked[0], Outcome.COMPLETED, report)
             else:
                 steps = it.tick(SECOND + 31 * MS)
-            on = sent(steps) or [step.worker for step in steps if step.action is Action.PROBE]
+            on = sent_to(steps) or [step.worker for step in steps if step.action is Action.PROBE]
             self.assertEqual(on == asked, there, report)
 
     def test_asking_ends_where_probes_tell_no_load_and_never_starts_with_few_front_ends(self):
@@ -375,7 +375,7 @@
             for name in asked:
                 it.on_report(SECOND + n * SECOND, name, Outcome.COMPLETED, None)
             act.on_send_ended(SECOND + n * SECOND, 0, Outcome.COMPLETED, MS, final=True)
-        self.assertEqual(does(call(front_end(may_probe=True, front_ends=3))[1]), [Action.SEND])
+        self.assertEqual(actions(call(front_end(may_probe=True, front_ends=3))[1]), [Action.SEND])
 
     def test_answered_while_it_waits_for_a_report(self):
         it = self.front_end()
@@ -383,7 +383,7 @@
         while not act.answered:
             self.assertLess(it.due(), SECOND + 20 * MS)
             steps += it.tick(max(SECOND, it.due()))
-        self.assertEqual([do for do in does(steps) if do is not Action.PROBE], [Action.REJECT])
+        self.assertEqual([do for do in actions(steps) if do is not Action.PROBE], [Action.REJECT])
         asked = act.awaited_worker
         self.assertEqual(it.on_report(2 * SECOND, asked.name, Outcome.COMPLETED, Report(waiting=0.0)), [])
 
@@ -401,9 +401,9 @@
             for n in range(2):
                 it.workers[home].warm_until["f"] = 10 * SECOND
                 act, steps = call(it, f"x{n}")
-                self.assertEqual(sent(steps), [home])
+                self.assertEqual(sent_to(steps), [home])
                 act.on_send_ended(MS, 0, outcome, MS)
-            self.assertNotEqual(sent(call(it, "y", 2 * MS)[1]), [home], outcome)
+            self.assertNotEqual(sent_to(call(it, "y", 2 * MS)[1]), [home], outcome)
             later = 5 * SECOND
             worker = it.workers[home]
             for effect, fits in ((AGAIN, True), (ONCE, False)):
@@ -413,12 +413,12 @@
         it = front_end(4)
         home = serve(it)
         act, steps = call(it, "b", 20 * MS, lanes=3)
-        self.assertEqual(sent(steps), [home])
+        self.assertEqual(sent_to(steps), [home])
         steps = [step for _ in range(20) for step in it.tick(it.due())]
         self.assertIn((Action.CANCEL, act), [(step.action, step.activation) for step in steps])
         again = act.on_send_ended(SECOND, 0, Outcome.CANCELLED, SECOND)
-        self.assertEqual(len(sent(again)), 1)
-        self.assertNotEqual(sent(again), [home])
+        self.assertEqual(len(sent_to(again)), 1)
+        self.assertNotEqual(sent_to(again), [home])
 
     def test_a_silent_worker_that_loads_with_cores_free_is_not_suspended(self):
         # Found on sockets: copies were dropped, workers loaded them for calls thought warm, and four of six were
@@ -452,11 +452,11 @@
             it = front_end(20, front_ends=fronts, may_probe=True)
             it.probe_allowance = 0
             act, steps = call(it, "a", SECOND, left=9 * SECOND)
-            home, now = sent(steps)[0], SECOND
-            while Action.CANCEL not in does(steps) and now < 9 * SECOND:
+            home, now = sent_to(steps)[0], SECOND
+            while Action.CANCEL not in actions(steps) and now < 9 * SECOND:
                 now += 20 * MS
                 steps = it.tick(now)
-                if Action.PROBE in does(steps) and outcome:
+                if Action.PROBE in actions(steps) and outcome:
                     it.on_report(now + MS, home, outcome, None)
             self.assertTrue(soonest * MS <= now - SECOND <= latest * MS, (fronts, outcome, now))
 
@@ -465,7 +465,7 @@
         for fronts, halls, fails, left in ((100, 2, 3, True), (100, 2, 2, False), (100, 1, 3, False),
                                            (3, 2, 3, False)):
             it = front_end(12, front_ends=fronts)
-            it.update_workers(0, [ready(f"w{n}", zone="ab"[n % halls]) for n in range(12)], full=True)
+            it.update_workers(0, [listing(f"w{n}", zone="ab"[n % halls]) for n in range(12)], full=True)
             del it.zones[""]                # of the list that front_end() gave
             here = [worker for worker in it.ready_workers if worker.zone == "a"]
             for n, worker in enumerate(here[:fails]):
@@ -494,16 +494,16 @@
         home = serve(it, ivk="first")
         act, _ = call(it, "late", now=20 * MS)
         now, steps = 20 * MS, []
-        while Action.PROBE not in does(steps):
+        while Action.PROBE not in actions(steps):
             now += 20 * MS
             steps = it.tick(now)
         act.on_send_ended(now, 0, Outcome.RESET, now)
-        it.update_workers(now, [ready(f"new{n}") for n in range(3)], full=True)
+        it.update_workers(now, [listing(f"new{n}") for n in range(3)], full=True)
         self.assertIn(home, it.workers)
         self.assertLess(len(it.workers), 8)             # the others are forgotten, but for one it was moved to
         it.on_report(now, home, Outcome.RESET, None)
         for life in "abc":                              # nor kept for good
-            it.update_workers(now, [ready(f"{life}{n}") for n in range(20)], full=True)
+            it.update_workers(now, [listing(f"{life}{n}") for n in range(20)], full=True)
         self.assertNotIn(home, it.workers)
 
     def test_full_answers_shrink_the_limit_once_a_while(self):
@@ -526,7 +526,7 @@
             it = front_end(4)
             home = it.workers[serve(it)]
             home.in_flight_limit, it.open_cold_sends, it.load_limit = 0.0, out, 4.0
-            self.assertEqual(len(sent(call(it, "b", SECOND)[1])) == 1, widened, out)
+            self.assertEqual(len(sent_to(call(it, "b", SECOND)[1])) == 1, widened, out)
 
     def test_pressed_stops_take_no_call_bound_to_be_late(self):
         # cost hint over the usual, pace of the one warm stop, whether a call is sent there all the same
@@ -535,7 +535,7 @@
             home = it.workers[serve(it, cost_hint=100 * MS)]
             home.relative_latency, home.in_flight_limit, home.adjusted_at, it.load_limit = pace, 9.0, SECOND, 0.0
             steps = call(it, "b", SECOND, lanes=2, cost_hint=weight * 100 * MS)[1]
-            self.assertEqual(does(steps), [Action.SEND if taken else Action.REJECT], (weight, pace))
+            self.assertEqual(actions(steps), [Action.SEND if taken else Action.REJECT], (weight, pace))
 
     def test_under_pressure_less_utility_needs_a_calmer_worker(self):
         # pace of the one warm stop, utility asked for, whether it is sent
@@ -547,7 +547,7 @@
             home.relative_latency, home.in_flight_limit, it.load_limit, home.warm_until["f"] = (
                 pace, 9.0, 0.0, 10 * SECOND)
             act = it.admit(SECOND, "a", name, "f", SECOND)
-            self.assertEqual(does(act.start(SECOND)), [Action.SEND if taken else Action.REJECT], (pace, name))
+            self.assertEqual(actions(act.start(SECOND)), [Action.SEND if taken else Action.REJECT], (pace, name))
 
     def test_a_rarely_heard_slow_worker_does_not_look_fast(self):
         it = front_end(1)
@@ -611,14 +611,14 @@
         for by in ("order", "send"):
             it = front_end(4)
             first, steps = call(it, "a", 0, lanes=1)
-            home = it.workers[sent(steps)[0]]
+            home = it.workers[sent_to(steps)[0]]
             if by == "order":
                 it.order_load(home, first.function, 0)
             second, steps = call(it, "b", MS)
-            self.assertEqual(sent(steps), [])
+            self.assertEqual(sent_to(steps), [])
             home.suspended_until = 9 * SECOND         # it answers nothing
             steps = it.tick(200 * MS)
-            self.assertEqual([place != home.name for place in sent(steps)], [True], by)
+            self.assertEqual([place != home.name for place in sent_to(steps)], [True], by)
 
     def test_no_call_waits_for_a_load_that_cannot_come_in_time(self):
         # All loads that the store bears are under way, none for this function, and one takes longer than the call
@@ -626,13 +626,13 @@
         it = front_end(4)
         it.load_limit, it.open_load_orders, it.typical_load_time = 1.0, 1, float(SECOND)
         act, steps = call(it, "a", 0, left=300 * MS)
-        self.assertEqual(does(steps), [Action.REJECT])
+        self.assertEqual(actions(steps), [Action.REJECT])
         act, steps = call(it, "b", 0, left=2000 * MS)
-        self.assertEqual(does(steps), [])           # there is time: it waits ...
+        self.assertEqual(actions(steps), [])           # there is time: it waits ...
         it.tick(1000 * MS)
         self.assertFalse(act.answered)
         steps = it.tick(1700 * MS)                  # ... until there is none
-        self.assertEqual(does(steps), [Action.REJECT])
+        self.assertEqual(actions(steps), [Action.REJECT])
 
     def test_a_load_that_was_ordered_is_coming_until_it_ended(self):
         it = front_end(2)
@@ -654,7 +654,7 @@
         for act in gone:
             act.on_client_gone(MS)
         act, steps = call(it, "c", 2 * MS)
-        self.assertEqual((does(steps), act.answered), ([], False))
+        self.assertEqual((actions(steps), act.answered), ([], False))
         steps = first.on_send_ended(3 * MS, 0, Outcome.COMPLETED, 3 * MS, copy=Copy.LOAD_STARTED, final=True)
         self.assertEqual([step.activation for step in steps if step.action is Action.SEND], [act])
 
@@ -688,7 +688,7 @@
         it = front_end(4)
         for n in range(200):
             it.update_workers(
-                n * SECOND, [ready(f"n{n}"), *([ready(f"n{n - 1}", WorkerState.GONE)] if n else [])], full=False)
+                n * SECOND, [listing(f"n{n}"), *([listing(f"n{n - 1}", WorkerState.GONE)] if n else [])], full=False)
         self.assertLess(len(it.workers), 20)
         self.assertEqual(len(it.ring), sum(map(len, it.ring.sections)))
         self.assertLess(len(it.ring), 20 * POINTS)
@@ -699,10 +699,10 @@
     def test_a_worker_gone_with_something_out_is_kept_until_it_ended(self):
         it = front_end(2)
         act, steps = call(it)
-        busy = sent(steps)[0]
+        busy = sent_to(steps)[0]
         for n in range(100):
-            it.update_workers(n, [ready(busy, WorkerState.GONE), ready(f"n{n}"),
-                          *([ready(f"n{n - 1}", WorkerState.GONE)] if n else [])], full=False)
+            it.update_workers(n, [listing(busy, WorkerState.GONE), listing(f"n{n}"),
+                          *([listing(f"n{n - 1}", WorkerState.GONE)] if n else [])], full=False)
         self.assertIn(busy, it.workers)
         act.on_send_ended(SECOND, 0, Outcome.RESET, SECOND)
         self.assertLess(len(it.workers), 60)
@@ -713,7 +713,7 @@
         for n in range(8):
             act, steps = call(it, f"c{n}", n * MS, "poison")
             number = 0
-            while places := sent(steps):
+            while places := sent_to(steps):
                 steps = act.on_send_ended(n * MS, number, Outcome.ERROR, MS)
                 number += len(places)
         self.assertEqual([worker.name for worker in it.ready_workers if worker.suspended_until > 8 * MS], [])
@@ -726,19 +726,19 @@
         for fn, sends in (("made-up", 2), ("real", 4)):
             act, steps = call(it, fn, fn=fn, now=SECOND)
             it.retry_budget = 10.0
-            while sent(steps):
+            while sent_to(steps):
                 steps = act.on_send_ended(SECOND, len(act.sends) - 1, Outcome.ERROR, MS)
-            self.assertEqual((len(act.sends), does(steps)[-1]), (sends, Action.REJECT))
+            self.assertEqual((len(act.sends), actions(steps)[-1]), (sends, Action.REJECT))
 
     def test_a_worker_that_fails_what_others_serve_is_suspended(self):
         it = front_end(4)
         for n in range(6):
             serve(it, f"f{n}", n, f"s{n}")
-        bad = it.workers[sent(call(it, "x", 10 * MS, "f0")[1])[0]]
+        bad = it.workers[sent_to(call(it, "x", 10 * MS, "f0")[1])[0]]
         struck = 0
         for n in range(40):
             act, steps = call(it, f"c{n}", (11 + n) * MS, f"f{n % 6}")
-            if sent(steps) == [bad.name]:
+            if sent_to(steps) == [bad.name]:
                 act.on_send_ended((11 + n) * MS, 0, Outcome.ERROR, MS)
                 struck += 1
                 if struck == 2:
@@ -755,7 +755,7 @@
             call(it, f"a{n}", n * MS // 10, "f", tenant="a", lanes=64)
         self.assertLess(max(len(worker.sends) for worker in it.ready_workers), 4)
         _, steps = call(it, "b", 7 * MS, "g", tenant="b", lanes=64)
-        self.assertEqual(len(sent(steps)), 1)
+        self.assertEqual(len(sent_to(steps)), 1)
 
     def test_reports_count_where_our_own_counts_say_little(self):
         # Found by switching reports off: with four front ends and 30 workers they took 0.2 of the service away.
@@ -770,7 +770,7 @@
             for worker in it.ready_workers:
                 worker.warm_until["f"] = 9 * SECOND
             _, steps = call(it, "a", SECOND)
-            self.assertEqual(Action.PROBE in does(steps), asked, held)
+            self.assertEqual(Action.PROBE in actions(steps), asked, held)
 
     def test_a_heavy_call_takes_its_own_weight_of_a_cold_budget(self):
         it = front_end(1, since=SECOND, now=SECOND, front_ends=1)
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -23,16 +23,17 @@
 from tests.processes import FrontEndProcess
 from threadshift.coordinator import freshness
 from threadshift.coordinator.freshness import (
-    ANSWER, CONNECT, LONGEST_PAUSE, PATIENT, SILENCE, SILENCE_AGAIN, TOLD_AFTER_BREAK, TOLD_AFTER_SILENCE, Freshness)
+    ANSWER, CONNECT, LONGEST_PAUSE, NOTIFIED_AFTER_BREAK, NOTIFIED_AFTER_SILENCE, PATIENT, SILENCE, SILENCE_AGAIN,
+    Freshness)
 from threadshift.fastcgi.codec import Records
 from threadshift.frames import link
-from threadshift.frames.codec import HOLD, INVOKE
+from threadshift.frames.codec import INVOKE, LOAD
 from threadshift.interface import MS, SECOND, WorkerState
 from threadshift.links.codec import encode
-from threadshift.links.redial import Redial
-from threadshift.node import placement
+from threadshift.links.redial import ReconnectBackoff
+from threadshift.node import front_end_config
 from threadshift.node.front import Node
-from threadshift.roster.membership import Entry, Membership, WorkerList
+from threadshift.discovery.registry import WorkerEntry, WorkerList, WorkerRegistry
 
 ROOT = Path(__file__).resolve().parent.parent
 DRAINING_WORKER, READY_WORKER = "s-0", "s-1"
@@ -68,7 +69,7 @@
 
     def received(self, name):
         worker = self.workers[name]
-        return worker.codes(INVOKE) + worker.codes(HOLD)
+        return worker.frames_with(INVOKE) + worker.frames_with(LOAD)
 
     def test_nothing_goes_to_a_worker_that_drained_while_they_started(self):
         # As on the herd day of the variant `many`: 5 to 11 sends and load orders by front ends that had just been
@@ -79,7 +80,7 @@
                 folder, f"n{n}", coordinator=str(self.coordinator.address), known=self.known,
                 settings=short_grace_settings())) for n in range(FRONT_ENDS)]
             clients = [each.client() for each in front_ends]
-            until(lambda: len(self.coordinator.asked) >= FRONT_ENDS)
+            until(lambda: len(self.coordinator.last_event_ids) >= FRONT_ENDS)
             until(lambda: len(self.workers[DRAINING_WORKER].open) >= FRONT_ENDS)     # connections stand
             for client in clients:
                 for number, item in enumerate(ITEMS, 1):
@@ -101,7 +102,7 @@
             client = it.client()
             client.ask(left="900")
             self.assertEqual(client.alive(2)[0], 503)
-            self.assertEqual(len(it.node.door.postponed), 1)
+            self.assertEqual(len(it.node.listener.postponed), 1)
             it.coordinator.answering.set()
             self.assertEqual(client.answer()[0], 200)
             self.assertEqual(client.alive(2)[0], 200)
@@ -111,24 +112,24 @@
             begun = time.monotonic_ns()
             self.assertEqual(it.call(left="150")[0], 503)
             self.assertLess(time.monotonic_ns() - begun, 150 * MS)
-            self.assertEqual(it.node.door.tally.totals(), {"too-late": 1})
+            self.assertEqual(it.node.listener.refusal_counters.totals(), {"too-late": 1})
             it.coordinator.answering.set()
             self.assertEqual(it.call(id_=LATER)[0], 200)
-            self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [LATER])
+            self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [LATER])
 
     def test_one_whose_client_gives_it_up_is_never_sent(self):
         with Platform(answering=False) as it:
             client = it.client()
             client.ask(left="900")
-            until(lambda: len(it.node.door.postponed))
+            until(lambda: len(it.node.listener.postponed))
             client.abort()
-            until(lambda: not len(it.node.door.postponed))
+            until(lambda: not len(it.node.listener.postponed))
             it.coordinator.answering.set()
             self.assertEqual(it.call(id_=LATER)[0], 200)
-            self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [LATER])
+            self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [LATER])
 
     def test_without_any_answer_it_serves_all_the_same_after_a_while(self):
-        with mock.patch("threadshift.node.front.LIST_WAIT", 200 * MS), Platform(answering=False) as it:
+        with mock.patch("threadshift.node.front.FIRST_LIST_TIMEOUT", 200 * MS), Platform(answering=False) as it:
             until(lambda: it.client().alive()[0] == 200)
             self.assertEqual(it.call()[0], 200)
 
@@ -136,7 +137,7 @@
         with Platform(answering=False) as it:
             client = it.client()
             client.ask(left="900")
-            until(lambda: len(it.node.door.postponed))
+            until(lambda: len(it.node.listener.postponed))
             it.node.end()
             self.assertEqual(client.answer()[0], 503)
             it.running.join(5)
@@ -144,12 +145,12 @@
 
     def test_no_more_requests_wait_than_there_may_be_calls(self):
         with Platform(answering=False) as it:
-            it.node.door.activations = 2
+            it.node.listener.max_activations = 2
             client = it.client()
             for number in (1, 2, 3):
                 client.ask(number, id_=f"{number:016x}", left="900")
             self.assertEqual(client.answer(3)[0], 503)
-            self.assertEqual(it.node.door.tally.totals(), {"too-many-activations": 1})
+            self.assertEqual(it.node.listener.refusal_counters.totals(), {"too-many-activations": 1})
 
 
 class NewsThatLiesUnread(unittest.TestCase):
@@ -157,24 +158,24 @@
 
     def drain_unread(self, it):
         """The drain lies in the socket of the stream; the loop has not turned since."""
-        it.coordinator.say(event(2, instance("s-0", it.workers[0].address, "Terminating")))
-        self.assertTrue(it.node.desk.dispatcher.workers["s-0"].ready)
+        it.coordinator.publish(event(2, instance("s-0", it.workers[0].address, "Terminating")))
+        self.assertTrue(it.node.engine.dispatcher.workers["s-0"].ready)
 
     def assert_not_sent(self, it):
-        self.assertFalse(it.node.desk.dispatcher.workers["s-0"].ready)
-        self.assertEqual(it.workers[0].codes(INVOKE) + it.workers[0].codes(HOLD), [])
+        self.assertFalse(it.node.engine.dispatcher.workers["s-0"].ready)
+        self.assertEqual(it.workers[0].frames_with(INVOKE) + it.workers[0].frames_with(LOAD), [])
 
     def test_is_read_before_what_an_answer_brings(self):
         with Platform() as it:
             self.drain_unread(it)
-            it.node.settle()
+            it.node.catch_up_after_stall()
             self.assert_not_sent(it)
 
     def test_is_read_before_a_request_is_taken(self):
         with Platform() as it:
             client = it.client()
-            until(lambda: it.node.door.connections)
-            connection = next(iter(it.node.door.connections))
+            until(lambda: it.node.listener.connections)
+            connection = next(iter(it.node.listener.connections))
             self.drain_unread(it)
             for kind, number, content in Records().feed(request()):
                 connection.hear(kind, number, content)
@@ -184,28 +185,28 @@
     def test_is_read_before_the_timer_decides(self):
         with Platform() as it:
             ready = []
-            it.node.desk.due = lambda: 0
-            it.node.desk.tick = lambda now: ready.append(it.node.desk.dispatcher.workers["s-0"].ready)
+            it.node.engine.due = lambda: 0
+            it.node.engine.tick = lambda now: ready.append(it.node.engine.dispatcher.workers["s-0"].ready)
             self.drain_unread(it)
-            it.node.beat(time.monotonic_ns(), 0)
+            it.node.on_tick(time.monotonic_ns(), 0)
             self.assertFalse(any(ready[-1:]))
-            del it.node.desk.due, it.node.desk.tick
+            del it.node.engine.due, it.node.engine.tick
 
     def settling(self, it):
         """How sends stood, each time that unread news was waited for: the list is filled as that happens."""
-        seen, settle = [], it.node.settle
+        seen, catch_up = [], it.node.catch_up_after_stall
 
         def noted():
-            seen.extend(sent.outcome for held in it.node.desk.held.values() for sent in held.sends)
-            settle()
-        it.node.settle = noted
+            seen.extend(sent.outcome for pending in it.node.engine.requests.values() for sent in pending.sends)
+            catch_up()
+        it.node.catch_up_after_stall = noted
         return seen
 
     def test_is_read_before_a_break_lets_calls_go_on(self):
         with Platform([silent]) as it:
             client, seen = it.client(), self.settling(it)
             client.ask(type_="submit")
-            until(lambda: it.workers[0].codes(INVOKE))
+            until(lambda: it.workers[0].frames_with(INVOKE))
             for sock in it.workers[0].open:
                 sock.shutdown(socket.SHUT_RDWR)
             self.assertEqual(client.answer()[0], 502)
@@ -220,7 +221,7 @@
         with Platform() as it, mock.patch.object(link, "connect", refused):
             client, seen, only = it.client(), self.settling(it), it.node.links["s-0"]
             for connection in list(only.connections):
-                only.end(connection)
+                only.close_connection(connection)
             client.ask(type_="submit")
             until(lambda: only.queue)
             fails.set()
@@ -232,17 +233,17 @@
 
     def test_news_of_the_feed_that_lies_unread_is_read_before_anything_is_sent(self):
         with Live(workers=1) as live:
-            for act in (live.front.settle, live.front.api.read_updates):
-                until(lambda: live.front.desk.dispatcher.workers["w0"].ready)
+            for act in (live.front.catch_up_after_stall, live.front.api.read_updates):
+                until(lambda: live.front.engine.dispatcher.workers["w0"].ready)
                 live.list("w0", live.workers["w0"].address)
                 changed = dict(live.feed.workers["w0"], state="draining")
                 until(lambda: live.front.feed.generation == live.feed.generation)
                 live.feed.generation += 1
                 for peer in live.feed.peers:
                     peer.sock.sendall(encode("changes", generation=live.feed.generation, workers=[changed]))
-                self.assertTrue(live.front.desk.dispatcher.workers["w0"].ready)
+                self.assertTrue(live.front.engine.dispatcher.workers["w0"].ready)
                 act()
-                self.assertFalse(live.front.desk.dispatcher.workers["w0"].ready)
+                self.assertFalse(live.front.engine.dispatcher.workers["w0"].ready)
                 live.feed.obey(["state", "w0", "ready"])
 
     def test_calls_ask_for_it(self):
@@ -256,33 +257,33 @@
         with Platform([silent, silent]) as it:
             client = it.client()
             client.ask(left="900")
-            until(lambda: any(each.codes(INVOKE) for each in it.workers))
-            moved = next(n for n, each in enumerate(it.workers) if each.codes(INVOKE))
+            until(lambda: any(each.frames_with(INVOKE) for each in it.workers))
+            moved = next(n for n, each in enumerate(it.workers) if each.frames_with(INVOKE))
             successor, other = Worker(), 1 - moved
             it.extra.append(successor)
-            it.coordinator.say(event(2, instance(f"s-{moved}", successor.address),
+            it.coordinator.publish(event(2, instance(f"s-{moved}", successor.address),
                                      instance(f"s-{other}", it.workers[other].address, "Terminating")))
             self.assertEqual(client.answer()[0], 200)
-            self.assertEqual(it.workers[other].codes(INVOKE), [])
+            self.assertEqual(it.workers[other].frames_with(INVOKE), [])
 
     def test_a_bad_entry_does_not_keep_a_drain_beside_it_from_being_heard(self):
         with Platform() as it:
-            it.coordinator.say(event(2, instance("s-7", "nowhere", weight="heavy"),
+            it.coordinator.publish(event(2, instance("s-7", "nowhere", weight="heavy"),
                                      instance("s-0", it.workers[0].address, "Terminating")))
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
             self.assertEqual(it.log.of("event-unreadable")[0]["entries"], 1)
             self.assertEqual(it.call()[0], 503)
 
     def test_nor_does_what_is_wrong_with_the_drain_s_own_entry(self):
         with Platform() as it:
-            it.coordinator.say(event(2, instance("s-0", "nowhere", "Terminating", weight=None, zone=7)))
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            it.coordinator.publish(event(2, instance("s-0", "nowhere", "Terminating", weight=None, zone=7)))
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
 
     def test_a_worker_of_a_full_list_whose_entry_is_bad_stays_as_it_was(self):
         with Platform([serve, serve]) as it:
-            it.coordinator.say(event(2, instance("s-0", "nowhere"), full=True))
-            until(lambda: not it.node.desk.dispatcher.workers["s-1"].ready)
-            self.assertTrue(it.node.desk.dispatcher.workers["s-0"].ready)
+            it.coordinator.publish(event(2, instance("s-0", "nowhere"), full=True))
+            until(lambda: not it.node.engine.dispatcher.workers["s-1"].ready)
+            self.assertTrue(it.node.engine.dispatcher.workers["s-0"].ready)
             self.assertEqual(it.call()[0], 200)
 
 
@@ -290,7 +291,7 @@
     """Events that a front end must not pass over."""
 
     def drained(self, it):
-        until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+        until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
 
     def reload(self, it, known, coordinator):
         with tempfile.NamedTemporaryFile("w") as file:
@@ -311,7 +312,7 @@
             it.extra.append(moved)
             self.reload(it, {"index": 9, "updates": []}, moved)
             self.drained(it)
-            self.assertEqual(moved.asked, [1])
+            self.assertEqual(moved.last_event_ids, [1])
 
     def test_the_events_of_a_new_configuration_count_at_once(self):
         with Platform() as it:
@@ -319,18 +320,18 @@
             self.reload(it, {"index": 3, "updates": [
                 event(1, instance("s-0", address), full=True), event(2, instance("s-0", address, weight=2.0)),
                 event(3, instance("s-0", address, "Terminating"))]}, it.coordinator)
-            self.assertFalse(it.node.desk.dispatcher.workers["s-0"].ready)
+            self.assertFalse(it.node.engine.dispatcher.workers["s-0"].ready)
 
     def test_where_an_event_is_missing_the_stream_is_asked_again_once(self):
         with Platform() as it:
             address = it.workers[0].address
             it.coordinator.events.append(event(2, instance("s-0", address, "Terminating")))     # not written
-            it.coordinator.say(event(3, instance("s-9", address, "Gone")))
+            it.coordinator.publish(event(3, instance("s-9", address, "Gone")))
             self.drained(it)
-            self.assertEqual(it.coordinator.asked[1:], [1])
-            it.coordinator.say(event(5, instance("s-0", address)))      # there is no fourth
-            until(lambda: it.node.desk.dispatcher.workers["s-0"].ready)
-            self.assertEqual(it.coordinator.asked[2:], [3])
+            self.assertEqual(it.coordinator.last_event_ids[1:], [1])
+            it.coordinator.publish(event(5, instance("s-0", address)))      # there is no fourth
+            until(lambda: it.node.engine.dispatcher.workers["s-0"].ready)
+            self.assertEqual(it.coordinator.last_event_ids[2:], [3])
 
 
 class FindingTheCoordinatorAgain(unittest.TestCase):
@@ -340,10 +341,10 @@
 
     def found_after(self, begun, failures):
         """When a try is made that succeeds, after so many failures; each pause as long as it may be."""
-        redial, now = Redial(lambda: 1.0, LONGEST_PAUSE), begun
-        now = redial.broke(now)
+        backoff, now = ReconnectBackoff(lambda: 1.0, LONGEST_PAUSE), begun
+        now = backoff.on_disconnected(now)
         for took in failures:
-            now = redial.broke(now + took)
+            now = backoff.on_disconnected(now + took)
         return now
 
     @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
@@ -352,9 +353,9 @@
     def test_two_failures_in_a_row_leave_the_whole_grace_and_three_all_but_140_ms(self, grace_ms, how, failures):
         grace = grace_ms * MS
         told, begun, most = {
-            "break": (TOLD_AFTER_BREAK, 0, 2), "silence": (TOLD_AFTER_SILENCE, SILENCE, 2),
-            "silence twice": (TOLD_AFTER_SILENCE, self.found_after(SILENCE, []) + SILENCE_AGAIN, 1),
-            "configuration": (TOLD_AFTER_SILENCE, 0, 2)}[how]
+            "break": (NOTIFIED_AFTER_BREAK, 0, 2), "silence": (NOTIFIED_AFTER_SILENCE, SILENCE, 2),
+            "silence twice": (NOTIFIED_AFTER_SILENCE, self.found_after(SILENCE, []) + SILENCE_AGAIN, 1),
+            "configuration": (NOTIFIED_AFTER_SILENCE, 0, 2)}[how]
         found = self.found_after(begun, failures)
         if len(failures) <= most:
             self.assertLessEqual(found, told)
@@ -364,7 +365,7 @@
 
     def test_a_coordinator_that_accepts_and_does_not_answer_is_dialled_anew(self):
         with mock.patch.object(freshness, "ANSWER", 100 * MS), Platform(answering=False) as it:
-            until(lambda: len(it.coordinator.asked) == 2, seconds=1.0)
+            until(lambda: len(it.coordinator.last_event_ids) == 2, seconds=1.0)
             self.assertEqual(it.log.of("coordinator-lost")[0]["problem"], "no answer in time")
 
     def test_one_that_is_slow_is_found_by_tries_with_more_time(self):
@@ -379,19 +380,19 @@
 
     def test_since_when_news_counts_as_told(self):
         it = Freshness()
-        self.assertEqual(it.told_since(5 * SECOND, 0), 0)       # before the start, for all that is known
+        self.assertEqual(it.notified_since(5 * SECOND, 0), 0)       # before the start, for all that is known
         it.received(6 * SECOND)
         it.caught_up()
         it.received(7 * SECOND)
-        self.assertEqual(it.told_since(8 * SECOND, 30 * MS), 8 * SECOND - 30 * MS)
+        self.assertEqual(it.notified_since(8 * SECOND, 30 * MS), 8 * SECOND - 30 * MS)
         it.lost(silent=False, answered=True)
         it.received(9 * SECOND)
-        self.assertEqual(it.told_since(9 * SECOND, 0), 7 * SECOND)
+        self.assertEqual(it.notified_since(9 * SECOND, 0), 7 * SECOND)
         it.lost(silent=False, answered=True)                    # lost again before it had caught up
-        self.assertEqual(it.told_since(9 * SECOND, 0), 7 * SECOND)
+        self.assertEqual(it.notified_since(9 * SECOND, 0), 7 * SECOND)
         it.received(10 * SECOND)
         it.caught_up()
-        self.assertEqual(it.told_since(11 * SECOND, 0), 11 * SECOND)
+        self.assertEqual(it.notified_since(11 * SECOND, 0), 11 * SECOND)
 
 
 class Settings(unittest.TestCase):
@@ -403,11 +404,11 @@
         settings["registryMode"], settings["rules"]["askWithin"] = mode, ask_within
         for lane in settings["lanes"]:
             lane["aim"], lane["giveUp"] = min(lane["aim"], float(give_up)), float(give_up)
-        placed = placement.understand(configuration(settings=settings, known={"index": 1, "updates": [
+        placed = front_end_config.parse_config(configuration(settings=settings, known={"index": 1, "updates": [
             event(1, instance("s-0", ANY), full=True)]}), {}, "test")
         self.assertEqual(placed.deployment.drain_grace, grace_ms * MS)
         node = Node(placed, {}, Silent())
-        node.ready_by = time.monotonic_ns() + SECOND
+        node.ready_deadline = time.monotonic_ns() + SECOND
         self.assertTrue(node.list_is_stale())
         self.assertFalse(node.ready())
         node.coordinator.freshness.caught_up()
@@ -419,8 +420,8 @@
     @given(st.integers(0, 3000), st.integers(0, 6000))
     def test_one_is_believed_within_the_grace_of_when_it_counts_as_told(self, grace_ms, late_ms):
         grace, told, read = grace_ms * MS, 10 * SECOND, 10 * SECOND + late_ms * MS
-        it = Membership(grace)
-        it.listed(0, 0, [Entry("a", ANY)], full=True)
+        it = WorkerRegistry(grace)
+        it.listed(0, 0, [WorkerEntry("a", ANY)], full=True)
         changed = it.apply(read, 0, WorkerList([], full=True), told)
         while not changed:
             read += 5 * MS                  # the timer's tick
@@ -431,10 +432,10 @@
             self.assertEqual(read, told + late_ms * MS)
 
     def test_workers_told_of_after_it_are_not_gone_with_those_before(self):
-        it = Membership(SECOND)
-        it.listed(0, 0, [Entry("a", ANY), Entry("b", ANY)], full=True)
+        it = WorkerRegistry(SECOND)
+        it.listed(0, 0, [WorkerEntry("a", ANY), WorkerEntry("b", ANY)], full=True)
         it.listed(SECOND, 0, [], full=True)
-        it.listed(SECOND + MS, 0, [Entry("b", ANY), Entry("c", ANY)], full=False)
+        it.listed(SECOND + MS, 0, [WorkerEntry("b", ANY), WorkerEntry("c", ANY)], full=False)
         self.assertEqual([each.worker for each in it.tick(2 * SECOND)], ["a"])
 
 
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -38,7 +38,7 @@
                 headers = {"tenant": "a", "work_hint": "700"} | ({"prefer": prefer} if prefer else {})
                 jobs = [gevent.spawn(live.call, f"submit-{n}", time_left="900", **headers) for n in range(40)]
                 gevent.sleep(0.1)
-                self.assertLess(live.front.api.places.held["a"], 20)
+                self.assertLess(live.front.api.capacity.used_by["a"], 20)
                 headers["tenant"] = "b"
                 reply = live.call("f", time_left="900", **headers)
                 self.assertNotIn(b"too-many", reply.body, (prefer, most))       # it was let in
@@ -47,8 +47,8 @@
                 refused = [job.value for job in jobs if job.value.status in (429, 503)]
                 self.assertTrue(refused)
                 self.assertTrue(all("retry-after" in each.headers for each in refused))
-                until(lambda: not live.front.desk.owed)
-            self.assertEqual(live.front.api.places.all, 0)
+                until(lambda: not live.front.engine.owed)
+            self.assertEqual(live.front.api.capacity.used, 0)
             told = live.log.of("turned-away")
             self.assertTrue(any(each["reason"].startswith("too-many") and each["tenants"].get("a") for each in told))
 
@@ -61,7 +61,7 @@
             until(lambda: len(live.front.connections) >= 30)
             self.assertEqual(live.call("f").status, 503)        # none has been silent for long
             with closing(Client(Address("127.0.0.1", admin))) as operator:
-                self.assertEqual(operator.ask("GET", "/v1/status").status, 200)
+                self.assertEqual(operator.request("GET", "/v1/status").status, 200)
             gevent.sleep(1.1)
             self.assertEqual([live.call("f").status for _ in range(5)], [200] * 5)
             self.assertLessEqual(len(live.front.connections), 30)
@@ -73,7 +73,7 @@
             rendered, status = [], live.front.api.status
             live.front.api.status = lambda: rendered.append(1) or status()
             for _ in range(200):
-                client.ask("GET", "/v1/status")
+                client.request("GET", "/v1/status")
             self.assertLess(len(rendered), 20)
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,7 +18,7 @@
 from tests.live import Live, until
 from threadshift.conf.values import Address
 from threadshift.gateway.demo import Demo
-from threadshift.gateway.restarts import FIRST, MOST, STEADY, Restarts
+from threadshift.gateway.restart_backoff import FIRST_DELAY, MAX_DELAY, STABLE_RUNTIME, RestartBackoff
 from threadshift.interface import MS, SECOND, WorkerState
 from threadshift.invoke.client import Client, NoAnswer
 from threadshift.standins.common import Record
@@ -28,7 +28,7 @@
 
 def ask(port, path="/v1/functions/text-upper/calls", body=b"x", method="POST", **headers):
     with closing(Client(Address("127.0.0.1", port))) as client:
-        return client.ask(method, path, {name.replace("_", "-"): value for name, value in headers.items()}, body)
+        return client.request(method, path, {name.replace("_", "-"): value for name, value in headers.items()}, body)
 
 
 def answers(port):
@@ -99,14 +99,14 @@
         with Live() as live:
             live.call("f")
             busy = live.client()
-            busy.ask("GET", "/v1/status")
+            busy.request("GET", "/v1/status")
             held = gevent.spawn(live.call, "f", b"held", work_hint="400")
-            until(lambda: live.front.desk.owed)
+            until(lambda: live.front.engine.owed)
             began = time.monotonic()
             live.front.end()
             until(lambda: live.front.api.closing)
-            late = busy.ask("POST", "/v1/functions/f/calls", {}, b"late")
-            self.assertEqual((late.status, late.headers["final"], late.keep), (503, "rejected", False))
+            late = busy.request("POST", "/v1/functions/f/calls", {}, b"late")
+            self.assertEqual((late.status, late.headers["final"], late.keep_alive), (503, "rejected", False))
             with self.assertRaises(NoAnswer):
                 live.call("f")
             live.running.join(5)
@@ -118,7 +118,7 @@
             for worker in live.workers.values():
                 worker.obey(["hang", "9s"])
             held = gevent.spawn(live.call, "submit-x")
-            until(lambda: live.front.desk.owed)
+            until(lambda: live.front.engine.owed)
             began = time.monotonic()
             live.front.end()
             live.running.join(5)
@@ -144,7 +144,7 @@
                 it.end()
                 self.assertEqual(it.process.returncode, 0)
                 pauses = [int(each) for each in re.findall(r'"again_ms": (\d+)', errors.read_text())]
-                self.assertEqual(pauses[:3], [0, FIRST // MS, 2 * FIRST // MS])
+                self.assertEqual(pauses[:3], [0, FIRST_DELAY // MS, 2 * FIRST_DELAY // MS])
                 self.assertIn("Address already in use", errors.read_text())
                 self.assertNotIn("Traceback", errors.read_text())
 
@@ -175,13 +175,14 @@
         """Found by a hunt: read first, it went to a worker that the roster had long told of as draining."""
         with Live() as live:
             live.call("f")
-            home = next(name for name, worker in live.front.desk.dispatcher.workers.items() if worker.warm_until)
-            drains = replace(live.front.membership.known[home].entry, state=WorkerState.DRAINING)
+            home = next(name for name, worker in live.front.engine.dispatcher.workers.items() if worker.warm_until)
+            drains = replace(live.front.registry.known[home].entry, state=WorkerState.DRAINING)
             sent = live.front.send
             to = []
-            live.front.send = lambda worker, held, number: to.append(worker) or sent(worker, held, number)
+            live.front.send = lambda worker, pending, number: to.append(worker) or sent(worker, pending, number)
             # The word lies unread behind the call: it is heard by the next greenlet to run.
-            live.front.api.looks.unread = lambda now: gevent.spawn(live.front.listed, [drains], False) and 200 * MS
+            live.front.api.poll_monitor.unread_time = lambda now: (
+                gevent.spawn(live.front.listed, [drains], False) and 200 * MS)
             self.assertEqual(live.call("f").status, 200)
             self.assertNotIn(home, to)
 
@@ -189,29 +190,30 @@
         """Found by a hunt: read first, it brought a load order to a worker long told of as draining."""
         with Live() as live:
             live.call("f")
-            drains = replace(live.front.membership.known["w0"].entry, state=WorkerState.DRAINING)
-            states, ended = [], live.front.desk.ended
+            drains = replace(live.front.registry.known["w0"].entry, state=WorkerState.DRAINING)
+            states, ended = [], live.front.engine.on_send_ended
 
             def hear(*words, **more):
-                states.append(live.front.membership.state(live.front.membership.known["w0"]))
+                states.append(live.front.registry.state(live.front.registry.known["w0"]))
                 ended(*words, **more)
-            live.front.desk.ended = hear
+            live.front.engine.on_send_ended = hear
             job = gevent.spawn(live.call, "f", work_hint="100")
-            until(lambda: live.front.desk.owed)
-            live.front.api.looks.unread = lambda now: gevent.spawn(live.front.listed, [drains], False) and 200 * MS
+            until(lambda: live.front.engine.owed)
+            live.front.api.poll_monitor.unread_time = lambda now: (
+                gevent.spawn(live.front.listed, [drains], False) and 200 * MS)
             job.join()
             self.assertEqual(states, [WorkerState.DRAINING])
 
     def test_pauses_of_restarts(self):
-        it, now = Restarts(), 100 * SECOND
+        it, now = RestartBackoff(), 100 * SECOND
         pauses = []
         for _ in range(12):
-            it.start(now)
-            pauses.append(it.died(now + MS) - now - MS)
-        self.assertEqual(pauses[:4], [0, FIRST, 2 * FIRST, 4 * FIRST])
-        self.assertEqual(pauses[-1], MOST)
-        it.start(now)
-        self.assertEqual(it.died(now + STEADY), now + STEADY)
+            it.on_started(now)
+            pauses.append(it.on_died(now + MS) - now - MS)
+        self.assertEqual(pauses[:4], [0, FIRST_DELAY, 2 * FIRST_DELAY, 4 * FIRST_DELAY])
+        self.assertEqual(pauses[-1], MAX_DELAY)
+        it.on_started(now)
+        self.assertEqual(it.on_died(now + STABLE_RUNTIME), now + STABLE_RUNTIME)
 
 
 class Membership(unittest.TestCase):
@@ -269,7 +271,7 @@
                     until(lambda live=live: "w9" in live.front.links and live.front.links["w9"].up)
                     self.assertEqual(live.call("f").status, 200, at)
                     with closing(Client(Address("", 0, f"{folder}/admin"))) as admin:
-                        told = json.loads(admin.ask("GET", "/v1/status").body)
+                        told = json.loads(admin.request("GET", "/v1/status").body)
                     self.assertTrue(told["workers"]["w9"]["link"])
 
 
@@ -288,7 +290,7 @@
     def test_a_miss_brings_a_load_order_and_the_call_goes_on(self):
         with Live(loads_on_miss=False, fleet="    loads-on-miss no\n") as live:
             reply = live.call("f")
-            self.assertEqual((reply.status, live.front.desk.counts["miss"], live.front.desk.counts["orders"]),
+            self.assertEqual((reply.status, live.front.engine.counts["miss"], live.front.engine.counts["orders"]),
                              (200, 1, 1))
 
 
--- a/tests/test_invoke.py
+++ b/tests/test_invoke.py
@@ -7,10 +7,10 @@
 from gevent import socket
 
 from tests.live import Live, until
-from threadshift.desk.desk import Answer, Final
+from threadshift.engine.engine import Answer, FinalKind
 from threadshift.interface import MS, SECOND
-from threadshift.invoke.admission import PERIOD, Admission
-from threadshift.invoke.deferred import RECORD, InMemory
+from threadshift.invoke.admission import READING_INTERVAL, Admission
+from threadshift.invoke.deferred import ANSWER_OVERHEAD, InMemoryStore
 
 POST = "POST /v1/functions/f/calls HTTP/1.1\r\nHost: x\r\n"
 
@@ -54,7 +54,7 @@
         for method, path, status in (("GET", "/v1/functions/f/calls", 405), ("GET", "/nothing", 404),
                                      ("GET", "/v1/calls/unknown", 404), ("DELETE", "/v1/status", 405)):
             with closing(self.live.client()) as client:
-                self.assertEqual(client.ask(method, path).status, status)
+                self.assertEqual(client.request(method, path).status, status)
 
     def test_malformed_http_gets_one_answer_and_a_close(self):
         chunked = "Transfer-Encoding: chunked\r\n"
@@ -85,9 +85,9 @@
         self.assertEqual(self.live.log.of("fault"), [])
 
     def test_a_request_smuggled_behind_a_bad_one_is_not_served(self):
-        before = self.live.front.desk.counts["taken"]
+        before = self.live.front.engine.counts["taken"]
         self.live.raw(f"{POST}Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n".encode() + request())
-        self.assertEqual(self.live.front.desk.counts["taken"], before)
+        self.assertEqual(self.live.front.engine.counts["taken"], before)
 
     def test_pipelined_requests_are_answered_in_order(self):
         self.live.call("slowly")
@@ -103,12 +103,12 @@
         self.assertEqual(statuses(got), [200] * 10 + [400])
 
     def test_a_client_that_quits_is_told_to_the_module(self):
-        before = self.live.front.desk.counts["left"]
+        before = self.live.front.engine.counts["left"]
         with socket.create_connection(("127.0.0.1", self.live.port)) as sock:
             sock.sendall(request(work_hint=400))
-            until(lambda: self.live.front.desk.owed)
-        until(lambda: self.live.front.desk.counts["left"] == before + 1)
-        self.assertEqual(self.live.front.desk.owed, 0)
+            until(lambda: self.live.front.engine.owed)
+        until(lambda: self.live.front.engine.counts["left"] == before + 1)
+        self.assertEqual(self.live.front.engine.owed, 0)
 
     def test_idle_connections_end_and_many_do_no_harm(self):
         socks = [socket.create_connection(("127.0.0.1", self.live.port)) for _ in range(300)]
@@ -129,23 +129,23 @@
 class Deferred(unittest.TestCase):
     def test_accepted_waited_for_and_collected(self):
         with Live() as live, closing(live.client()) as client:
-            first = client.ask("POST", "/v1/functions/submit-x/calls", {"Prefer": "respond-async"}, b"filing")
+            first = client.request("POST", "/v1/functions/submit-x/calls", {"Prefer": "respond-async"}, b"filing")
             self.assertEqual((first.status, first.headers["preference-applied"]), (202, "respond-async"))
             where = first.headers["location"]
-            self.assertEqual(client.ask("GET", where).status, 202)
-            reply = client.ask("GET", where, {"Prefer": "wait=5"})
+            self.assertEqual(client.request("GET", where).status, 202)
+            reply = client.request("GET", where, {"Prefer": "wait=5"})
             self.assertEqual((reply.status, reply.body, reply.headers["final"]), (200, b"filing", "completed"))
-            self.assertEqual(client.ask("GET", where).body, b"filing")
+            self.assertEqual(client.request("GET", where).body, b"filing")
 
     def test_a_wait_is_bounded_and_a_final_answer_comes_in_its_own_time(self):
         with Live(bounds="longest-wait 100ms") as live, closing(live.client()) as client:
             live.workers["w0"].obey(["hang", "9s"])
             live.workers["w1"].obey(["hang", "9s"])
-            where = client.ask("POST", "/v1/functions/submit-x/calls",
+            where = client.request("POST", "/v1/functions/submit-x/calls",
                                {"Prefer": "respond-async", "Time-Left": "400"}).headers["location"]
-            self.assertEqual(client.ask("GET", where, {"Prefer": "wait=60"}).status, 202)
-            until(lambda: not live.front.desk.owed)
-            reply = client.ask("GET", where)
+            self.assertEqual(client.request("GET", where, {"Prefer": "wait=60"}).status, 202)
+            until(lambda: not live.front.engine.owed)
+            reply = client.request("GET", where)
             self.assertEqual((reply.status, reply.headers["final"]), (504, "aborted"))
             self.assertTrue(json.loads(reply.body)["may-have-run"])
 
@@ -153,44 +153,45 @@
         with Live(bounds="deferred 3") as live, closing(live.client()) as client:
             for worker in live.workers.values():
                 worker.obey(["hang", "9s"])
-            got = [client.ask("POST", "/v1/functions/submit-x/calls", {"Prefer": "respond-async", "Time-Left": "300"})
+            got = [client.request("POST", "/v1/functions/submit-x/calls",
+                                  {"Prefer": "respond-async", "Time-Left": "300"})
                    for _ in range(5)]
             self.assertEqual([reply.status for reply in got], [202] * 3 + [429] * 2)
             self.assertEqual(got[-1].headers["final"], "rejected")
             self.assertIn(got[-1].headers["retry-after"], ("1", "2"))
 
     def test_answers_are_kept_to_a_time_and_a_size(self):
-        each_takes = RECORD + 30
-        it = InMemory(10, 3 * each_takes + 10, 5 * SECOND)
+        each_takes = ANSWER_OVERHEAD + 30
+        it = InMemoryStore(10, 3 * each_takes + 10, 5 * SECOND)
         calls = [it.add(f"c{n}") for n in range(5)]
         for n, each in enumerate(calls):
-            self.assertTrue(it.room())
-            it.finish(n * SECOND, each, Answer(Final.COMPLETED, "completed", b"x" * 30))
-            each.collected = n == 1
+            self.assertTrue(it.has_room())
+            it.finish(n * SECOND, each, Answer(FinalKind.COMPLETED, "completed", b"x" * 30))
+            each.is_collected = n == 1
         # The fourth passed the size: the collected one went first; the fifth took the oldest.
         self.assertEqual([it.find(f"c{n}") is not None for n in range(5)], [False, False, True, True, True])
-        self.assertEqual((it.kept.all, it.dropped), (3 * each_takes, 1))
+        self.assertEqual((it.answer_bytes.used, it.dropped), (3 * each_takes, 1))
         it.tick(8 * SECOND)
         self.assertEqual([it.find(f"c{n}") is not None for n in range(5)], [False, False, False, False, True])
         it.tick(9 * SECOND)
-        self.assertEqual((it.kept.all, it.waiting.all, it.calls), (0, 0, {}))
+        self.assertEqual((it.answer_bytes.used, it.pending.used, it.calls), (0, 0, {}))
 
 
 class Admissions(unittest.TestCase):
     def setUp(self):
         self.now = 0
 
-    def run_it(self, it, lag, seconds, every=PERIOD):
+    def run_it(self, it, lag, seconds, every=READING_INTERVAL):
         """Readings of one lag for so long; a loop that lags reads as seldom as it comes round."""
         until = self.now + int(seconds * SECOND)
         while self.now < until:
             self.now += max(every, lag)
-            it.measured(self.now, lag)
+            it.record_lag(self.now, lag)
         return it
 
     def test_one_stall_refuses_nobody_and_lasting_lag_refuses_most(self):
         it = self.run_it(Admission(600 * MS), 0, 0.1)
-        it.measured(self.now + SECOND, SECOND)
+        it.record_lag(self.now + SECOND, SECOND)
         self.assertLess(sum(not it.admit(False) for _ in range(100)), 50)
         it = self.run_it(Admission(600 * MS), 300 * MS, 3)
         admitted = sum(it.admit(False) for _ in range(1000))
@@ -214,7 +215,7 @@
             taken = sum(it.admit(False) for _ in range(900))
             lag = (taken * 300 + (900 - taken) * 80) * 1000
             self.now += lag
-            it.measured(self.now, lag)
+            it.record_lag(self.now, lag)
             parts.append(taken / 900)
         self.assertTrue(0.1 < min(parts[300:]) and max(parts[300:]) < 0.5, (min(parts[300:]), max(parts[300:])))
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -14,14 +14,14 @@
 from threadshift.audit.records import Seen
 from threadshift.audit.rules import breaches
 from threadshift.conf.settings import Malformed
-from threadshift.fastcgi import room
+from threadshift.fastcgi import connection_eviction
 from threadshift.fastcgi.codec import ABORT, GET_VALUES, HEAD, STDIN, pair, record, stream
-from threadshift.frames.codec import ERROR, FROM_WORKER, FULL, GIVE_UP, HOLD, INVOKE, MISS, OK, OVER, encode
+from threadshift.frames.codec import CANCEL, ERROR, EXPIRED, FROM_WORKER, FULL, INVOKE, LOAD, MISS, OK, encode
 from threadshift.interface import MS, SECOND
-from threadshift.invoke.looks import Looks
-from threadshift.node import placement
+from threadshift.invoke.poll_monitor import PollMonitor
+from threadshift.node import front_end_config
 from threadshift.node.descriptors import Descriptors
-from threadshift.node.leaving import Leaving, Stage
+from threadshift.node.shutdown import Shutdown, Stage
 from threadshift.timer import ticks
 
 A = "00000000000000a1"
@@ -52,7 +52,7 @@
         with Platform() as it:
             body = bytes(range(256)) * 64
             self.assertEqual(it.call(body=body), (200, {"Content-Type": "application/octet-stream"}, b"did " + body))
-            frame = it.workers[0].codes(INVOKE)[0]
+            frame = it.workers[0].frames_with(INVOKE)[0]
             self.assertEqual((frame.id.hex(), frame.fields["class"], frame.fields["key"], frame.body),
                              (A, "check", "00000000000000f1", body))
             self.assertLess(int(frame.fields["wait"]), 901)
@@ -89,7 +89,7 @@
                 (answers(OK, "how=init,stats=inflight:7;util:0.6", b"r"), "submit", 200),
                 (answers(ERROR), "submit", 502), (answers(FULL), "submit", 503),
                 (answers(MISS, "how=init_error"), "submit", 503),
-                (answers(OVER), "submit", 503), (answers(ERROR), "check", 503)):
+                (answers(EXPIRED), "submit", 503), (answers(ERROR), "check", 503)):
             with Platform([script]) as it:
                 status, headers, _ = it.call(type_=type_, left="300")
                 self.assertEqual(status, wanted)
@@ -99,10 +99,10 @@
         with Platform([silent]) as it:
             client = it.client()
             client.ask()
-            until(lambda: it.workers[0].codes(INVOKE))
+            until(lambda: it.workers[0].frames_with(INVOKE))
             client.abort()
-            until(lambda: it.workers[0].codes(GIVE_UP))
-            self.assertEqual(it.workers[0].codes(GIVE_UP)[0].id.hex(), A)
+            until(lambda: it.workers[0].frames_with(CANCEL))
+            self.assertEqual(it.workers[0].frames_with(CANCEL)[0].id.hex(), A)
             # Under the same number, the next one gets its own answer and nothing of the old one's.
             it.workers[0].script = serve
             client.ask(id_="00000000000000a2", body=b"new")
@@ -112,26 +112,27 @@
     def test_a_send_whose_time_is_up_is_given_up_and_answered_before(self):
         with Platform([silent]) as it:
             self.assertEqual(it.call(type_="submit", left="80")[0], 502)
-            until(lambda: it.workers[0].codes(GIVE_UP))
-            until(lambda: not it.node.desk.held)
-            self.assertFalse(it.node.links["s-0"].ways)
+            until(lambda: it.workers[0].frames_with(CANCEL))
+            until(lambda: not it.node.engine.requests)
+            self.assertFalse(it.node.links["s-0"].routes)
 
     def test_an_answer_that_crosses_its_end_is_not_the_next_sends(self):
         # A second copy of a 'full' would end the send after it as never run.
         def script(worker, sock, it):
-            if it.code == INVOKE and not worker.codes(INVOKE)[1:]:
-                sock.sendall(encode(FULL, it.id, mark=FROM_WORKER))
-                gevent.spawn_later(0.03, sock.sendall, encode(FULL, it.id, mark=FROM_WORKER))
+            if it.code == INVOKE and not worker.frames_with(INVOKE)[1:]:
+                sock.sendall(encode(FULL, it.id, sender=FROM_WORKER))
+                gevent.spawn_later(0.03, sock.sendall, encode(FULL, it.id, sender=FROM_WORKER))
             elif it.code == INVOKE:
                 gevent.spawn_later(0.1, serve, worker, sock, it)
         with Platform([script]) as it:
             link, ends = it.node.links["s-0"], []
             call = Of(type="submit", function="00000000000000f1", body=b"x", mark="")
-            held = Of(ivk=A, call=call, returned=lambda now, number, outcome, **_: ends.append((number, outcome)),
-                      time_left=lambda now: SECOND)
-            self.assertIsNone(link.invoke(held, 0, SECOND))
+            pending = Of(id=A, call=call,
+                         on_send_ended=lambda now, number, outcome, **_: ends.append((number, outcome)),
+                         time_left=lambda now: SECOND)
+            self.assertIsNone(link.invoke(pending, 0, SECOND))
             until(lambda: len(ends) == 1)
-            self.assertIsNone(link.invoke(held, 1, SECOND))
+            self.assertIsNone(link.invoke(pending, 1, SECOND))
             until(lambda: len(ends) == 2)
             self.assertEqual([outcome.value for _, outcome in ends], ["full", "completed"])
 
@@ -165,7 +166,7 @@
                 for name, client in clients.items():
                     got = outcome(client)
                     self.assertTrue(got is None or got[0] != 200, (name, got))
-            self.assertEqual(it.workers[0].codes(INVOKE), [])
+            self.assertEqual(it.workers[0].frames_with(INVOKE), [])
             self.assertEqual(it.call()[0], 200)
 
     def test_sixty_megabytes_are_neither_kept_nor_waited_for(self):
@@ -186,11 +187,11 @@
         with Platform([late]) as it:
             first, second = it.client(), it.client()
             first.ask(body=b"one")
-            until(lambda: it.workers[0].codes(INVOKE))
+            until(lambda: it.workers[0].frames_with(INVOKE))
             second.ask(body=b"two")
             self.assertEqual(second.answer()[0], 409)
             self.assertEqual(first.answer()[2], b"did one")
-            self.assertEqual(len(it.workers[0].codes(INVOKE)), 1)
+            self.assertEqual(len(it.workers[0].frames_with(INVOKE)), 1)
 
     def test_more_than_may_be_open_are_refused_and_the_rest_is_served(self):
         def late(worker, sock, it):
@@ -211,8 +212,8 @@
 
     def test_silent_connections_make_room_for_who_asks(self):
         with Platform(limits={"cores": 1.0, "memory_mb": 96, "sockets": 32}) as it:
-            quiet = [it.client() for _ in range(it.node.door.most())]
-            until(lambda: len(it.node.door.connections) == len(quiet))
+            quiet = [it.client() for _ in range(it.node.listener.max_connections())]
+            until(lambda: len(it.node.listener.connections) == len(quiet))
             gevent.sleep(0.03)
             self.assertEqual(it.call()[0], 200)
 
@@ -220,14 +221,15 @@
     def test_connections_that_were_answered_make_room_but_not_with_a_request_unread(self):
         # Found by an incident: requests read from connections that had been closed to make room were lost.
         with Platform(limits={"cores": 1.0, "memory_mb": 96, "sockets": 32}) as it:
-            most, firm = it.node.door.most(), it.node.descriptors.firm
+            most, firm = it.node.listener.max_connections(), it.node.descriptors.reserved_for_clients
             for n in range(2 * most):
                 self.assertEqual(it.call(id_=f"{n:016x}")[0], 200)
-                gevent.sleep(room.GRACE / SECOND if n >= firm - 1 else 0)
-            self.assertLessEqual(len(it.node.door.connections), most)
+                gevent.sleep(connection_eviction.ACTIVITY_GRACE / SECOND if n >= firm - 1 else 0)
+            self.assertLessEqual(len(it.node.listener.connections), most)
             asked = it.clients[-1]
-            held = next(iter(it.node.door.connections - {
-                each for each in it.node.door.connections if each.sock.getpeername() != asked.sock.getsockname()}))
+            held = next(iter(it.node.listener.connections - {
+                each for each in it.node.listener.connections
+                if each.sock.getpeername() != asked.sock.getsockname()}))
             asked.ask(id_="00000000000000ff")
             self.assertFalse(held.end())
             self.assertEqual(asked.answer()[0], 200)
@@ -250,7 +252,7 @@
             with Platform([script]) as it:
                 # It may have run, so a once-only call is neither sent again nor rejected.
                 self.assertEqual(it.call(type_="submit")[0], 502, name)
-                self.assertEqual(len(it.workers[0].codes(INVOKE)), 1, name)
+                self.assertEqual(len(it.workers[0].frames_with(INVOKE)), 1, name)
                 until(lambda it=it: it.log.of("link-broke"))
 
     def test_more_than_belongs_to_an_answer_is_dropped(self):
@@ -273,7 +275,7 @@
                 sock.close()
         with Platform([reset, reset, serve]) as it:
             self.assertIn(it.call(type_="submit", item="00000000000000f3")[0], (200, 502))
-            self.assertEqual(sum(len(worker.codes(INVOKE)) for worker in it.workers), 1)
+            self.assertEqual(sum(len(worker.frames_with(INVOKE)) for worker in it.workers), 1)
             self.assertIn(it.call(id_="00000000000000a2")[0], (200, 503))
 
     def test_a_worker_that_is_gone_is_never_run_on(self):
@@ -298,23 +300,24 @@
             first = link.connections[0].sock.getsockname()
             next(sock for sock in it.workers[0].open if sock.getpeername() == first).shutdown(2)
             call = Of(type="submit", function="00000000000000f1", body=b"x", mark="")
-            held = Of(ivk=A, call=call, returned=lambda now, number, outcome, **_: None, time_left=lambda now: SECOND)
-            self.assertIsNone(link.invoke(held, 0, SECOND))
+            pending = Of(id=A, call=call, on_send_ended=lambda now, number, outcome, **_: None,
+                         time_left=lambda now: SECOND)
+            self.assertIsNone(link.invoke(pending, 0, SECOND))
             self.assertTrue(link.busy)
-            self.assertEqual(link.cancel(held, 0, True).value, "cancelled")
+            self.assertEqual(link.cancel(pending, 0, True).value, "cancelled")
             self.assertFalse(link.busy)
-            until(lambda: it.workers[0].codes(GIVE_UP))
+            until(lambda: it.workers[0].frames_with(CANCEL))
 
     def test_load_orders_leave_at_once_or_not_at_all(self):
         with Platform([silent]) as it:
             link, ends = it.node.links["s-0"], []
-            asked = Of(fn="00000000000000f1", answered=lambda now, outcome, **_: ends.append(outcome.value))
-            self.assertIsNone(link.order(asked))
-            until(lambda: it.workers[0].codes(HOLD))
-            self.assertEqual(it.workers[0].codes(HOLD)[0].fields, {"key": "00000000000000f1", "n": "1"})
+            asked = Of(function="00000000000000f1", on_answered=lambda now, outcome, **_: ends.append(outcome.value))
+            self.assertIsNone(link.order_load(asked))
+            until(lambda: it.workers[0].frames_with(LOAD))
+            self.assertEqual(it.workers[0].frames_with(LOAD)[0].fields, {"key": "00000000000000f1", "n": "1"})
             it.workers[0].stop()
             until(lambda: ends == ["reset"])
-            self.assertEqual(link.order(asked).value, "unreachable")
+            self.assertEqual(link.order_load(asked).value, "unreachable")
 
 
 HEAD_OF_3_GB = bytes((FROM_WORKER, OK)) + bytes(2) + (3 << 30).to_bytes(4, "big") + bytes.fromhex(A)
@@ -323,31 +326,31 @@
 class Word(unittest.TestCase):
     def test_the_coordinator_is_followed_over_breaks_and_repeats(self):
         with Platform([serve]) as it:
-            until(lambda: it.coordinator.asked == [0])
+            until(lambda: it.coordinator.last_event_ids == [0])
             other = Worker()
             it.extra.append(other)
             it.coordinator.open[-1].sendall(it.coordinator.frame(event(2, instance("s-9", other.address)))[:40])
             it.coordinator.open[-1].shutdown(2)
             it.coordinator.events.append(event(2, instance("s-9", other.address)))
             until(lambda: "s-9" in it.node.links)
-            self.assertEqual(it.coordinator.asked[1:], [1])
-            it.coordinator.say(event(2, instance("s-8", other.address)))
-            it.coordinator.say(event(3, instance("s-9", other.address, "Terminating")))
-            until(lambda: not it.node.desk.dispatcher.workers["s-9"].ready)
+            self.assertEqual(it.coordinator.last_event_ids[1:], [1])
+            it.coordinator.publish(event(2, instance("s-8", other.address)))
+            it.coordinator.publish(event(3, instance("s-9", other.address, "Terminating")))
+            until(lambda: not it.node.engine.dispatcher.workers["s-9"].ready)
             self.assertNotIn("s-8", it.node.links)
 
     def test_a_new_worker_at_the_address_of_one_that_is_gone(self):
         with Platform([serve]) as it:
             at = it.workers[0].address
-            it.coordinator.say(event(2, instance("s-0", at, "Gone"), instance("s-7", at)))
+            it.coordinator.publish(event(2, instance("s-0", at, "Gone"), instance("s-7", at)))
             until(lambda: "s-7" in it.node.links and it.node.links["s-7"].up)
             self.assertEqual(it.call()[0], 200)
             until(lambda: "s-0" not in it.node.links)
 
     def test_silence_has_the_stream_dialled_anew(self):
         with Platform([serve]) as it:
-            it.coordinator.dumb = True
-            until(lambda: len(it.coordinator.asked) > 1)
+            it.coordinator.is_silent = True
+            until(lambda: len(it.coordinator.last_event_ids) > 1)
             self.assertTrue(it.node.roster_lost)
 
     def test_another_configuration_moves_the_stream_and_a_bad_one_does_not(self):
@@ -367,8 +370,8 @@
             file.write(json.dumps(configuration(coordinator=str(other.address))))
             file.flush()
             it.node.reload()
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
-            self.assertEqual(other.asked, [1])
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
+            self.assertEqual(other.last_event_ids, [1])
 
 
 class Ending(unittest.TestCase):
@@ -382,8 +385,8 @@
             gevent.sleep(0.6)
             fresh = Client(it.address)              # still let in
             fresh.ask(left="950")
-            until(lambda: it.workers[0].codes(INVOKE))
-            until(lambda: it.node.door.closing)
+            until(lambda: it.workers[0].frames_with(INVOKE))
+            until(lambda: it.node.listener.closing)
             kept.ask(id_="00000000000000a2")
             self.assertEqual(kept.answer()[0], 503)
             self.assertEqual(fresh.answer()[0], 200)
@@ -393,13 +396,13 @@
             fresh.close()
 
     def test_stages(self):
-        it = Leaving(10 * SECOND)
-        self.assertIs(it.stage(5, 9), Stage.STAYING)
+        it = Shutdown(10 * SECOND)
+        self.assertIs(it.stage(5, 9), Stage.RUNNING)
         it.begin(SECOND)
         it.begin(2 * SECOND)
-        self.assertIs(it.stage(SECOND + 700 * MS, 0), Stage.SERVING)
-        self.assertIs(it.stage(2 * SECOND, 1), Stage.CLOSED)
-        self.assertIs(it.stage(2 * SECOND, 0), Stage.CLOSED)
+        self.assertIs(it.stage(SECOND + 700 * MS, 0), Stage.ACCEPTING)
+        self.assertIs(it.stage(2 * SECOND, 1), Stage.REFUSING)
+        self.assertIs(it.stage(2 * SECOND, 0), Stage.REFUSING)
         self.assertIs(it.stage(2 * SECOND + 60 * MS, 0), Stage.DONE)
         self.assertIs(it.stage(5 * SECOND, 1), Stage.DONE)     # well before it is killed
 
@@ -415,17 +418,17 @@
 
         def worker_at(name):
             def script(worker, sock, it):
-                if it.code == HOLD:
+                if it.code == LOAD:
                     note(name, "hold", front="front-0")
                     return serve(worker, sock, it)
-                if it.code == GIVE_UP:
+                if it.code == CANCEL:
                     return note(name, "cancel", mark=it.id.hex())
                 facts = dict(front="front-0", mark=it.id.hex(), work_ms=1.0)
                 note(name, "invoke", **facts)
                 how = chance.choice(("ok", "ok", "ok", "error", "full", "miss", "reset", "twice", "spoilt", "late"))
                 if how in ("full", "miss"):
                     note(name, "turned", kind=how, **facts)
-                    return sock.sendall(encode({"full": FULL, "miss": MISS}[how], it.id, mark=FROM_WORKER))
+                    return sock.sendall(encode({"full": FULL, "miss": MISS}[how], it.id, sender=FROM_WORKER))
                 note(name, "run", **facts)
                 open_ = out.setdefault(sock, [])
                 if how == "late":
@@ -437,7 +440,7 @@
                 else:
                     note(name, "done", mark=it.id.hex())
                 if how == "error":
-                    return sock.sendall(encode(ERROR, it.id, mark=FROM_WORKER))
+                    return sock.sendall(encode(ERROR, it.id, sender=FROM_WORKER))
                 if how == "reset":
                     return sock.close()
                 if how == "spoilt":
@@ -464,28 +467,28 @@
             asks = [gevent.spawn_later(0.004 * n, ask, n) for n in range(200)]
             gevent.sleep(0.4)
             note("roster", "told", front="front-0", full=False, states={"s-1": "draining"})
-            it.coordinator.say(event(2, instance("s-1", it.workers[1].address, "Terminating")))
+            it.coordinator.publish(event(2, instance("s-1", it.workers[1].address, "Terminating")))
             gevent.joinall(asks)
             self.assertEqual({ask.get() for ask in asks}, {200, 502, 503})
             seen.sort(key=lambda each: each.t)
-            self.assertEqual([str(each) for each in breaches(seen, it.told.deployment, 1)], [])
+            self.assertEqual([str(each) for each in breaches(seen, it.config.deployment, 1)], [])
             self.assertTrue(any(each.event == "run" for each in seen))
             # The audit sees it when one is broken: the first completed call, run a second time.
             once = next(each for each in seen if each.event == "run" and int(each["mark"], 16) % 2)
             twice = sorted([*seen, Seen(once.t + MS, "run", "s-2", once.facts)], key=lambda each: each.t)
-            self.assertTrue(list(breaches(twice, it.told.deployment, 1)))
+            self.assertTrue(list(breaches(twice, it.config.deployment, 1)))
 
 
 class Unread(unittest.TestCase):
     def test_only_what_may_have_lain_unread_counts_off(self):
         # A call of 70 ms lost 5 of them to a loop that had stood idle.
-        looks, now = Looks(), 100 * MS
+        monitor, now = PollMonitor(), 100 * MS
         for before, idle, last, wanted in (
                 (90, 91, 96, 4), (90, 99, 99, 10), (20, 91, 96, 4), (20, 21, 99, 80), (90, 98, 98, 10)):
-            looks.before, looks.idle, looks.last = before * MS, idle * MS, last * MS
-            self.assertEqual(looks.unread(now), wanted * MS)
-        looks.stop()
-        self.assertEqual(looks.unread(now), 0)
+            monitor.previous_poll, monitor.wait_started, monitor.last_poll = before * MS, idle * MS, last * MS
+            self.assertEqual(monitor.unread_time(now), wanted * MS)
+        monitor.stop()
+        self.assertEqual(monitor.unread_time(now), 0)
 
     def test_what_falls_due_between_two_ticks_has_one_of_its_own(self):
         due = [time.monotonic_ns() + 8 * MS]
@@ -515,31 +518,34 @@
                 file.flush()
                 environment = {} if told == {} else {"NODE_CONFIG": told[0] if isinstance(told, list) else file.name}
                 with self.assertRaises(Malformed, msg=words) as caught:
-                    placement.read(environment)
+                    front_end_config.read_config(environment)
                 self.assertIn(words, str(caught.exception))
                 self.assertNotIn("\n", str(caught.exception))
 
     def test_bounds_follow_the_limits(self):
         for memory, sockets in ((32, 256), (96, 256), (192, 1024)):
-            it = placement.understand(configuration(limits={"memory_mb": memory, "sockets": sockets}), {}, "f")
-            self.assertLess(it.activations * 2 * (16 << 10), it.memory // 4)
+            config = front_end_config.parse_config(
+                configuration(limits={"memory_mb": memory, "sockets": sockets}), {}, "f")
+            self.assertLess(config.max_activations * 2 * (16 << 10), config.memory_bytes // 4)
             for workers in (12, 120, 400):
-                shared = Descriptors(it.sockets)
-                dialled = workers * it.links(workers).most
-                clients = shared.clients(dialled)
+                descriptors = Descriptors(config.max_sockets)
+                dialled = workers * config.link_limits(workers).max_connections
+                clients = descriptors.client_limit(dialled)
                 self.assertGreaterEqual(clients, sockets // 3)
                 # What does not fit beside the clients is not dialled.
-                held = next(n for n in range(dialled + 1) if n == dialled or not shared.fits(clients, n))
+                held = next(n for n in range(dialled + 1)
+                            if n == dialled or not descriptors.has_room_for_worker(clients, n))
                 self.assertLess(clients + held, sockets - 20)
-            shared = Descriptors(it.sockets)
-            self.assertTrue(shared.yields(shared.clients(0)) and not shared.yields(shared.firm))
+            descriptors = Descriptors(config.max_sockets)
+            self.assertTrue(descriptors.clients_must_yield(descriptors.client_limit(0))
+                            and not descriptors.clients_must_yield(descriptors.reserved_for_clients))
 
     def test_what_was_known_at_the_start_counts_at_once(self):
         with Platform([]) as it:
             pass
-        told = placement.understand(configuration(known={"index": 3, "updates": [
+        config = front_end_config.parse_config(configuration(known={"index": 3, "updates": [
             event(1, instance("s-0", "127.0.0.1:9"), full=True), event(3, instance("s-0", "127.0.0.1:9", "Gone"))]}),
             {}, "f")
-        it.node.coordinator.apply_known(told.known)
+        it.node.coordinator.apply_known(config.known_updates)
         self.assertEqual(it.node.coordinator.sequence.last, 3)
-        self.assertEqual(os.path.basename(told.name), "n0")
+        self.assertEqual(os.path.basename(config.name), "n0")
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -22,20 +22,20 @@
 from tests.live import free_port, until
 from tests.platform import (
     SETTINGS, Client, Coordinator, Platform, Worker, begin, configuration, event, instance, params, request, serve)
-from tests.test_desk import ask, desk
+from tests.test_engine import ask, engine
 from threadshift.conf.values import Address
 from threadshift.coordinator import freshness
-from threadshift.fastcgi import room
+from threadshift.fastcgi import connection_eviction
 from threadshift.fastcgi.codec import STDIN, record, stream
 from threadshift.frames import link, pool
 from threadshift.frames.codec import FROM_WORKER, INVOKE, OK, encode
 from threadshift.interface import MS, SECOND, Effect, Outcome
 from threadshift.links.sockets import Outgoing
-from threadshift.node import leaving
+from threadshift.node import shutdown
 
 ROOT = Path(__file__).resolve().parent.parent
 A, B = "00000000000000a1", "00000000000000a2"
-AFTER = 3 * leaving.LAST        # ns of quiet after which a front end that leaves would have ended
+AFTER = 3 * shutdown.QUIET_TIME        # ns of quiet after which a front end that leaves would have ended
 
 
 def silent(worker, sock, it):
@@ -50,7 +50,7 @@
 
 def closing(it):
     """Until a front end that was told to end takes no more, and would have ended if nothing held it."""
-    until(lambda: it.node.door.closing)
+    until(lambda: it.node.listener.closing)
     since = time.monotonic_ns()
     until(lambda: it.running.ready() or time.monotonic_ns() - since > AFTER)
 
@@ -75,23 +75,23 @@
         come.wait(5)
         return sock or connect(address, limit)
     for connection in list(only.connections):
-        only.end(connection)
+        only.close_connection(connection)
     with mock.patch.object(link, "connect", late):
         yield come
 
 
 def fill(it, left):
     """As many clients as there may be, each with a request under way."""
-    busy = [it.client() for _ in range(it.node.door.most())]
+    busy = [it.client() for _ in range(it.node.listener.max_connections())]
     for n, each in enumerate(busy):
         each.ask(id_=f"{n:016x}", left=left)
-    until(lambda: it.node.desk.owed == len(busy))
+    until(lambda: it.node.engine.owed == len(busy))
 
 
 def attempt(id_, time_left, body=b""):
     """A request as links know it."""
     call = mock.Mock(type="check", function="00000000000000f1", mark="", body=body)
-    return mock.Mock(ivk=id_, call=call, time_left=time_left)
+    return mock.Mock(id=id_, call=call, time_left=time_left)
 
 
 class Shutdown(unittest.TestCase):
@@ -101,10 +101,10 @@
             with Platform([silent]) as it:
                 client = it.client()
                 client.ask(type_=type_, left="1880")
-                until(lambda: it.workers[0].codes(INVOKE))
+                until(lambda: it.workers[0].frames_with(INVOKE))
                 it.node.end()
                 self.assertEqual((client.answer() or [None])[0], wanted)
-                self.assertFalse(it.node.desk.counts["overdue"])
+                self.assertFalse(it.node.engine.counts["overdue"])
 
     def test_one_taken_after_the_word_too(self):
         with Platform([silent]) as it:
@@ -117,7 +117,7 @@
         with Platform() as it:
             client, whole = it.client(), request()
             client.send(whole[:-20])
-            until(lambda: any(each.open for each in it.node.door.connections))
+            until(lambda: any(each.open for each in it.node.listener.connections))
             it.node.end()
             closing(it)
             client.send(whole[-20:])
@@ -132,11 +132,11 @@
         with Platform([large]) as it:
             client = it.client()
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
-            until(lambda: it.node.door.connections)
-            next(iter(it.node.door.connections)).sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 16)
+            until(lambda: it.node.listener.connections)
+            next(iter(it.node.listener.connections)).sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 16)
             client.ask()
-            until(lambda: any(each.outbox.size for each in it.node.door.connections))
-            self.assertEqual(it.node.desk.owed, 0)
+            until(lambda: any(each.outbox.size for each in it.node.listener.connections))
+            self.assertEqual(it.node.engine.owed, 0)
             it.node.end()
             closing(it)
             status, _, body = client.answer() or (None, None, b"")
@@ -144,13 +144,13 @@
 
     def test_what_the_kernel_has_accepted_at_the_end_is_refused_in_words(self):
         with Platform() as it:
-            late, end = [], it.node.door.end
+            late, end = [], it.node.listener.end
 
             def just_before(*words):
                 late.append(native(it.address))
                 late[0].sendall(request())
                 end(*words)
-            it.node.door.end = just_before
+            it.node.listener.end = just_before
             it.node.end()
             it.running.join(3)
             late[0].settimeout(1)
@@ -164,11 +164,11 @@
                 file.flush()
                 it.environment["NODE_CONFIG"] = file.name
                 it.node.end()
-                since = it.node.leaving.since
+                since = it.node.shutdown.requested_at
                 it.node.reload()
                 it.node.end()
-                self.assertEqual((it.node.leaving.since, it.call(left="500")[0]), (since, 200))
-                until(lambda: it.node.door.closing)
+                self.assertEqual((it.node.shutdown.requested_at, it.call(left="500")[0]), (since, 200))
+                until(lambda: it.node.listener.closing)
                 it.node.reload()
                 self.assertEqual(it.call(left="500")[0], 503)
                 it.running.join(3)
@@ -180,28 +180,28 @@
         running = gevent.spawn(early.node.run)
         running.join(3)
         self.assertTrue(running.successful())
-        self.assertIsNone(early.node.listening)
+        self.assertIsNone(early.node.listening_socket)
         self.assertEqual(early.log.of("ended")[0]["owed"], 0)
 
     def test_the_last_answer_comes_before_it_may_be_killed(self):
         for timeout in (100 * MS, 940 * MS, 2500 * MS, 12 * SECOND):
-            it = leaving.Leaving(timeout)
+            it = shutdown.Shutdown(timeout)
             it.begin(SECOND)
             killed = SECOND + 700 * MS + min(timeout, 3 * SECOND)
-            self.assertLess(it.answered, killed - 100 * MS)
-            self.assertIs(it.stage(killed - 50 * MS, 7), leaving.Stage.DONE)
+            self.assertLess(it.answer_deadline, killed - 100 * MS)
+            self.assertIs(it.stage(killed - 50 * MS, 7), shutdown.Stage.DONE)
 
 
 class ClientGone(unittest.TestCase):
     def test_a_send_that_has_not_left_does_not_once_its_client_is_gone(self):
         # Where cancels are not allowed, it left as soon as its connection came up.
         for may_cancel in (True, False):
-            it, fleet = desk(workers=1, may_cancel=may_cancel)
-            held = it.take(0, "a", ask(Effect.ONCE_ONLY))
+            it, fleet = engine(workers=1, may_cancel=may_cancel)
+            pending = it.admit(0, "a", ask(Effect.ONCE_ONLY))
             fleet.waiting.add(("w0", "a"))
-            held.left(MS)
+            pending.on_client_gone(MS)
             self.assertEqual([entry[0] for entry in fleet.log][-1], "cancel" if may_cancel else "withdrawn")
-            self.assertFalse(may_cancel and it.held and not held.gone)
+            self.assertFalse(may_cancel and it.requests and not pending.client_gone)
 
     def test_so_on_a_connection_that_comes_up_late(self):
         for cancel in (True, False):
@@ -214,11 +214,11 @@
             client.ask(id_=A)
             until(lambda: only.queue)
             client.abort()
-            until(lambda: it.node.desk.counts["left"])
+            until(lambda: it.node.engine.counts["left"])
             come.set()
             until(lambda: only.up)
         self.assertEqual(it.call(id_=B)[0], 200)
-        self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [B])
+        self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [B])
 
     def test_a_close_that_lies_unread_as_its_connection_comes_up_stops_it(self):
         with Platform() as it:
@@ -228,55 +228,55 @@
                 until(lambda: only.queue)
                 client.close()
                 come.set()
-                it.node.settled = 0         # no standstill was seen within the last second
+                it.node.last_stall_at = 0       # no standstill was seen within the last second
                 stand_still()
-                until(lambda: it.node.desk.counts["left"])
+                until(lambda: it.node.engine.counts["left"])
             self.assertEqual(it.call(id_=B)[0], 200)
-            self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [B])
+            self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [B])
 
     def test_a_close_that_lies_unread_stops_the_next_send(self):
-        it, fleet = desk(workers=2, at_once=[Outcome.FULL])
+        it, fleet = engine(workers=2, at_once=[Outcome.FULL])
         fleet.at_once.clear()
-        held = it.take(0, "a", ask())
+        pending = it.admit(0, "a", ask())
         fleet.gone_unread.add("a")
-        held.returned(MS, 0, Outcome.FULL)
-        self.assertEqual((len(fleet.sends()), held.gone, it.owed, it.held), (1, True, 0, {}))
+        pending.on_send_ended(MS, 0, Outcome.FULL)
+        self.assertEqual((len(fleet.sends()), pending.client_gone, it.owed, it.requests), (1, True, 0, {}))
 
     def test_an_abort_behind_a_request_that_lay_unread_stops_its_first_send(self):
         # The wait for what lies unread was the reader's own, so that it could not read what it waited for.
         with Platform() as it:
             client = native(it.address)
-            until(lambda: it.node.door.connections)
-            connection = next(iter(it.node.door.connections))
+            until(lambda: it.node.listener.connections)
+            connection = next(iter(it.node.listener.connections))
             before = connection.active
             client.sendall(request(id_=A) + record(2, 1))
             stand_still()
             until(lambda: connection.active > before and not connection.open)
             self.assertEqual(it.call(id_=B)[0], 200)
-            self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [B])
+            self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [B])
             client.close()
 
     def test_so_does_a_close(self):
         with Platform() as it:
             client = native(it.address)
-            until(lambda: it.node.door.connections)
+            until(lambda: it.node.listener.connections)
             client.sendall(request(id_=A))
             client.close()
             stand_still()
-            until(lambda: not it.node.door.connections)
+            until(lambda: not it.node.listener.connections)
             self.assertEqual(it.call(id_=B)[0], 200)
-            self.assertEqual([frame.id.hex() for frame in it.workers[0].codes(INVOKE)], [B])
+            self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [B])
 
     def test_an_offence_does_not_keep_an_abort_from_being_read(self):
         with Platform([silent]) as it:
             client = it.client()
             client.ask(left="1800")
-            until(lambda: it.workers[0].codes(INVOKE))
+            until(lambda: it.workers[0].frames_with(INVOKE))
             client.send(record(77, 0, b"x") * 4)        # after four, nothing is read for 0.8 s
-            until(lambda: next(iter(it.node.door.connections)).offences == 4)
+            until(lambda: next(iter(it.node.listener.connections)).offences == 4)
             client.abort()
             since = time.monotonic_ns()
-            until(lambda: it.node.desk.counts["left"])
+            until(lambda: it.node.engine.counts["left"])
             self.assertLess(time.monotonic_ns() - since, 400 * MS)
 
     def test_requests_given_up_early_do_not_add_up_to_a_broken_connection(self):
@@ -317,15 +317,15 @@
         peer.close()
 
     def test_a_repeat_that_waits_past_the_memory_of_the_first_send_does_not_leave(self):
-        it, fleet = desk(workers=2)             # the memory span of the tests' types is 2 s
-        held = it.take(0, "a", ask(Effect.DEDUPLICATED, left=4 * SECOND))
+        it, fleet = engine(workers=2)             # the memory span of the tests' types is 2 s
+        pending = it.admit(0, "a", ask(Effect.DEDUPLICATED, left=4 * SECOND))
         fleet.waiting |= {("w0", "a"), ("w1", "a")}
-        held.returned(1900 * MS, 0, Outcome.RESET)
+        pending.on_send_ended(1900 * MS, 0, Outcome.RESET)
         self.assertEqual(len(fleet.sends()), 2)
         while it.due() < 2100 * MS:
             it.tick(it.due())
         self.assertEqual([(entry[0], entry[1] <= 2 * SECOND) for entry in fleet.log][-1], ("withdrawn", True))
-        self.assertEqual(held.sends[1].outcome, Outcome.NEVER_SENT)
+        self.assertEqual(pending.sends[1].outcome, Outcome.NEVER_SENT)
 
     def test_a_send_that_waited_for_its_connection_tells_the_time_that_is_left_then(self):
         with Platform() as it:
@@ -336,7 +336,7 @@
                 stand_still(0.3)
                 come.set()
                 self.assertEqual(client.answer()[0], 200)
-            self.assertLess(int(it.workers[0].codes(INVOKE)[0].fields["wait"]), 650)
+            self.assertLess(int(it.workers[0].frames_with(INVOKE)[0].fields["wait"]), 650)
 
     def test_one_that_waited_for_a_full_socket_does_so_too(self):
         reads, arrived = Event(), []
@@ -353,13 +353,13 @@
         with mock.patch("tests.platform.Worker", Slow):
             it = Platform([noted])
         it.workers[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        with mock.patch.object(pool, "MOST", 1), it:
+        with mock.patch.object(pool, "MAX_CONNECTIONS_PER_WORKER", 1), it:
             only = it.node.links["s-0"]
             only.connections[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             deadline = time.monotonic_ns() + 900 * MS
             for number in (1, 2, 3, 4):
-                held = attempt(f"{number:016x}", lambda now: deadline - now, bytes(16 << 10))
-                self.assertIsNone(only.invoke(held, 0, held.time_left(time.monotonic_ns())))
+                pending = attempt(f"{number:016x}", lambda now: deadline - now, bytes(16 << 10))
+                self.assertIsNone(only.invoke(pending, 0, pending.time_left(time.monotonic_ns())))
             self.assertGreaterEqual(len(only.connections[0].outbox.unwritten), 2)
             until(lambda: time.monotonic_ns() > deadline - 500 * MS)
             reads.set()
@@ -372,21 +372,22 @@
             only = it.node.links["s-0"]
             connection = only.connections[0]
             left = [900 * MS, 300 * MS]
-            held = attempt(A, lambda now: left[0])
+            pending = attempt(A, lambda now: left[0])
             with mock.patch.object(connection, "write"):
-                only.invoke(held, 0, left.pop(0))
+                only.invoke(pending, 0, left.pop(0))
             until(lambda: len(only.connections) == 2)
-            only.broke(connection, "reset")
-            until(lambda: it.workers[0].codes(INVOKE))
-            self.assertEqual(it.workers[0].codes(INVOKE)[0].fields["wait"], "300")
+            only.on_connection_lost(connection, "reset")
+            until(lambda: it.workers[0].frames_with(INVOKE))
+            self.assertEqual(it.workers[0].frames_with(INVOKE)[0].fields["wait"], "300")
 
     def test_a_connection_that_broke_carries_nothing_new_while_unread_news_is_waited_for(self):
         with Platform([silent]) as it:
             client, only, carried = it.client(), it.node.links["s-0"], []
             client.ask(type_="submit")
-            until(lambda: it.workers[0].codes(INVOKE))
-            broken = next(each for each in only.connections if each.waiting)
-            it.node.settle = lambda: carried.append(pool.fit(only.connections, b"another!", 32) is broken)
+            until(lambda: it.workers[0].frames_with(INVOKE))
+            broken = next(each for each in only.connections if each.in_flight)
+            it.node.catch_up_after_stall = lambda: carried.append(
+                pool.choose_connection(only.connections, b"another!", 32) is broken)
             for sock in it.workers[0].open:
                 sock.shutdown(socket.SHUT_RDWR)
             self.assertEqual(client.answer()[0], 502)
@@ -396,11 +397,11 @@
         with Platform() as it:
             def fails(*words, **facts):
                 raise KeyError("planted")
-            it.node.desk.ended, ended = fails, it.node.desk.ended
+            it.node.engine.on_send_ended, ended = fails, it.node.engine.on_send_ended
             client = it.client()
             client.ask(type_="submit", left="300")
             until(lambda: it.log.of("fault"))
-            it.node.desk.ended = ended
+            it.node.engine.on_send_ended = ended
             self.assertIn(client.answer()[0], (502, 503))
             self.assertEqual(it.call(id_=B)[0], 200)
 
@@ -410,11 +411,11 @@
         with Platform() as it:
             apply = it.node.coordinator.on_update
             it.node.coordinator.on_update = mock.Mock(side_effect=KeyError("planted"))
-            it.coordinator.say(event(2, instance("s-0", it.workers[0].address, weight=2.0)))
+            it.coordinator.publish(event(2, instance("s-0", it.workers[0].address, weight=2.0)))
             until(lambda: it.log.of("fault"))
             it.node.coordinator.on_update = apply
-            it.coordinator.say(event(3, instance("s-0", it.workers[0].address, "Terminating")))
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            it.coordinator.publish(event(3, instance("s-0", it.workers[0].address, "Terminating")))
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
 
     def test_a_move_while_a_dial_is_out_and_two_at_once(self):
         with Platform() as it:
@@ -432,18 +433,18 @@
             until(lambda: it.node.coordinator.sock is None)
             it.node.coordinator.move(others[0].address)
             it.node.coordinator.move(others[1].address)
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
-            self.assertEqual((others[0].asked, others[1].asked), ([], [1]))
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
+            self.assertEqual((others[0].last_event_ids, others[1].last_event_ids), ([], [1]))
             for each in [hole, *fillers]:
                 each.close()
 
     def test_a_worker_gone_and_another_at_its_address_within_one_event(self):
         with Platform() as it:
             address = it.workers[0].address
-            it.coordinator.say(event(2, instance("s-0", address, "Gone"), instance("s-9", address)))
+            it.coordinator.publish(event(2, instance("s-0", address, "Gone"), instance("s-9", address)))
             until(lambda: it.node.links.get("s-9") and it.node.links["s-9"].up)
             self.assertEqual(it.call()[0], 200)
-            self.assertEqual([each.name for each in it.node.desk.dispatcher.ready_workers], ["s-9"])
+            self.assertEqual([each.name for each in it.node.engine.dispatcher.ready_workers], ["s-9"])
 
     def test_after_a_silence_less_is_waited_for_until_the_stream_speaks(self):
         # Two silent connections in a row took 4.2 s; word counts as told after four.
@@ -453,20 +454,20 @@
                 sock = it.node.coordinator.sock
                 return sock and sock.gettimeout()
             self.assertEqual(waits(), 0.4)
-            it.coordinator.dumb = True              # from now on: a head and nothing more
+            it.coordinator.is_silent = True              # from now on: a head and nothing more
             until(lambda: waits() == 0.3)
             until(lambda: len(it.log.of("coordinator-lost")) >= 2)
-            it.coordinator.dumb = False
+            it.coordinator.is_silent = False
             until(lambda: waits() == 0.4)
-            it.coordinator.say(event(2, instance("s-0", it.workers[0].address, "Terminating")))
-            until(lambda: not it.node.desk.dispatcher.workers["s-0"].ready)
+            it.coordinator.publish(event(2, instance("s-0", it.workers[0].address, "Terminating")))
+            until(lambda: not it.node.engine.dispatcher.workers["s-0"].ready)
 
     def test_a_worker_that_starts_twice_within_two_seconds_is_cold_anew(self):
         with Platform() as it:
             def start(number, at):
-                it.coordinator.say(event(number, instance("s-0", it.workers[0].address, startedAtMs=at)))
+                it.coordinator.publish(event(number, instance("s-0", it.workers[0].address, startedAtMs=at)))
                 until(lambda: it.node.coordinator.sequence.last == number)
-                return it.node.desk.dispatcher.workers["s-0"].started_at
+                return it.node.engine.dispatcher.workers["s-0"].started_at
             now = time.time_ns() // MS
             first, second = start(2, now - 1500), start(3, now - 300)
             self.assertAlmostEqual(second - first, 1200 * MS, delta=100 * MS)
@@ -476,23 +477,23 @@
         # A cancel that lay unread over it is over 0.1 s old when the next send falls due.
         with Platform() as it:
             for seconds, waited in ((0.02, False), (0.07, True), (0.15, True), (0.55, True)):
-                it.node.settled = before = time.monotonic_ns() - 300 * MS
+                it.node.last_stall_at = before = time.monotonic_ns() - 300 * MS
                 stand_still(seconds)
-                it.node.settle()
-                self.assertEqual(it.node.settled > before, waited, seconds)
+                it.node.catch_up_after_stall()
+                self.assertEqual(it.node.last_stall_at > before, waited, seconds)
                 gevent.sleep(0.02)              # the loop comes round
 
     def test_with_a_short_grace_so_is_a_shorter_one(self):
         told = settings()
         told["rules"]["drainGrace"] = 0.0
         with Platform(settings=told) as it:
-            it.node.settled = before = time.monotonic_ns() - 300 * MS
+            it.node.last_stall_at = before = time.monotonic_ns() - 300 * MS
             stand_still(0.015)
-            it.node.settle()
-            self.assertGreater(it.node.settled, before)
+            it.node.catch_up_after_stall()
+            self.assertGreater(it.node.last_stall_at, before)
 
     def test_a_list_that_stays_empty_does_not_keep_it_from_being_ready(self):
-        with mock.patch("threadshift.node.front.LIST_WAIT", 100 * MS), Platform([]) as it:
+        with mock.patch("threadshift.node.front.FIRST_LIST_TIMEOUT", 100 * MS), Platform([]) as it:
             def alive():
                 return it.client().alive()[0]
             until(lambda: alive() == 200)
@@ -505,7 +506,7 @@
     def test_who_comes_with_requests_amid_hundreds_that_say_nothing_is_not_closed_upon(self):
         # Taken for what lost nine requests at once on a day of bad clients, in one of four plays.
         with Platform(limits={"cores": 1.0, "memory_mb": 96, "sockets": 32}) as it:
-            most = it.node.door.most()
+            most = it.node.listener.max_connections()
             silent = [native(it.address) for _ in range(most)]
             usual = native(it.address)          # all in one round of the loop: none is old enough to make room
             usual.sendall(request(1, A) + request(2, B))
@@ -516,7 +517,7 @@
                 with suppress(BlockingIOError):
                     got += usual.recv(65536)
             self.assertEqual(got.count(b"Status: 200"), 2)
-            self.assertEqual(it.node.door.tally.totals().get("too-many-connections", 0), 0)
+            self.assertEqual(it.node.listener.refusal_counters.totals().get("too-many-connections", 0), 0)
             for each in [usual, *silent]:
                 each.close()
 
@@ -525,7 +526,7 @@
             fill(it, left="900")
             late = native(it.address)
             late.sendall(request(1, A) + request(2, B))
-            until(lambda: it.node.door.tally.totals().get("too-many-connections"))
+            until(lambda: it.node.listener.refusal_counters.totals().get("too-many-connections"))
             late.settimeout(1)
             got = b""
             while more := late.recv(65536):
@@ -539,7 +540,7 @@
             late = [it.client() for _ in range(10)]
             since = time.monotonic_ns()
             self.assertTrue(all(each.closed(1.0) for each in late))
-            self.assertLess(time.monotonic_ns() - since, 5 * room.GRACE)
+            self.assertLess(time.monotonic_ns() - since, 5 * connection_eviction.ACTIVITY_GRACE)
 
     def test_idle_clients_take_none_that_stream_workers_and_usual_clients_need(self):
         """A real process with a real limit: idle clients fill it while the coordinator is down."""
@@ -578,10 +579,10 @@
                 self.assertLess(most, limit)
                 coordinator = Coordinator([event(1), event(2, *(
                     instance(f"s-{n}", it.address) for n, it in enumerate(workers)))], place)
-                until(lambda: coordinator.asked)
+                until(lambda: coordinator.last_event_ids)
                 got = [serves(n) for n in range(2, 100)]
                 self.assertEqual(set(got), {200})
-                self.assertGreater(sum(bool(it.codes(INVOKE)) for it in workers[4:]), 20)
+                self.assertGreater(sum(bool(it.frames_with(INVOKE)) for it in workers[4:]), 20)
                 self.assertLess(held(), limit)
                 child.send_signal(signal.SIGTERM)
                 said = [json.loads(line) for line in child.stderr.read().splitlines()]
--- a/threadshift/emulator/router.py
+++ b/threadshift/emulator/router.py
@@ -18,8 +18,8 @@
 from threadshift.emulator.clock import Clock
 from threadshift.emulator.front import ModelFront
 from threadshift.gateway.fitness import fitness
-from threadshift.gateway.hall import EVERY
-from threadshift.gateway.recent import Arrivals, Recent
+from threadshift.gateway.recent_calls import ConnectionRate, RecentCalls
+from threadshift.gateway.service_announcer import CHECK_INTERVAL
 from threadshift.interface import SECOND
 from threadshift.standins.router import Router
 
@@ -36,8 +36,8 @@
         self.hop = ipaddress.ip_address(f"127.{1 + n // 65025}.{n // 255 % 255}.{n % 255 + 1}")
         self.announcer = Announcer(FIRST_AS + n, [self.hop], [ServiceAddress(PREFIX)], self.drain, front.chance,
                                    clock.now)
-        self.recent = Recent({each.name: each.utility for each in front.day.told.deployment.types})
-        self.arrivals = Arrivals()
+        self.recent = RecentCalls({each.name: each.utility for each in front.day.told.deployment.types})
+        self.arrivals = ConnectionRate()
         self.told: Path | None = None
         self.tick()
 
@@ -51,7 +51,7 @@
             self.tell(self.announcer.wanted(False).get(PREFIX))
             if self.drain.stage is Stage.DONE:
                 front.close()
-        self.clock.after(EVERY, self.tick)
+        self.clock.after(CHECK_INTERVAL, self.tick)
 
     def tell(self, path: Path | None) -> None:
         if path != self.told:
@@ -59,13 +59,13 @@
             self.clock.after(self.router.delay(), self.router.heard, self, path)
 
     def signs(self, now: int) -> Signs:
-        """As gateway/hall.py gathers them; connections to workers stand unless a dial just failed."""
+        """As gateway/service_announcer.py gathers them; connections to workers stand unless a dial just failed."""
         front = self.front
         return Signs(
-            listening=not front.closing, lag=int(front.admission.lag),
-            **fitness(front.desk.dispatcher, front.linked, now)._asdict(),
-            asked_per_s=self.recent.per_second(now), refused=front.admission.part, service=self.recent.service(now),
-            drain=self.drain.standing)
+            listening=not front.closing, lag=int(front.admission.smoothed_lag),
+            **fitness(front.engine.dispatcher, front.linked, now)._asdict(),
+            asked_per_s=self.recent.per_second(now), refused=front.admission.refused_share,
+            service=self.recent.service(now), drain=self.drain.standing)
 
     def say(self, standing: Standing | None) -> None:
         """The operator's word."""
--- a/threadshift/fastcgi/connection.py
+++ b/threadshift/fastcgi/connection.py
@@ -1,7 +1,7 @@
 """One client's connection: FastCGI records to requests, answers back under their numbers.
 
 One greenlet a connection reads; answers are written by whoever brings them, and by a greenlet of its own only while a
-client does not take them. Who is kept and for how long is decided in room.py.
+client does not take them. Who is kept and for how long is decided in connection_eviction.py.
 """
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 import gevent
 from gevent import socket
 
-from threadshift.desk.desk import Held
-from threadshift.fastcgi import codec, requests, room
-from threadshift.fastcgi.codec import ABORT, BEGIN, GET_VALUES, PARAMS, STDIN, Records, NotFastCGI
-from threadshift.fastcgi.requests import LONGEST_BODY, LONGEST_PARAMS, Unfit
+from threadshift.engine.engine import PendingRequest
+from threadshift.fastcgi import codec, connection_eviction, requests
+from threadshift.fastcgi.codec import ABORT, BEGIN, GET_VALUES, PARAMS, STDIN, ProtocolError, Records
+from threadshift.fastcgi.requests import LONGEST_BODY, LONGEST_PARAMS, InvalidRequest
 from threadshift.interface import MS, SECOND
-from threadshift.invoke.tally import Tally
+from threadshift.invoke.refusal_counters import RefusalCounters
 from threadshift.links.sockets import Outgoing, shows
 
 READ = 16 << 10            # bytes a read: several usual requests, and little memory a connection
@@ -35,23 +35,23 @@
 class Listener(Protocol):
     """What a connection asks of the listener that accepted it."""
 
-    tally: Tally
-    most: Callable[[], int]              # connections that clients may hold now
+    refusal_counters: RefusalCounters
+    max_connections: Callable[[], int]   # connections that clients may hold now
     note: Callable[..., None]
 
     def take(self, request: Request, unread: int) -> None: ...
 
 
 class Request:
-    """One request under way: being read, then held by the desk."""
+    """One request under way: being read, then held by the engine."""
 
-    __slots__ = ("connection", "number", "keep", "began", "params", "body", "told", "held")
+    __slots__ = ("connection", "number", "keep", "began", "params", "body", "told", "pending")
 
     def __init__(self, connection: Connection, number: int, keep: bool, began: int):
         self.connection, self.number, self.keep, self.began = connection, number, keep, began
         self.params, self.body = b"", b""
         self.told: dict[bytes, str] | None = None       # its parameters, once they are whole
-        self.held: Any = None                           # the activation; True while it is being taken
+        self.pending: Any = None                           # the activation; True while it is being taken
 
     def respond(self, content: bytes, status: int = codec.COMPLETE) -> None:
         self.connection.respond(self, content, status)
@@ -60,11 +60,11 @@
 class Connection(Outgoing):
     """One client connection."""
 
-    def __init__(self, sock: socket.socket, door: Listener, unread: int):
+    def __init__(self, sock: socket.socket, listener: Listener, unread: int):
         super().__init__(sock, BUFFER, WRITE)
-        self.door, self.unread = door, unread
+        self.listener, self.unread = listener, unread
         self.accepted = self.active = time.monotonic_ns()
-        self.limit = self.accepted + room.FIRST
+        self.limit = self.accepted + connection_eviction.FIRST_ANSWER_TIMEOUT
         self.open: dict[int, Request] = {}
         self.answered = self.last = self.ended = False
         self.offences = self.dropped = 0
@@ -88,13 +88,13 @@
                 for kind, number, content in records.feed(data):
                     self.hear(kind, number, content)
                 if self.offences > offences:
-                    gevent.sleep(room.pause(self.offences, bool(self.open)) / SECOND)
-        except NotFastCGI as problem:
-            self.door.tally.note(time.monotonic_ns(), "unreadable")
-            self.door.note("unreadable", level="debug", problem=str(problem))
+                    gevent.sleep(connection_eviction.read_pause(self.offences, bool(self.open)) / SECOND)
+        except ProtocolError as problem:
+            self.listener.refusal_counters.record(time.monotonic_ns(), "unreadable")
+            self.listener.note("unreadable", level="debug", problem=str(problem))
             self.offences += 1
             self.give_up_all()
-            gevent.sleep(room.LINGER / SECOND)
+            gevent.sleep(connection_eviction.CLOSE_DELAY / SECOND)
         except OSError:
             pass
         finally:
@@ -106,23 +106,23 @@
     def give_up_all(self) -> None:
         """The client is gone, or is to go: nothing is owed to it any more."""
         gone, self.open = list(self.open.values()), {}
-        if ids := [request.held.ivk for request in gone if isinstance(request.held, Held)]:
-            self.door.note("client-gone", requests=len(ids), ids=ids[:IDS_TOLD])
+        if ids := [request.pending.id for request in gone if isinstance(request.pending, PendingRequest)]:
+            self.listener.note("client-gone", requests=len(ids), ids=ids[:IDS_TOLD])
         for request in gone:
             self.let_go(request)
 
     def let_go(self, request: Request) -> None:
-        if isinstance(request.held, Held) and not request.held.settled:
-            request.held.left(time.monotonic_ns())
+        if isinstance(request.pending, PendingRequest) and not request.pending.is_settled:
+            request.pending.on_client_gone(time.monotonic_ns())
 
     def hear(self, kind: int, number: int, content: bytes) -> None:
-        """One record. Raises NotFastCGI."""
+        """One record. Raises ProtocolError."""
         if number == 0:
             if kind == GET_VALUES:
-                self.put(codec.values(content, self.door.most(), MOST_OPEN))
+                self.put(codec.values(content, self.listener.max_connections(), MOST_OPEN))
                 self.offences += 1      # nobody needs it twice; asked again and again, it is answered slowly
             elif kind in (BEGIN, ABORT, PARAMS, STDIN):
-                raise NotFastCGI(f"type {kind} under number 0")
+                raise ProtocolError(f"type {kind} under number 0")
             else:
                 self.put(codec.unknown(kind))
                 self.offences += 1
@@ -134,63 +134,63 @@
             # Of a request that was answered early, or was given up: the rest of it is still on its way.
             self.dropped += len(content)
             if self.dropped > DROPPED:
-                raise NotFastCGI("a request goes on and on after its end")
+                raise ProtocolError("a request goes on and on after its end")
         elif kind == ABORT:
             del self.open[number]
             self.let_go(request)
         elif kind in (PARAMS, STDIN):
             try:
                 (self.params if kind == PARAMS else self.stdin)(request, content)
-            except Unfit as problem:
+            except InvalidRequest as problem:
                 self.unfit(request, problem)
         else:
-            raise NotFastCGI(f"type {kind} is not for a client to send")
+            raise ProtocolError(f"type {kind} is not for a client to send")
 
     def begin(self, number: int, content: bytes) -> None:
         role, keep = codec.begin(content)
         if number in self.open:
-            raise NotFastCGI(f"number {number} is begun twice")
+            raise ProtocolError(f"number {number} is begun twice")
         now = time.monotonic_ns()
         request = Request(self, number, keep, now)
         if len(self.open) >= MOST_OPEN:
             self.offences += 1
-            self.door.tally.note(now, "too-many-open")
+            self.listener.refusal_counters.record(now, "too-many-open")
             self.put(codec.response(number, MANY))
             return
         self.open[number] = request
-        self.limit = min(self.limit, now + room.REQUEST)
+        self.limit = min(self.limit, now + connection_eviction.REQUEST_READ_TIMEOUT)
         if role != codec.RESPONDER:
             self.offences += 1
             request.respond(b"", codec.UNKNOWN_ROLE)
 
     def params(self, request: Request, content: bytes) -> None:
-        """Raises Unfit, as stdin() does."""
+        """Raises InvalidRequest, as stdin() does."""
         if request.told is not None:
-            raise NotFastCGI("parameters after their end")
+            raise ProtocolError("parameters after their end")
         if content:
             request.params += content
             if len(request.params) > LONGEST_PARAMS:
-                raise Unfit(413, f"parameters pass {LONGEST_PARAMS} bytes")
+                raise InvalidRequest(413, f"parameters pass {LONGEST_PARAMS} bytes")
             return
         request.told, request.params = requests.parameters(request.params), b""
 
     def stdin(self, request: Request, content: bytes) -> None:
         if request.told is None:
-            raise NotFastCGI("a body before the end of the parameters")
-        if request.held is not None:
-            raise NotFastCGI("a body after its end")
+            raise ProtocolError("a body before the end of the parameters")
+        if request.pending is not None:
+            raise ProtocolError("a body after its end")
         if content:
             request.body += content
             if len(request.body) > LONGEST_BODY:
-                raise Unfit(413, f"a body passes {LONGEST_BODY} bytes")
+                raise InvalidRequest(413, f"a body passes {LONGEST_BODY} bytes")
             return
         unread, self.unread, self.dropped = self.unread, 0, 0
-        self.door.take(request, unread)
+        self.listener.take(request, unread)
 
-    def unfit(self, request: Request, problem: Unfit) -> None:
+    def unfit(self, request: Request, problem: InvalidRequest) -> None:
         self.offences += 1
-        self.door.tally.note(time.monotonic_ns(), "unfit")
-        self.door.note("unfit", level="debug", problem=str(problem))
+        self.listener.refusal_counters.record(time.monotonic_ns(), "unfit")
+        self.listener.note("unfit", level="debug", problem=str(problem))
         request.respond(requests.unfit(problem))
 
     # Answers.
@@ -226,14 +226,14 @@
 
     def look(self, now: int) -> None:
         """A limit has passed, or may have: what is overdue ends."""
-        self.limit = now + room.FIRST
-        for request in [each for each in self.open.values() if each.held is None]:
-            if now - request.began >= room.REQUEST:
-                self.unfit(request, Unfit(400, "the request did not end in time"))
+        self.limit = now + connection_eviction.FIRST_ANSWER_TIMEOUT
+        for request in [each for each in self.open.values() if each.pending is None]:
+            if now - request.began >= connection_eviction.REQUEST_READ_TIMEOUT:
+                self.unfit(request, InvalidRequest(400, "the request did not end in time"))
             else:
-                self.limit = min(self.limit, request.began + room.REQUEST)
+                self.limit = min(self.limit, request.began + connection_eviction.REQUEST_READ_TIMEOUT)
         if not self.busy:
-            left = room.over(self, now)
+            left = connection_eviction.remaining_idle_time(self, now)
             if left <= 0:
                 self.end()
             else:
--- a/threadshift/fastcgi/door.py
+++ b/threadshift/fastcgi/listener.py
@@ -1,6 +1,6 @@
 """The listener for FastCGI clients: accepts connections, takes or refuses their requests, ends what must make room.
 
-Who is kept and for how long is decided in room.py, who is let in in invoke/admission.py.
+Who is kept and for how long is decided in connection_eviction.py, who is let in in invoke/admission.py.
 """
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from gevent import socket
 from gevent.pool import Group
 
-from threadshift.desk.desk import Desk, Held
-from threadshift.fastcgi import codec, requests, room
-from threadshift.fastcgi.codec import BEGIN, Records, NotFastCGI
+from threadshift.engine.engine import PendingRequest, RequestEngine
+from threadshift.fastcgi import codec, connection_eviction, requests
+from threadshift.fastcgi.codec import BEGIN, ProtocolError, Records
 from threadshift.fastcgi.connection import MOST_OPEN, READ, WRITE, Connection, Request
 from threadshift.fastcgi.postponed import FrontEnd, PostponedRequests
-from threadshift.fastcgi.requests import Unfit
+from threadshift.fastcgi.requests import InvalidRequest
 from threadshift.interface import MS, SECOND, NamespaceType
 from threadshift.invoke.admission import Admission
-from threadshift.invoke.looks import STALL, Looks
-from threadshift.invoke.tally import Tally
+from threadshift.invoke.poll_monitor import STALL_THRESHOLD, PollMonitor
+from threadshift.invoke.refusal_counters import RefusalCounters
 from threadshift.links.sockets import BACKLOG, arriving, shows
-from threadshift.log import fault_of
+from threadshift.log import exception_fields
 
 LOOK = 100 * MS            # between two looks at all limits; they are of seconds
 ROOM_WAIT = 2 * MS         # for connections that make room to end
@@ -36,39 +36,41 @@
 CROWDED = "too-many-connections"
 
 
-def attempts_of(held: Held) -> list[str]:
+def attempts_of(pending: PendingRequest) -> list[str]:
     """The attempts of a request for its line in the log: worker, ms after the request was taken, outcome."""
-    return [f"{sent.worker} +{(sent.at - held.taken) // MS} {sent.outcome.value if sent.outcome else 'open'}"
-            for sent in held.sends]
+    return [f"{sent.worker} +{(sent.at - pending.admitted_at) // MS} {sent.outcome.value if sent.outcome else 'open'}"
+            for sent in pending.sends]
 
 
-class Door:
-    """The listener and all connections; the desk's port to clients."""
+class FastCgiListener:
+    """The listener and all connections; the engine's port to clients."""
 
-    def __init__(self, most: Callable[[], int], activations: int, types: dict[str, NamespaceType], advice: int,
-                 admission: Admission, front_end: FrontEnd, note: Callable[..., None], chance: Callable[[], float]):
-        self.most, self.activations, self.types, self.advice = most, activations, types, advice
+    def __init__(self, max_connections: Callable[[], int], max_activations: int, types: dict[str, NamespaceType],
+                 max_retry_advice: int, admission: Admission, front_end: FrontEnd, note: Callable[..., None],
+                 chance: Callable[[], float]):
+        self.max_connections, self.max_activations, self.types, self.max_retry_advice = (
+            max_connections, max_activations, types, max_retry_advice)
         self.admission, self.front_end, self.note, self.chance = admission, front_end, note, chance
-        self.looks, self.tally = Looks(), Tally()
+        self.poll_monitor, self.refusal_counters = PollMonitor(), RefusalCounters()
         self.connections: set[Connection] = set()
         self.greenlets = Group()
         self.postponed = PostponedRequests(self, self.greenlets.spawn)
         self.closing = False
         self.due = self.in_vain = 0
-        self.desk: Desk
+        self.engine: RequestEngine
 
     def accept(self, sock: socket.socket) -> None:
         for client in arriving(sock, self.note):
             self.wait_for_room()
-            if len(self.connections) >= self.most():
-                self.tally.note(time.monotonic_ns(), CROWDED)
+            if len(self.connections) >= self.max_connections():
+                self.refusal_counters.record(time.monotonic_ns(), CROWDED)
                 self.turn_away(client)
                 continue
             self.welcome(client)
 
     def turn_away(self, client: socket.socket) -> None:
         """Closes a connection for which there is no room; requests that lie on it already are refused in words."""
-        with suppress(OSError, NotFastCGI):
+        with suppress(OSError, ProtocolError):
             client.settimeout(0)
             begun = [number for kind, number, _ in Records().feed(client.recv(READ)) if kind == BEGIN]
             client.send(b"".join(codec.response(number, self.busy(CROWDED)) for number in begun[:MOST_OPEN]))
@@ -81,26 +83,27 @@
         what it had sent on a new connection: it waits for the first that may go. In vain, none is waited for again
         for a while."""
         since = time.monotonic_ns()
-        while len(self.connections) >= self.most():
+        while len(self.connections) >= self.max_connections():
             if self.make_room():
                 continue
             now = time.monotonic_ns()
             if now - self.in_vain < VAIN:
                 return
-            if now - since > room.GRACE + ROOM_WAIT:
+            if now - since > connection_eviction.ACTIVITY_GRACE + ROOM_WAIT:
                 self.in_vain = now
                 return
             gevent.sleep(ROOM_WAIT / SECOND)
 
     def welcome(self, client: socket.socket) -> None:
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        connection = Connection(client, self, self.looks.unread(time.monotonic_ns()))
+        connection = Connection(client, self, self.poll_monitor.unread_time(time.monotonic_ns()))
         self.connections.add(connection)
         self.greenlets.spawn(self.converse, connection)
 
     def make_room(self) -> bool:
         """Ends some connections that nothing is owed on, and waits until they are closed; whether any was."""
-        going = [each for each in room.who_goes(self.connections, time.monotonic_ns()) if each.end()]
+        going = [each for each in connection_eviction.candidates(self.connections, time.monotonic_ns())
+                 if each.end()]
         for _ in range(ROOM_WAITS if going else 0):
             gevent.sleep(ROOM_WAIT / SECOND)
             if any(each not in self.connections for each in going):
@@ -116,16 +119,16 @@
         try:
             connection.serve()
         except Exception as fault:      # ours; it ends this connection alone, and loudly
-            self.note("fault", level="error", **fault_of(fault))
+            self.note("fault", level="error", **exception_fields(fault))
         finally:
             self.connections.discard(connection)
 
     def take(self, request: Request, unread: int) -> None:
-        """A whole request: answered, refused, or taken. Raises Unfit."""
+        """A whole request: answered, refused, or taken. Raises InvalidRequest."""
         told = request.told
         assert told is not None
         if told.get(b"SCRIPT_NAME") == requests.ALIVE:
-            request.held = True
+            request.pending = True
             request.respond(requests.DONE if self.front_end.ready() else self.busy("not-ready"))
             return
         # First, as what is refused must cost as little as can be: at the limit all else is work for nothing.
@@ -133,12 +136,12 @@
             self.refuse(request, OVERLOADED)
             return
         asked = requests.read(told, request.body, self.types)
-        request.held, request.told, request.body = True, {}, b""
+        request.pending, request.told, request.body = True, {}, b""
         # It may have lain unread since the event loop looked last: its client's time ran all the while.
-        unread = max(unread, self.looks.unread(time.monotonic_ns()))
-        if unread < STALL and not self.front_end.list_is_stale() and not self.front_end.update_unread():
+        unread = max(unread, self.poll_monitor.unread_time(time.monotonic_ns()))
+        if unread < STALL_THRESHOLD and not self.front_end.list_is_stale() and not self.front_end.has_unread_update():
             self.let_in(request, asked, unread)
-        elif len(self.postponed) + len(self.desk.held) >= self.activations:
+        elif len(self.postponed) + len(self.engine.requests) >= self.max_activations:
             self.refuse(request, FULL, asked.ivk)
         else:
             self.postponed.add(request, asked, unread)
@@ -152,59 +155,59 @@
         """Whether something lies unread on the connection of a request that is open."""
         return self.still_open(request) and shows(request.connection.sock, select.POLLIN | select.POLLRDHUP)
 
-    def refuse_late(self, request: Request, asked: requests.Asked) -> None:
+    def refuse_late(self, request: Request, asked: requests.ParsedRequest) -> None:
         self.refuse(request, LATE, asked.ivk)
 
-    def take_postponed(self, request: Request, asked: requests.Asked, unread: int) -> None:
-        """A request that has waited long enough: refused, or the desk's from here on."""
+    def take_postponed(self, request: Request, asked: requests.ParsedRequest, unread: int) -> None:
+        """A request that has waited long enough: refused, or the engine's from here on."""
         try:
             self.let_in(request, asked, unread)
-        except Unfit as problem:
+        except InvalidRequest as problem:
             request.connection.unfit(request, problem)
         except Exception as fault:      # ours; it ends this request alone, and loudly
-            self.note("fault", level="error", **fault_of(fault))
+            self.note("fault", level="error", **exception_fields(fault))
             self.refuse(request, FAULT)
 
-    def let_in(self, request: Request, asked: requests.Asked, unread: int) -> None:
-        """Refused, or the desk's from here on. Raises Unfit."""
-        if asked.ivk in self.desk.held:
-            raise Unfit(409, "a request with this id is open")
+    def let_in(self, request: Request, asked: requests.ParsedRequest, unread: int) -> None:
+        """Refused, or the engine's from here on. Raises InvalidRequest."""
+        if asked.ivk in self.engine.requests:
+            raise InvalidRequest(409, "a request with this id is open")
         call = asked.call._replace(left=asked.call.left - unread)
-        if self.closing or call.left <= 0 or len(self.desk.held) >= self.activations:
+        if self.closing or call.left <= 0 or len(self.engine.requests) >= self.max_activations:
             self.refuse(request, CLOSING if self.closing else LATE if call.left <= 0 else FULL, asked.ivk)
             return
-        request.held = self.desk.take(time.monotonic_ns(), asked.ivk, call, request)
+        request.pending = self.engine.admit(time.monotonic_ns(), asked.ivk, call, request)
 
     def refuse(self, request: Request, reason: str, id_: str = "") -> None:
         """Not taken: nothing ran, so trying again is harmless."""
         now = time.monotonic_ns()
-        self.tally.note(now, reason)
+        self.refusal_counters.record(now, reason)
         if id_:
             self.note("request-refused", reason=reason, id=id_, read_ms=(now - request.began) // MS)
-        request.held = True
+        request.pending = True
         request.respond(self.busy(reason))
 
     def busy(self, reason: str) -> bytes:
-        return requests.busy(reason, int(self.advice * (1 - self.chance() / 2)))
+        return requests.busy(reason, int(self.max_retry_advice * (1 - self.chance() / 2)))
 
-    # The desk's port.
+    # The engine's port.
 
-    def left_unread(self, held: Held) -> bool:
-        connection = held.client.connection
+    def has_unread_disconnect(self, pending: PendingRequest) -> bool:
+        connection = pending.client.connection
         return connection.sock.fileno() < 0 or shows(connection.sock, select.POLLRDHUP)
 
-    def answered(self, held: Held) -> None:
-        answer = held.answer
+    def on_answered(self, pending: PendingRequest) -> None:
+        answer = pending.answer
         assert answer is not None
         if answer.reason != "completed":
-            self.tally.note(held.answered_at, f"{answer.final.value}-{answer.reason}")
-        if answer.reason != "completed" or len(held.sends) > 1:
-            self.note("request-ended", reason=answer.reason, id=held.ivk, type=held.call.type,
-                      answer=answer.final.value, after_ms=(held.answered_at - held.taken) // MS,
-                      left_ms=held.time_left(held.answered_at) // MS, attempts=attempts_of(held))
-        held.client.respond(requests.final(answer))
-
-    def over(self, held: Held) -> None:
+            self.refusal_counters.record(pending.answered_at, f"{answer.final.value}-{answer.reason}")
+        if answer.reason != "completed" or len(pending.sends) > 1:
+            self.note("request-ended", reason=answer.reason, id=pending.id, type=pending.call.type,
+                      answer=answer.final.value, after_ms=(pending.answered_at - pending.admitted_at) // MS,
+                      left_ms=pending.time_left(pending.answered_at) // MS, attempts=attempts_of(pending))
+        pending.client.respond(requests.final(answer))
+
+    def on_finished(self, pending: PendingRequest) -> None:
         """Nothing is kept beyond the handle."""
 
     # Time.
@@ -237,5 +240,5 @@
         self.tell_turned_away(time.monotonic_ns(), all_=True)
 
     def tell_turned_away(self, now: int, all_: bool = False) -> None:
-        for line in self.tally.tell(now, all_):
+        for line in self.refusal_counters.due_reports(now, all_):
             self.note("turned-away", level="warning", **line)
--- a/threadshift/gateway/fleet.py
+++ b/threadshift/gateway/base_front_end.py
@@ -1,4 +1,4 @@
-"""The workers of one front end: who they are, a link to each, the desk's port to them, and the timer's beat.
+"""The workers of one front end: who they are, a link to each, the engine's port to them, and the timer's beat.
 
 Nothing here decides. Links belong to worker ids, never to addresses. A subclass makes links of its own protocol.
 """
@@ -12,12 +12,12 @@
 import gevent
 
 from threadshift.conf.values import Address
-from threadshift.desk.desk import Asked, Desk, Held
+from threadshift.engine.engine import PendingWorkerQuery, PendingRequest, RequestEngine
 from threadshift.interface import MS, SECOND, WorkerListing, Outcome, WorkerState
-from threadshift.invoke.admission import PERIOD, Admission
-from threadshift.invoke.looks import SETTLE, STALL, Looks
+from threadshift.invoke.admission import READING_INTERVAL, Admission
+from threadshift.invoke.poll_monitor import CATCH_UP_TIME, STALL_THRESHOLD, PollMonitor
 from threadshift.log import Log
-from threadshift.roster.membership import Entry, Membership, WorkerList
+from threadshift.discovery.registry import WorkerEntry, WorkerList, WorkerRegistry
 
 
 JOIN_BATCH = 32            # new workers taken in at a time: some ms of work, also on a part of a core
@@ -31,65 +31,65 @@
 
     @property
     def busy(self) -> bool: ...
-    def invoke(self, held: Held, number: int, left: int) -> Outcome | None: ...
-    def cancel(self, held: Held, number: int, tell: bool) -> Outcome: ...
-    def withdraw(self, held: Held, number: int) -> bool: ...
-    def order(self, asked: Asked) -> Outcome | None: ...
-    def ask(self, asked: Asked) -> Outcome | None: ...
+    def invoke(self, pending: PendingRequest, number: int, left: int) -> Outcome | None: ...
+    def cancel(self, pending: PendingRequest, number: int, tell: bool) -> Outcome: ...
+    def withdraw(self, pending: PendingRequest, number: int) -> bool: ...
+    def order_load(self, asked: PendingWorkerQuery) -> Outcome | None: ...
+    def probe(self, asked: PendingWorkerQuery) -> Outcome | None: ...
     def take_back(self) -> None: ...
     def stop(self) -> None: ...
 
 
-class Fleet:
-    """Carries the desk's steps to links, and word of workers to the desk."""
+class BaseFrontEnd:
+    """Carries the engine's steps to links, and word of workers to the engine."""
 
-    desk: Desk
-    looks: Looks
+    engine: RequestEngine
+    poll_monitor: PollMonitor
     admission: Admission
 
-    def __init__(self, membership: Membership, log: Log) -> None:
-        self.log, self.membership = log, membership
+    def __init__(self, registry: WorkerRegistry, log: Log) -> None:
+        self.log, self.registry = log, registry
         self.links: dict[str, Any] = {}
         self.joining: dict[str, None] = {}      # workers listed as ready that are still to be taken in
-        self.settled = 0                 # when it was last seen that the process had stood still
+        self.last_stall_at = 0           # when it was last seen that the process had stood still
         self.stalls = self.longest_stall = 0
-        self.measured = self.looked = 0  # when the lag was read, and workers gone were looked for
-        self.roster_said = 0
+        self.lag_read_at = self.gone_workers_checked_at = 0
+        self.list_applied_at = 0
         self.roster_lost = False         # the feed is lost or the file unreadable: the last list stands
 
-    def link(self, it: Entry) -> AnyLink:
+    def link(self, it: WorkerEntry) -> AnyLink:
         """A new link to a worker."""
         raise NotImplementedError
 
     def note(self, event: str, **fields: Any) -> None:
         self.log.note(event, **fields)
 
-    # The desk's port to workers.
+    # The engine's port to workers.
 
-    def send(self, worker: str, held: Held, number: int) -> Outcome | None:
+    def send(self, worker: str, pending: PendingRequest, number: int) -> Outcome | None:
         link = self.links.get(worker)
-        left = held.time_left(time.monotonic_ns())
+        left = pending.time_left(time.monotonic_ns())
         if left <= 0:
             return Outcome.NEVER_SENT         # the process stood still since this was decided
-        return Outcome.UNREACHABLE if link is None else link.invoke(held, number, left)
+        return Outcome.UNREACHABLE if link is None else link.invoke(pending, number, left)
 
-    def cancel(self, worker: str, held: Held, number: int, tell: bool) -> Outcome:
+    def cancel(self, worker: str, pending: PendingRequest, number: int, tell: bool) -> Outcome:
         link = self.links.get(worker)
-        return Outcome.CANCELLED if link is None else link.cancel(held, number, tell)
+        return Outcome.CANCELLED if link is None else link.cancel(pending, number, tell)
 
-    def withdraw(self, worker: str, held: Held, number: int) -> bool:
+    def withdraw(self, worker: str, pending: PendingRequest, number: int) -> bool:
         link = self.links.get(worker)
-        return link is not None and link.withdraw(held, number)
+        return link is not None and link.withdraw(pending, number)
 
-    def hold(self, worker: str, order: Asked) -> Outcome | None:
+    def order_load(self, worker: str, order: PendingWorkerQuery) -> Outcome | None:
         link = self.links.get(worker)
-        return Outcome.UNREACHABLE if link is None else link.order(order)
+        return Outcome.UNREACHABLE if link is None else link.order_load(order)
 
-    def ask(self, worker: str, question: Asked) -> Outcome | None:
+    def probe(self, worker: str, question: PendingWorkerQuery) -> Outcome | None:
         link = self.links.get(worker)
-        return Outcome.UNREACHABLE if link is None else link.ask(question)
+        return Outcome.UNREACHABLE if link is None else link.probe(question)
 
-    def update_unread(self) -> bool:
+    def has_unread_update(self) -> bool:
         """Whether news of the roster has arrived and is not read yet."""
         return False
 
@@ -98,53 +98,53 @@
 
         The socket itself is asked, however short the stall: no time of ours tells what lies there."""
         for _ in range(READ_ROUNDS):
-            if not self.update_unread():
+            if not self.has_unread_update():
                 return
             gevent.sleep(READ_ROUND / SECOND)
 
-    def settle(self) -> None:
+    def catch_up_after_stall(self) -> None:
         """Called before anything that may lead to a send: an answer, a break, a connection that came up.
 
         After a stall, what workers said themselves and that clients are gone is read first, too: it may lie beside
         what came now. (Found by a hunt: an answer read first brought a load order to a worker long told of as
         draining.) A loop at its limit looks like one that stalled, and loses a fifth of its time by this at most."""
         now = time.monotonic_ns()
-        if self.looks.unread(now) >= min(STALL, max(SETTLE, self.membership.grace // 2)):
-            self.settled = now
-        if now - self.settled < SETTLE:
-            gevent.sleep(SETTLE / SECOND)
+        if self.poll_monitor.unread_time(now) >= min(STALL_THRESHOLD, max(CATCH_UP_TIME, self.registry.grace // 2)):
+            self.last_stall_at = now
+        if now - self.last_stall_at < CATCH_UP_TIME:
+            gevent.sleep(CATCH_UP_TIME / SECOND)
         self.read_updates()
 
-    def beat(self, now: int, late: int) -> int:
+    def on_tick(self, now: int, late: int) -> int:
         """What one tick of the timer brings, whatever the protocols; the time after it, as it may wait a moment."""
-        if late >= STALL:
+        if late >= STALL_THRESHOLD:
             self.stalls += 1
             self.longest_stall = max(self.longest_stall, late)
-            self.note("stalled", level="warning", late_ms=late // MS, owed=self.desk.owed)
+            self.note("stalled", level="warning", late_ms=late // MS, owed=self.engine.owed)
             # Time alone may send again: not before the roster's word that came meanwhile is read.
-            gevent.sleep(SETTLE / SECOND)
+            gevent.sleep(CATCH_UP_TIME / SECOND)
             now = time.monotonic_ns()
-        due = self.desk.due() <= now
-        if due and self.update_unread():
+        due = self.engine.due() <= now
+        if due and self.has_unread_update():
             self.read_updates()
             now = time.monotonic_ns()
-        if now - self.measured >= PERIOD:
-            self.measured = now
-            self.admission.measured(now, late)
+        if now - self.lag_read_at >= READING_INTERVAL:
+            self.lag_read_at = now
+            self.admission.record_lag(now, late)
         if due:
-            self.desk.tick(now)
-        self.change(self.membership.tick(now))
+            self.engine.tick(now)
+        self.change(self.registry.tick(now))
         if self.joining:
             self.join_workers()
-        if now - self.looked >= SECOND:
-            self.looked = now
-            self.let_go_of_workers()
+        if now - self.gone_workers_checked_at >= SECOND:
+            self.gone_workers_checked_at = now
+            self.remove_gone_workers()
             self.log.tick(now)
         return now
 
     # What the roster tells.
 
-    def listed(self, entries: Collection[Entry], full: bool) -> None:
+    def listed(self, entries: Collection[WorkerEntry], full: bool) -> None:
         """News that counts as told as it is read."""
         self.apply_list(WorkerList(list(entries), full), time.monotonic_ns())
 
@@ -154,12 +154,12 @@
 
         New workers beyond a few are taken in by the timer, a batch at a time: each costs its points on the ring, and
         with thousands of them at once requests would wait unread for seconds."""
-        now = self.roster_said = time.monotonic_ns()
+        now = self.list_applied_at = time.monotonic_ns()
         self.roster_lost = False
-        before = self.membership.empty_since
-        listings = self.membership.apply(now, time.time_ns(), workers, told_since)
-        if self.membership.empty_since is not None and before is None:
-            self.note("roster-empty", level="warning", held_ms=self.membership.grace // 2 // MS)
+        before = self.registry.empty_since
+        listings = self.registry.apply(now, time.time_ns(), workers, told_since)
+        if self.registry.empty_since is not None and before is None:
+            self.note("roster-empty", level="warning", held_ms=self.registry.grace // 2 // MS)
         listings = self.postpone_new(listings)
         self.apply_listings(listings)
         for link in self.relink(each for each in workers.entries if each.worker not in self.joining):
@@ -187,11 +187,11 @@
         names = list(islice(self.joining, most))
         for name in names:
             del self.joining[name]
-        joined = [one for name in names if (one := self.membership.known.get(name)) is not None]
-        self.apply_listings([self.membership.listing(one) for one in joined])
+        joined = [one for name in names if (one := self.registry.known.get(name)) is not None]
+        self.apply_listings([self.registry.listing(one) for one in joined])
         self.relink(one.entry for one in joined)
 
-    def relink(self, entries: Iterable[Entry]) -> list[AnyLink]:
+    def relink(self, entries: Iterable[WorkerEntry]) -> list[AnyLink]:
         """A link to each listed worker, at the address that the roster has now; the links that these replace."""
         replaced = []
         for it in entries:
@@ -210,7 +210,7 @@
     def apply_listings(self, listings: list[WorkerListing]) -> None:
         """Hands what changed to the decisions."""
         if listings:
-            self.desk.roster(time.monotonic_ns(), listings, full=False)
+            self.engine.update_workers(time.monotonic_ns(), listings, full=False)
 
     def take_back(self, listings: list[WorkerListing]) -> None:
         """Ends what waits to leave for workers to which nothing more may go."""
@@ -218,11 +218,11 @@
             if each.state is not WorkerState.READY and each.worker in self.links:
                 self.links[each.worker].take_back()
 
-    def let_go_of_workers(self) -> None:
+    def remove_gone_workers(self) -> None:
         """Ends links to workers that are gone, once nothing waits for them."""
-        for name in self.membership.gone:
+        for name in self.registry.gone:
             link = self.links.get(name)
             if link is not None and not link.busy:
                 del self.links[name]
                 link.stop()
-        self.membership.forget(time.monotonic_ns(), self.links)
+        self.registry.forget(time.monotonic_ns(), self.links)
--- a/threadshift/gateway/rolling.py
+++ b/threadshift/gateway/rollout_service.py
@@ -19,11 +19,11 @@
 from threadshift.conf import installation, patch
 from threadshift.conf.peering import Peering
 from threadshift.conf.reading import Mistake, load
-from threadshift.desk.desk import Final, Held
-from threadshift.errors import Cause
-from threadshift.gateway.batching import Front
-from threadshift.gateway.evicting import Evicting
-from threadshift.gateway.versions import Versions
+from threadshift.engine.engine import FinalKind, PendingRequest
+from threadshift.errors import ThreadshiftError
+from threadshift.gateway.batch_service import Front
+from threadshift.gateway.eviction_service import EvictionService
+from threadshift.gateway.version_files import VersionFiles
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.api import Counts
 from threadshift.peers.carrier import Carrier, now
@@ -37,23 +37,23 @@
 ENTER = 5 * SECOND
 CHECK = 20                 # s that the check of a change may take
 DOOR = "(door)"            # the stratum of what is turned away before it is taken: no namespace type is named so
-FINALS = ("rejected-", "aborted-")     # kinds of the tally that are final answers, counted by type
+FINALS = ("rejected-", "aborted-")     # kinds of the refusal counters that are final answers, counted by type
 BACK_PACE = SECOND         # between two front ends on the way back ...
 BACK_VOTER = 4 * SECOND    # ... and after a voter, so that the next one finds it back
 
 
-class BadChange(Cause):
+class BadChange(ThreadshiftError):
     """A change that cannot be rolled out as it was told."""
 
     help = "see docs/operate/rollout.md for what a change may hold"
 
 
-class Rolling:
-    def __init__(self, front: Front, told: Peering, carrier: Carrier, rollouts: Rollouts, evicting: Evicting,
-                 version: str, counts: Counts):
+class RolloutService:
+    def __init__(self, front: Front, told: Peering, carrier: Carrier, rollouts: Rollouts,
+                 eviction_service: EvictionService, version: str, counts: Counts):
         self.front, self.told_peers, self.carrier, self.rollouts = front, told, carrier, rollouts
-        self.evicting, self.version, self.counts = evicting, version, counts
-        self.versions = Versions(told.folder, front.name)
+        self.eviction_service, self.version, self.counts = eviction_service, version, counts
+        self.versions = VersionFiles(told.folder, front.name)
         self.conductor = Conductor(rollouts, told.peers)
         self.due: list[dict[str, Any]] = []
         self.sums: dict[str, list[Any]] = {}
@@ -68,24 +68,24 @@
         told = self.versions.read("installed")
         if not self.version:
             with suppress(OSError):
-                self.versions.put("installed", {"conf": os.path.abspath(self.front.told.file)})
+                self.versions.write("installed", {"conf": os.path.abspath(self.front.told.file)})
             return self.front.told.file
         return str(told.get("conf", self.front.told.file))
 
     # Calls, as they end: passed on to who counted them before.
 
-    def note(self, now: int, held: Held) -> None:
-        self.counts.note(now, held)
-        if held.answer is None:
+    def record(self, now: int, pending: PendingRequest) -> None:
+        self.counts.record(now, pending)
+        if pending.answer is None:
             return
-        sums = self.sums.setdefault(held.call.type, [0, 0, 0, 0, 0, [0] * BUCKETS])
-        took = now - held.taken
+        sums = self.sums.setdefault(pending.call.type, [0, 0, 0, 0, 0, [0] * BUCKETS])
+        took = now - pending.admitted_at
         sums[0] += 1
-        sums[1] += held.answer.final is Final.REJECTED
-        sums[2] += held.answer.final is Final.ABORTED
-        sums[3] += bool(held.answer.error)
-        if held.answer.final is Final.COMPLETED:
-            sums[4] += took > held.act.type_stats.target_latency
+        sums[1] += pending.answer.final is FinalKind.REJECTED
+        sums[2] += pending.answer.final is FinalKind.ABORTED
+        sums[3] += bool(pending.answer.error)
+        if pending.answer.final is FinalKind.COMPLETED:
+            sums[4] += took > pending.activation.type_stats.target_latency
             sums[5][bucket(took)] += 1
 
     # What it tells of itself.
@@ -94,13 +94,14 @@
         it = self.rollouts.under_way
         heard = self.carrier.member.age(now()) is not None
         sums = {type_: [*row[:5], list(row[5])] for type_, row in self.sums.items()}
-        turned = sum(count for kind, count in self.front.api.tally.totals().items() if not kind.startswith(FINALS))
-        sums[DOOR] = [turned + self.front.desk.counts["taken"], turned, 0, 0, 0, [0] * BUCKETS]
-        return {"version": self.version, "life": self.carrier.life, "failed": self.versions.failed(),
+        turned = sum(count for kind, count in self.front.api.refusal_counters.totals().items()
+                     if not kind.startswith(FINALS))
+        sums[DOOR] = [turned + self.front.engine.counts["taken"], turned, 0, 0, 0, [0] * BUCKETS]
+        return {"version": self.version, "life": self.carrier.life, "failed": self.versions.read_failed(),
                 "up": time.monotonic_ns() - self.started if heard else 0,
                 "can": self.can.get(it.id, "?") if it is not None else "",
                 "sums": sums,
-                "loads": self.front.desk.counts["orders"] + self.front.desk.counts["cold"]}
+                "loads": self.front.engine.counts["orders"] + self.front.engine.counts["cold"]}
 
     @staticmethod
     def read(told: dict[str, Any] | None) -> Report | None:
@@ -128,7 +129,7 @@
         try:
             ids = (*self.rollouts.done, it.id)
             self.can[it.id] = self.prepared(ids)[1]
-        except (Cause, OSError) as problem:
+        except (ThreadshiftError, OSError) as problem:
             self.can[it.id] = str(problem)[:300] or type(problem).__name__
         except Mistake as problem:
             self.can[it.id] = str(problem)[:300]
@@ -144,7 +145,7 @@
                 tree = what["tree"]
                 if digest_of(Path(tree)) != what["digest"]:
                     raise BadChange(f"the program is not the one that the rollout names: {what['digest'][:16]}", tree)
-        path = self.versions.conf(version)
+        path = self.versions.configuration_path(version)
         text = patch.text(patch.patched(load(self.installed), changes, self.installed))
         self.versions.disk.put(path, f"# {version or 'as installed'}, made from {self.installed}\n{text}".encode())
         installation.read_text(text, str(path))
@@ -157,20 +158,20 @@
         """Writes down what should run, and wakes the supervisor. On the way back each waits for its turn."""
         gevent.sleep(self.turn() / SECOND)
         wanted = self.rollouts.version_of(self.front.name)
-        if wanted.place != place or wanted.name == self.versions.failed() != "":
+        if wanted.place != place or wanted.name == self.versions.read_failed() != "":
             return                  # the record has moved on; or it failed here, and that is told with each report
         try:
             it, problem = self.prepared(ids)
-        except (Cause, Mistake, OSError) as trouble:
+        except (ThreadshiftError, Mistake, OSError) as trouble:
             it, problem = Wanted(), str(trouble)
         if problem:
             self.front.note("version-not-taken", level="error", version="+".join(ids), problem=problem,
                             help=BadChange.help)
             with suppress(OSError):
-                self.versions.note_failed("+".join(ids))
+                self.versions.write_failed("+".join(ids))
             return
         self.front.note("version-wanted", version=it.version, place=place)
-        self.versions.want(it._replace(place=place))
+        self.versions.write_wanted(it._replace(place=place))
         with suppress(OSError):
             os.kill(os.getppid(), signal.SIGUSR1)
 
@@ -217,7 +218,7 @@
             what["tree"] = os.path.abspath(str(told["tree"]))
             what["digest"] = digest_of(Path(what["tree"]))
         if told.get("eviction"):
-            what["eviction"] = self.evicting.checked(str(told["eviction"]["policy"]), {
+            what["eviction"] = self.eviction_service.checked(str(told["eviction"]["policy"]), {
                 str(name): int(value) for name, value in told["eviction"].get("parameters", {}).items()})
         if not what:
             raise BadChange("it changes nothing: settings, tree or eviction are wanted")
