--- a/threadshift/interface.py
+++ b/threadshift/interface.py
@@ -1,4 +1,4 @@
-"""The plain types and words that callers and the decision module share.
+"""The types that the placement policy shares with its callers.
 
 Nothing here decides. Times are whole nanoseconds; ids are whatever the caller uses for them.
 """
@@ -13,11 +13,11 @@
 
 
 class Effect(Enum):
-    """What running an activation a second time does."""
+    """What happens if an activation runs a second time."""
 
-    REPEATABLE = "repeatable"
-    DEDUPLICATED = "deduplicated"
-    ONCE_ONLY = "once-only"
+    REPEATABLE = "repeatable"        # no harm
+    DEDUPLICATED = "deduplicated"    # workers recognise its mark and drop the repeat, for some time
+    ONCE_ONLY = "once-only"          # harm: it must not be repeated
 
 
 class Outcome(Enum):
@@ -25,27 +25,27 @@
 
     COMPLETED = "completed"
     ERROR = "error"              # the worker answered with an error; it may have run
-    FULL = "full"                # turned away unseen
-    TIMEOUT = "timeout"          # nothing heard in time; it may have run
+    FULL = "full"                # the worker refused it; it never ran
+    TIMEOUT = "timeout"          # no answer in time; it may have run
     UNREACHABLE = "unreachable"  # no connection; it never ran
-    RESET = "reset"              # the connection broke under it; it may have run
-    CANCELLED = "cancelled"      # we gave up waiting; it may have run
-    NEVER_SENT = "moot"                # never left the front end
-    MISS = "miss"                # no copy there, and no load under way that succeeded
+    RESET = "reset"              # the connection broke; it may have run
+    CANCELLED = "cancelled"      # the front end stopped waiting; it may have run
+    NEVER_SENT = "moot"          # it never left the front end
+    MISS = "miss"                # the worker has no copy, and no load under way has succeeded; it never ran
 
 
 class Copy(Enum):
     """What an answer says about the copy that served it."""
 
     UNKNOWN = "untold"
-    FOUND = "found"
-    LOAD_STARTED = "began"
-    WAITED = "waited"
+    FOUND = "found"              # a copy was there
+    LOAD_STARTED = "began"       # a load was started for it
+    WAITED = "waited"            # it waited for a load that was under way
     LOAD_FAILED = "load failed"
 
 
 class WorkerState(Enum):
-    """What the roster says of a worker."""
+    """The state of a worker by the list of workers."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -53,18 +53,18 @@
 
 
 class Action(Enum):
-    """What a front end is asked to carry out."""
+    """What a front end has to carry out."""
 
-    SEND = "send"          # act to worker; not once `amount` ns have passed before it leaves (0: its own time left)
-    CANCEL = "cancel"      # give up waiting for send number `amount` of act
-    REJECT = "reject"      # final answer; the client may come back after `amount` ns (0: no advice)
+    SEND = "send"          # send the activation to the worker if it can leave within `amount` ns (0: within its time)
+    CANCEL = "cancel"      # stop waiting for send number `amount` of the activation
+    REJECT = "reject"      # final answer; the client may retry after `amount` ns (0: no advice)
     ABORT = "abort"        # final answer
-    PROBE = "ask"            # probe worker, for its load report
-    LOAD = "hold"          # load order: `amount` copies of fn at worker
+    PROBE = "ask"          # request a load report from the worker
+    LOAD = "hold"          # order the worker to load `amount` copies of the function
 
 
 class Step(NamedTuple):
-    """One thing to be done now; which fields count depends on `do`."""
+    """One action to be carried out now; the action determines which of the other fields count."""
 
     action: Action
     activation: Any = None
@@ -74,17 +74,17 @@
 
 
 class Report(NamedTuple):
-    """What a worker says of its load, a while ago and roughly; None: not told."""
+    """The load of a worker as it reports it, late and roughly; None: not reported."""
 
     waiting: float | None = None     # activations in its queue
     held: float | None = None        # activations in all
-    busy: float | None = None        # share of its cores
+    busy: float | None = None        # share of its cores at work
     loading: float | None = None     # loads under way or waiting
-    pinned: float | None = None      # share of its memory at work or loading
+    pinned: float | None = None      # share of its memory that is at work or loading
 
 
 class NamespaceType(NamedTuple):
-    """A kind of activation, as read at start."""
+    """A type of activations, as configured."""
 
     name: str
     target_latency: int
@@ -92,12 +92,12 @@
     utility: float
     late_utility: float
     effect: Effect
-    dedup_scope: str = "all"           # who drops repeats of a deduplicated activation: all, zone or cell
-    dedup_window: int = 0         # for how long they remember it
+    dedup_scope: str = "all"     # which workers share their memory of marks: all, or those of a zone or cell
+    dedup_window: int = 0        # how long they remember a mark
 
 
 class Tenant(NamedTuple):
-    """Who shares the fleet, and the rate within its share over all front ends."""
+    """A tenant, with its share of the fleet and the rate of calls within that share over all front ends."""
 
     name: str
     share: float
@@ -105,94 +105,97 @@
 
 
 class Deployment(NamedTuple):
-    """What a front end is told once, when it starts."""
+    """The settings that a front end gets once, when it starts."""
 
     types: tuple[NamespaceType, ...]
     tenants: tuple[Tenant, ...] = ()
     front_ends: int = 1
     zone: str = ""
-    cross_zone_fee: float = 0.0        # price of a send to another zone; 0: none
+    cross_zone_fee: float = 0.0  # price of a send to another zone; 0: none
     tick: int = MS
-    max_sends: int = 1
+    max_sends: int = 1           # for each activation
     may_cancel: bool = False
-    may_duplicate: bool = False
+    may_duplicate: bool = False  # whether an activation may have two open sends
     may_order_loads: bool = False
     may_probe: bool = False
-    max_retry_after: int = 0      # the longest time to come back that clients heed; 0: none may be named
-    loads_on_miss: bool = True
-    idle_keep_alive: int = 0           # an idle copy stays at least this long
-    load_window: int = 0         # load orders: within this window (0: no limit) ...
-    load_free: float = 0.0       # ... at most so many ...
-    load_ratio: float = 0.0      # ... plus this share of the activations taken
+    max_retry_after: int = 0     # the longest advice that clients follow; 0: none may be given
+    loads_on_miss: bool = True   # whether workers without a copy load it for a send
+    idle_keep_alive: int = 0     # an idle copy is kept for at least this time
+    load_window: int = 0         # in each such window (0: no limit) load orders are limited to ...
+    load_free: float = 0.0       # ... this number ...
+    load_ratio: float = 0.0      # ... plus this share of the activations admitted in it
     drain_grace: int = 0
-    cold_share: float = 1.0      # a worker starts with this share of its capacity or more
-    cold_time: int = 0           # and is warm after this at the latest
-    fall_multiple: float = 1.0   # sent more than this multiple of its present capacity ...
-    fall_time: int = SECOND      # ... over this time, a cold worker falls over
+    cold_share: float = 1.0      # share of its capacity that a worker has at least when it starts
+    cold_time: int = 0           # after which it has its full capacity at the latest
+    fall_multiple: float = 1.0   # a cold worker fails if it is sent more than this multiple of its capacity ...
+    fall_time: int = SECOND      # ... over this time
 
 
 class WorkerListing(NamedTuple):
-    """One line of the roster."""
+    """One entry of the list of workers."""
 
     worker: str
     state: WorkerState
     zone: str = ""
     cell: int = 0
-    started_at: int = 0               # when it last started; 0: long past
-    size: float = 1.0            # to be set against other workers' sizes
+    started_at: int = 0          # latest start; 0: long ago
+    size: float = 1.0            # relative to other workers
 
 
 @dataclass(slots=True, eq=False)
 class Send:
-    """One try of an activation on a worker."""
+    """One attempt to run an activation on a worker."""
 
     activation: Activation
-    number: int
+    number: int                  # index among the sends of its activation
     worker: Any
     sent_at: int
-    warm: bool                   # a copy was believed to stand
-    is_open: bool = True             # no outcome yet
+    warm: bool                   # the worker was believed to have a copy
+    is_open: bool = True         # no outcome yet
 
 
 @dataclass(slots=True, eq=False)
 class Activation:
-    """One call taken: the caller's handle to it. All that it is told goes to the dispatcher that made it."""
+    """The caller's handle for an admitted call, which passes all events on to the dispatcher."""
 
     dispatcher: Any
     id: str
     type_stats: Any
     function: Any
     admitted_at: int
-    answer_due: int                     # when its final answer is due
-    cost_hint: int                    # cost hint in ns; 0: none
-    low_priority: bool                  # worth least: a client's repetition, or beyond a share
+    answer_due: int              # when its final answer is due
+    cost_hint: int               # ns; 0: none
+    low_priority: bool           # a client's retry, or beyond its tenant's share
     turn: int                    # of its function's round-robin
-    probe_count: int = 0                # workers asked for a report on its account
-    awaited_worker: Any = None            # the worker whose report it waits for
+    probe_count: int = 0         # workers probed on its account
+    awaited_worker: Any = None   # the worker whose report it waits for
     sends: list[Send] = field(default_factory=list)
     possible_runs: list[Send] = field(default_factory=list)     # sends that may have run
-    open_send_count: int = 0                 # sends without an outcome yet
-    answered: bool = False
-    answer_started: bool = False          # a streamed answer has begun
+    open_send_count: int = 0     # sends without an outcome yet
+    answered: bool = False       # it has its final answer, or its client is gone
+    answer_started: bool = False     # part of a streamed answer has reached the client
 
     @property
     def is_finished(self) -> bool:
-        """Nothing more can come for it."""
+        """Whether nothing more can happen to it."""
         return self.answered and not self.open_send_count
 
     def start(self, now: int) -> list[Step]:
+        """Makes the first decision; to be called once, after admission."""
         return self.dispatcher.collect_steps(self.dispatcher.dispatch, self, now)
 
     def on_send_ended(self, now: int, number: int, outcome: Outcome, waited: int, *, copy: Copy = Copy.UNKNOWN,
-                 final: bool = False, report: Report | None = None) -> list[Step]:
+                      final: bool = False, report: Report | None = None) -> list[Step]:
+        """Handles the end of a send after `waited` ns; `final` means that the client has its answer."""
         send = self.sends[number]
         return self.dispatcher.collect_steps(
             self.dispatcher.on_send_ended, send, now, outcome, waited, copy, final, report)
 
     def on_answer_started(self, now: int, number: int) -> list[Step]:
+        """Notes that a streamed answer has begun, after which no further send is possible."""
         self.answer_started = True
         return []
 
     def on_client_gone(self, now: int) -> list[Step]:
+        """Handles a client that is gone, and wants no answer."""
         return self.dispatcher.collect_steps(self.dispatcher.on_client_gone, self)
-
