--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -60,7 +60,7 @@
         numbers = [it.add(name, name) for name in NAMES]
         for number in numbers[1:]:
             it.remove(number)
-        with mock.patch.object(ring, "TIDIED", 4 * POINTS):
+        with mock.patch.object(ring, "MAX_CHECKED_ENTRIES", 4 * POINTS):
             self.assertTrue(it.drop_removed_entries())
             self.assertGreater(len(it), POINTS)
             while it.drop_removed_entries():
