--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -68,7 +68,7 @@
             self.assertNotIn(home.name, targets, why)
 
     def test_hot_function_spreads_before_and_after_a_reset(self):
-        # every how many calls it is called, workers used on an idle fleet with copies everywhere
+        # one call in how many is of the function, workers it uses on an idle fleet with copies everywhere
         for every, spread in ((30, 1), (12, 2), (4, 3)):
             front = front_end(6)
             targets, now = set(), 0
@@ -85,7 +85,7 @@
     def test_spread_grows_with_the_fleet_and_not_by_chance(self):
         # workers, calls seen, calls of the function among them, workers that it is spread over
         for workers, seen, own, spread in ((6, 5, 2, 1), (12, 400, 15, 1), (12, 400, 60, 3), (70, 40, 1, 1),
-                                          (70, 40, 6, 16), (70, 400, 60, 37)):
+                                           (70, 40, 6, 16), (70, 400, 60, 37)):
             front = front_end(workers, front_ends=3 if workers < 20 else 100)
             for n in range(seen):
                 front.admit(n * MS, str(n), REPEATABLE.value, "f" if n < own else f"other{n}", SECOND)
@@ -136,7 +136,7 @@
     def test_deduplicated_stays_in_scope_and_window(self):
         # zone of the other worker, time of the timeout, whether it is sent again
         for zone, when, sent_again in (("z", SECOND, True), ("y", SECOND, False), ("z", 1990 * MS, True),
-                                  ("z", 1993 * MS, False)):
+                                       ("z", 1993 * MS, False)):
             front = front_end(0)
             front.update_workers(0, [listing("w0", zone="z"), listing("w1", zone=zone)], full=True)
             activation, steps = call(front, effect=DEDUPLICATED)
@@ -247,7 +247,7 @@
                 steps = front.tick(now)
                 if rng.random() < 0.5:
                     activation, more = call(front, str(n), now, f"fn{n % 7}", rng.choice(list(Effect)),
-                                     rng.randrange(1, 2000) * MS)
+                                            rng.randrange(1, 2000) * MS)
                     activations.append((activation, now))
                     steps += more
                 open_sends = [send for activation, _ in activations for send in activation.sends if send.is_open]
@@ -289,8 +289,8 @@
 
     def test_probes_only_where_the_report_could_change_the_choice(self):
         # share of reports that show pressure, copies believed in, whether the store is crowded, own loads under
-        # way, least and largest share of calls that probe. On a calm fleet half of the calls caused a probe whose
-        # answer could only make them wait.
+        # way, least and largest share of calls that probe. Guards against probes on a calm fleet, one for two
+        # calls, whose answers could only lead to rejections.
         for pressure_share, copies, crowded, loads, least, most in (
                 (0.5, 2, False, 0, 1.0, 1.0), (0.5, 1, False, 0, 1.0, 1.0), (0.5, 2, True, 0, 1.0, 1.0),
                 (0.5, 1, True, 0, 0.0, 0.0), (0.5, 0, True, 0, 0.0, 0.0), (0.0, 2, False, 0, 0.0, 0.0),
@@ -330,10 +330,10 @@
     def test_own_zone_first_where_sends_to_others_cost_a_fee(self):
         # front ends, fee, own zone, zones of the workers used, all of which have a copy and are idle
         for front_ends, fee, zone, zones_used in ((100, 0.03, "a", {"a"}), (100, 0.0, "a", {"a", "b"}),
-                                          (3, 0.03, "a", {"a", "b"}), (100, 0.03, "c", {"a", "b"})):
+                                                  (3, 0.03, "a", {"a", "b"}), (100, 0.03, "c", {"a", "b"})):
             front = front_end(6, front_ends=front_ends, cross_zone_fee=fee, zone=zone)
             front.update_workers(0, [listing(f"w{n}", zone="ab"[n % 2]) for n in range(6)], full=True)
-            front.update_spread = lambda fn, kind, now: setattr(fn, "spread", 6)
+            front.update_spread = lambda fn, type_stats, now: setattr(fn, "spread", 6)
             for worker in front.ready_workers:
                 worker.warm_until["f"] = 9 * SECOND
             targets = [serve(front, now=n * MS) for n in range(60)]
@@ -356,13 +356,13 @@
     def test_probes_first_and_skips_workers_under_pressure(self):
         # report of the home, None if there is none in time; whether home is chosen, and not the other copy
         for report, home_chosen in ((Report(waiting=0.0), True), (Report(waiting=9.0), False), (None, False),
-                              (Report(waiting=9.0, loading=9.0), True), (Report(held=9.0), False),
-                              (Report(held=2.0), True), (Report(held=5.0), False),
+                                    (Report(waiting=9.0, loading=9.0), True), (Report(held=9.0), False),
+                                    (Report(held=2.0), True), (Report(held=5.0), False),
                               # Activations wait for one load and cores are free, so a copy there can serve.
-                              (Report(waiting=9.0, held=9.0, loading=1.0, busy=0.5), True),
-                              (Report(waiting=9.0, held=9.0, loading=1.0, busy=1.0), False),
-                              (Report(held=1.0), True), (Report(waiting=0.0, pinned=0.9), False),
-                              (Report(waiting=0.0, pinned=0.1), True)):
+                                    (Report(waiting=9.0, held=9.0, loading=1.0, busy=0.5), True),
+                                    (Report(waiting=9.0, held=9.0, loading=1.0, busy=1.0), False),
+                                    (Report(held=1.0), True), (Report(waiting=0.0, pinned=0.9), False),
+                                    (Report(waiting=0.0, pinned=0.1), True)):
             front = self.front_end()
             activation, steps = call(front, "a", SECOND, "f")
             probed = [step.worker for step in steps if step.action is Action.PROBE]
@@ -714,8 +714,9 @@
         activation, steps = call(front)
         busy = sent_to(steps)[0]
         for n in range(100):
-            front.update_workers(n, [listing(busy, WorkerState.GONE), listing(f"n{n}"),
-                          *([listing(f"n{n - 1}", WorkerState.GONE)] if n else [])], full=False)
+            front.update_workers(
+                n, [listing(busy, WorkerState.GONE), listing(f"n{n}"),
+                    *([listing(f"n{n - 1}", WorkerState.GONE)] if n else [])], full=False)
         self.assertIn(busy, front.workers)
         activation.on_send_ended(SECOND, 0, Outcome.RESET, SECOND)
         self.assertLess(len(front.workers), 60)
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -1,4 +1,4 @@
-"""The ramp: what all front ends together send a worker that has just started, against what it may be sent."""
+"""What all front ends together send to a worker that has just started, against what it may be sent."""
 import heapq
 import math
 import random
@@ -8,26 +8,36 @@
 
 from tests.helpers import deployment, listing
 from threadshift.choice import Dispatcher
-from threadshift.interface import MS, SECOND, Copy, Action, Effect, NamespaceType, Outcome
+from threadshift.interface import MS, SECOND, Action, Copy, Effect, NamespaceType, Outcome
 
-CORES, ANSWER, LOAD = 2, 100, 700           # of a worker; ms of a call, ms of a load
-SHARE, COLD, MULTIPLE, WINDOW = 0.2, 12, 2.0, 1     # of capacity at a start; s until warm; the rule
+CORES = 2                  # of a worker
+ANSWER_MS = 100            # time of a call at a worker with a copy
+LOAD_MS = 700              # time of a load
+COLD_SHARE = 0.2           # of its capacity, which a worker has when it starts
+COLD_S = 12                # until a worker has its full capacity
+FALL_MULTIPLE = 2.0        # a cold worker must not be sent more than this multiple of its capacity ...
+FALL_S = 1                 # ... over this time
 
 
 class Fleet:
-    """Front ends of unequal traffic over workers that answer all alike; `cold` of these start anew at a time."""
+    """Front ends with unequal traffic, and equal workers of which `cold` restart at one time.
 
-    def __init__(self, front_ends, seed, told=0, kinds=((0.76, 94), (0.24, 38)), workers=20, cold=8, at=2.0,
+    `configured` is the number of front ends in their settings, if it differs; `types` has pairs of a share of calls
+    and their work in ms; `at` and `until` are seconds from the start, `quiet` seconds without calls, `busy` the share
+    of the capacity in use, and `late` the ns by which one front end in four learns of the restart later."""
+
+    def __init__(self, front_ends, seed, configured=0, types=((0.76, 94), (0.24, 38)), workers=20, cold=8, at=2.0,
                  quiet=0.0, busy=0.45, until=4.5, late=0, restarted=False):
-        self.chance, self.kinds = random.Random(seed), kinds
-        self.mean = sum(part * work for part, work in kinds)
-        self.capacity = CORES * 1000 / self.mean
+        self.rng, self.types = random.Random(seed), types
+        self.mean_work = sum(share * work for share, work in types)
+        self.capacity = CORES * 1000 / self.mean_work
         self.rate, self.quiet, self.until = self.capacity * workers * busy, quiet, until
-        types = tuple(NamespaceType(f"k{n}", 600 * MS, 2500 * MS, 1.0, 0.3, Effect.REPEATABLE)
-                      for n in range(len(kinds)))
-        settings = deployment(types=types, front_ends=told or front_ends, may_probe=True, load_window=5 * SECOND,
-                              load_free=6, load_ratio=0.2, cold_share=SHARE, cold_time=COLD * SECOND,
-                              fall_multiple=MULTIPLE, fall_time=WINDOW * SECOND)
+        namespace_types = tuple(NamespaceType(f"k{n}", 600 * MS, 2500 * MS, 1.0, 0.3, Effect.REPEATABLE)
+                                for n in range(len(types)))
+        settings = deployment(
+            types=namespace_types, front_ends=configured or front_ends, may_probe=True, load_window=5 * SECOND,
+            load_free=6, load_ratio=0.2, cold_share=COLD_SHARE, cold_time=COLD_S * SECOND,
+            fall_multiple=FALL_MULTIPLE, fall_time=FALL_S * SECOND)
         self.names = [f"w{n}" for n in range(workers)]
         self.begin = 1000 * SECOND
         self.starts = dict.fromkeys(self.names[:cold], self.begin + int(at * SECOND))
@@ -36,112 +46,118 @@
         for each in self.fronts:
             each.update_workers(self.begin, [listing(name) for name in self.names], True)
         self.shares = [1 / (1 + n % 20) for n in range(front_ends)]
-        self.popular = [1 / (3 + n) ** 1.25 for n in range(60)]
-        self.type_of = self.chance.choices(range(len(kinds)), [part for part, _ in kinds], k=60)
-        self.heap, self.serial = [], count().__next__
+        self.popularities = [1 / (3 + n) ** 1.25 for n in range(60)]
+        self.type_of = self.rng.choices(range(len(types)), [share for share, _ in types], k=60)
+        self.events, self.next_serial = [], count().__next__
         self.sent = {name: [] for name in self.names}
         self.copies = {name: set() for name in self.names}
 
     def front_end(self, now):
-        return Dispatcher(self.chance.getrandbits(60), self.settings, now)
+        return Dispatcher(self.rng.getrandbits(60), self.settings, now)
 
-    def at(self, when, act, *words):
-        heapq.heappush(self.heap, (when, self.serial(), act, words))
+    def schedule(self, when, handler, *arguments):
+        heapq.heappush(self.events, (when, self.next_serial(), handler, arguments))
 
-    def play(self):
-        self.at(self.begin, self.call)
-        self.at(next(iter(self.starts.values())), self.start)
-        while self.heap and self.heap[0][0] <= self.begin + self.until * SECOND:
-            now, _, act, words = heapq.heappop(self.heap)
-            act(now, *words)
+    def run(self):
+        self.schedule(self.begin, self.call)
+        self.schedule(next(iter(self.starts.values())), self.restart_workers)
+        while self.events and self.events[0][0] <= self.begin + self.until * SECOND:
+            now, _, handler, arguments = heapq.heappop(self.events)
+            handler(now, *arguments)
         return self
 
-    def start(self, now):
+    def restart_workers(self, now):
         for name in self.starts:
             self.copies[name] = set()
-        if self.restarted:      # all front ends, too: they know nothing but the list
+        if self.restarted:      # All front ends restart too, and know only the list of workers.
             self.fronts = [self.front_end(now) for _ in self.fronts]
             for front in self.fronts:
                 front.update_workers(now, [listing(name) for name in self.names], True)
         for number, front in enumerate(self.fronts):
-            self.at(now + (self.late if number % 4 == 3 else 0), self.hear, front, now)
+            self.schedule(now + (self.late if number % 4 == 3 else 0), self.announce_restart, front, now)
 
-    def hear(self, now, front, since):
-        """A front end hears that the workers have started: one in four late, where any is."""
-        self.carry(
-            front, front.update_workers(now, [listing(name, started_at=since) for name in self.starts], False), now)
+    def announce_restart(self, now, front, started_at):
+        """Tells a front end that the workers have started."""
+        self.execute(
+            front, front.update_workers(now, [listing(name, started_at=started_at) for name in self.starts], False),
+            now)
 
     def call(self, now):
-        self.at(now + int(self.chance.expovariate(self.rate) * SECOND), self.call)
+        self.schedule(now + int(self.rng.expovariate(self.rate) * SECOND), self.call)
         if now - self.begin < self.quiet * SECOND:
             return
-        front = self.chance.choices(self.fronts, self.shares)[0]
-        fn = self.chance.choices(range(60), self.popular)[0]
-        kind = self.type_of[fn]
-        work = int(self.kinds[kind][1] * MS * self.chance.uniform(0.5, 1.6))
-        act = front.admit(now, f"a{self.serial()}", f"k{kind}", f"f{fn}", 2500 * MS, cost_hint=work, lanes=2)
-        self.carry(front, act.start(now), now)
-
-    def carry(self, front, steps, now):
+        front = self.rng.choices(self.fronts, self.shares)[0]
+        number = self.rng.choices(range(60), self.popularities)[0]
+        type_ = self.type_of[number]
+        work = int(self.types[type_][1] * MS * self.rng.uniform(0.5, 1.6))
+        activation = front.admit(
+            now, f"a{self.next_serial()}", f"k{type_}", f"f{number}", 2500 * MS, cost_hint=work, lanes=2)
+        self.execute(front, activation.start(now), now)
+
+    def execute(self, front, steps, now):
         for step in steps:
             if step.action is Action.SEND:
-                send, fn = step.activation.sends[-1], step.activation.function.name
-                self.sent[step.worker].append((now, self.kinds[self.type_of[int(fn[1:])]][1] / self.mean))
-                loads = fn not in self.copies[step.worker]
-                self.copies[step.worker].add(fn)
-                self.at(now + (ANSWER + LOAD * loads) * MS, self.answered, front, step.activation, send.number, loads)
+                send, function = step.activation.sends[-1], step.activation.function.name
+                self.sent[step.worker].append((now, self.types[self.type_of[int(function[1:])]][1] / self.mean_work))
+                loads = function not in self.copies[step.worker]
+                self.copies[step.worker].add(function)
+                self.schedule(now + (ANSWER_MS + LOAD_MS * loads) * MS, self.answer_send,
+                              front, step.activation, send.number, loads)
             elif step.action is Action.LOAD:
                 self.copies[step.worker].add(step.function)
-                self.at(now + LOAD * MS, self.held, front, step.worker, step.function)
+                self.schedule(now + LOAD_MS * MS, self.answer_load, front, step.worker, step.function)
             elif step.action is Action.PROBE:
-                self.at(now + 2 * MS, self.told, front, step.worker)
+                self.schedule(now + 2 * MS, self.answer_probe, front, step.worker)
+
+    def answer_send(self, now, front, activation, number, loads):
+        self.execute(front, activation.on_send_ended(
+            now, number, Outcome.COMPLETED, ANSWER_MS * MS,
+            copy=Copy.LOAD_STARTED if loads else Copy.FOUND, final=True), now)
 
-    def answered(self, now, front, act, number, loads):
-        self.carry(front, act.on_send_ended(now, number, Outcome.COMPLETED, ANSWER * MS,
-                                       copy=Copy.LOAD_STARTED if loads else Copy.FOUND, final=True), now)
+    def answer_load(self, now, front, worker, function):
+        self.execute(front, front.on_load_ended(now, worker, function, Outcome.COMPLETED, 1), now)
 
-    def held(self, now, front, worker, fn):
-        self.carry(front, front.on_load_ended(now, worker, fn, Outcome.COMPLETED, 1), now)
+    def answer_probe(self, now, front, worker):
+        self.execute(front, front.on_report(now, worker, Outcome.COMPLETED, None), now)
 
-    def told(self, now, front, worker):
-        self.carry(front, front.on_report(now, worker, Outcome.COMPLETED, None), now)
+    def worst_share(self):
+        """The most work sent to a started worker within FALL_S, as a share of what it may be sent.
 
-    def nearest(self):
-        """The largest share, over all windows of all started workers, of what may be sent: N + 2 x root of N + 2."""
+        That is N + 2 * sqrt(N) + 2 calls of mean work, where N is its budget."""
         worst = 0.0
         for name, start in self.starts.items():
             sent = [each for each in self.sent[name] if each[0] >= start]
             first, work = 0, 0.0
-            for now, weight in sent:
-                work += weight
-                while sent[first][0] <= now - WINDOW * SECOND:
+            for now, cost in sent:
+                work += cost
+                while sent[first][0] <= now - FALL_S * SECOND:
                     work -= sent[first][1]
                     first += 1
-                able = SHARE + (1 - SHARE) * min(1.0, (sent[first][0] - start) / SECOND / COLD)
-                budget = MULTIPLE * able * self.capacity * WINDOW
+                capacity = COLD_SHARE + (1 - COLD_SHARE) * min(1.0, (sent[first][0] - start) / SECOND / COLD_S)
+                budget = FALL_MULTIPLE * capacity * self.capacity * FALL_S
                 worst = max(worst, work / (budget + 2 * math.sqrt(budget) + 2))
         return worst
 
 
-class Ramp(unittest.TestCase):
-    def test_the_sum_over_front_ends_stays_under_what_a_started_worker_may_be_sent(self):
-        apart = ((0.5, 190), (0.5, 20))         # types whose work differs by far
+class ColdWorkers(unittest.TestCase):
+    def test_all_front_ends_together_send_a_started_worker_no_more_than_its_budget(self):
+        unequal = ((0.5, 190), (0.5, 20))       # types whose work differs by far
         for front_ends in (1, 3, 20, 30, 200):
-            for facts in ({}, {"cold": 20, "at": 0.0}, {"kinds": apart, "cold": 20, "at": 0.0},
-                          {"quiet": 2.0, "at": 0.5}, {"busy": 0.9, "cold": 14}, {"late": 300 * MS},
-                          {"restarted": True}, {"restarted": True, "cold": 20, "late": 300 * MS, "busy": 0.9}):
-                fleet = Fleet(front_ends, seed=front_ends, **facts).play()
-                self.assertLess(fleet.nearest(), 1.0, (front_ends, facts))
+            for options in ({}, {"cold": 20, "at": 0.0}, {"types": unequal, "cold": 20, "at": 0.0},
+                            {"quiet": 2.0, "at": 0.5}, {"busy": 0.9, "cold": 14}, {"late": 300 * MS},
+                            {"restarted": True}, {"restarted": True, "cold": 20, "late": 300 * MS, "busy": 0.9}):
+                fleet = Fleet(front_ends, seed=front_ends, **options).run()
+                self.assertLess(fleet.worst_share(), 1.0, (front_ends, options))
                 self.assertGreater(sum(at >= start for name, start in fleet.starts.items()
-                                       for at, _ in fleet.sent[name]), 0, (front_ends, facts))
+                                       for at, _ in fleet.sent[name]), 0, (front_ends, options))
 
-    def test_fewer_than_told_are_no_worse(self):
-        for live, told in ((3, 20), (20, 30), (60, 200)):
-            self.assertLess(Fleet(live, 7, told, cold=20, at=0.0).play().nearest(), 1.0)
+    def test_fewer_front_ends_than_configured_are_no_worse(self):
+        for live, configured in ((3, 20), (20, 30), (60, 200)):
+            self.assertLess(Fleet(live, 7, configured, cold=20, at=0.0).run().worst_share(), 1.0)
 
-    def test_without_the_shares_a_worker_falls(self):
+    def test_without_cold_budgets_a_worker_is_overloaded(self):
         with mock.patch.object(Dispatcher, "has_cold_capacity", lambda *_: True):
-            self.assertGreater(Fleet(30, 7, cold=8, at=2.0, busy=0.9).play().nearest(), 1.0)
+            self.assertGreater(Fleet(30, 7, cold=8, at=2.0, busy=0.9).run().worst_share(), 1.0)
 
 
 if __name__ == "__main__":
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -455,8 +455,9 @@
         relative_cost = max(
             1.0, self.expected_latency(activation) / activation.type_stats.typical_latency) / (
             LOW_PRIORITY_LIMIT if activation.low_priority else 1.0)
-        untried = (worker for worker in chain(
-            near[first_near:], near[:first_near], far[first_far:], far[:first_far], ready[function.spread:])
+        untried = (
+            worker for worker in chain(
+                near[first_near:], near[:first_near], far[first_far:], far[:first_far], ready[function.spread:])
             if worker not in tried)
         eligible = (worker for worker in chain(untried, tried)
                     if worker.ready and self.is_eligible(worker, activation, now))
