--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -1,4 +1,4 @@
-"""The consistent-hash ring against a plain one, over drawn changes."""
+"""The consistent-hash ring, compared with a plain one over random changes."""
 import bisect
 import hashlib
 import unittest
@@ -20,9 +20,9 @@
 
 
 def round_of(it, point):
-    """All workers from this point around, as often as they come; some again where entries were dropped meanwhile."""
+    """All workers clockwise from a point, once for each entry; some again if entries are dropped on the way."""
     cursor, found, passed = it.after(point), [], 0
-    while passed < len(it):     # it shrinks as sections with removed workers are put in order
+    while passed < len(it):     # it shrinks as sections with removed workers are sorted
         worker, cursor = it.next(cursor)
         passed += 1
         if worker is not None:
@@ -32,12 +32,12 @@
 
 class Ring(unittest.TestCase):
 
-    def test_points_are_those_of_the_design(self):
+    def test_points_are_those_of_the_digests(self):
         self.assertEqual(list(points_of("s-1")), plain_points("s-1"))
 
     @settings(max_examples=40, deadline=None)
     @given(CHANGES, st.lists(st.text(max_size=4), min_size=1, max_size=4))
-    def test_walks_are_those_of_a_plain_ring(self, changes, functions):
+    def test_clockwise_orders_are_those_of_a_plain_ring(self, changes, functions):
         it, numbers = HashRing(), {}
         for change, name in changes:
             if change == "add" and name not in numbers:
@@ -68,7 +68,7 @@
         self.assertEqual(len(it), POINTS)
         self.assertEqual(sum(map(len, it.sections)), POINTS)
 
-    def test_it_is_full_before_numbers_run_out_of_bits(self):
+    def test_the_ring_is_full_before_numbers_run_out_of_bits(self):
         it = HashRing()
         it.workers = [None] * ring.NUMBER_MASK
         self.assertFalse(it.is_full)
--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -37,8 +37,8 @@
 SKETCH_MIN_CALLS = 100           # ... and this many calls
 SKETCH_PRIOR = 50                # calls added to the total: among few calls, a function looks hot by chance
 HOT_SHARE = 0.05                 # of recent calls, for a second worker; twice this share earns a third
-MIN_LOAD_PER_CANDIDATE = 0.25    # share of a worker's mean load that a function brings to each candidate ...
-LOAD_PER_CANDIDATE = 2.0         # ... or this, divided by the number of front ends, if that is more
+MIN_LOAD_PER_PRIMARY = 0.25      # share of a worker's mean load that a function brings to each primary ...
+LOAD_PER_PRIMARY = 2.0           # ... or this, divided by the number of front ends, if that is more
 KEEP_WARM_CALLS = 3.0            # calls by other front ends in a keep-alive time that are assumed to keep one
 
 # Load reports and probes.
@@ -84,7 +84,7 @@
 # Workers that have just started.
 COLD_BUDGET_SHARE = 0.5          # share of the stated cold budget that is earned per `fall_time` ...
 COLD_BURST_SHARE = 0.2           # ... and that can be saved up; the rest is a margin for chance
-COMPLETION_WINDOW = 10 * SECOND  # memory of the rate of completed work
+COMPLETION_WINDOW = 10 * SECOND  # time over which completed work is counted
 
 # Tenants' shares.
 SHARE_SKEW = 1.2                 # a front end's part of a tenant's share, relative to an equal split
@@ -102,7 +102,7 @@
 
 # Memory and advice.
 MAX_FUNCTIONS = 20_000           # functions remembered
-MIN_GONE_WORKERS = 16            # workers that are gone and remembered, or as many as are ready
+MIN_GONE_WORKERS = 16            # gone workers remembered, or as many as are ready if that is more
 RETRY_AFTER_JITTER = 0.5         # random share of the advice; clients told the same would return at once
 
 NEVER_RAN = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NEVER_SENT, Outcome.MISS)
@@ -124,7 +124,7 @@
             2 * deployment.tick, deployment.front_ends, deployment.idle_keep_alive)
         self.max_sends, self.may_cancel, self.may_duplicate = (
             deployment.max_sends, deployment.may_cancel, deployment.may_duplicate)
-        # Each front end's cap is at least one, so with many front ends the caps together bound no load.
+        # With many front ends, their caps of more than one each exceed what a worker bears and bound no load.
         self.has_many_front_ends = deployment.front_ends * (1 + EPSILON) > INITIAL_IN_FLIGHT_LIMIT
         # Workers of the own zone are preferred where a send to another zone costs a fee.
         self.preferred_zone = (
@@ -249,21 +249,21 @@
 
         The order is computed only as far as it is consumed, and is remembered with the function."""
         if function.ring_version != self.ring_version:
-            function.candidates, function.ring_version = {}, self.ring_version
+            function.clockwise_order, function.ring_version = {}, self.ring_version
             function.cursor = self.ring.after(function.ring_point)
-        yield from [worker for worker in function.candidates if worker.ready]
+        yield from [worker for worker in function.clockwise_order if worker.ready]
         # Ends once all members were found: most of the points that are left belong to workers seen before.
-        while len(function.candidates) < self.ring.members:
+        while len(function.clockwise_order) < self.ring.members:
             worker, function.cursor = self.ring.next(function.cursor)
-            if worker is not None and worker not in function.candidates:
-                function.candidates[worker] = None
+            if worker is not None and worker not in function.clockwise_order:
+                function.clockwise_order[worker] = None
                 if worker.ready:
                     yield worker
 
     def admit(self, now: int, activation_id: str, type_name: str, function_name: str, time_left: int, *,
               tenant: str = "", cost_hint: int = 0, lanes: int = 1, load_time: int = 0,
               is_client_retry: bool = False) -> Activation:
-        """Admits an activation, which must be answered within `time_left`, and returns its handle."""
+        """Admits an activation, which must be answered within `time_left` ns, and returns its handle."""
         function = self.functions.pop(function_name, None)
         if function is None:
             ring_point, sketch_number = pair_of_points(function_name)
@@ -315,18 +315,18 @@
         return used_until > now
 
     def update_spread(self, function: Function, type_stats: TypeStats, now: int) -> None:
-        """Sets how many ring candidates the function is spread over.
+        """Sets how many ring candidates, its primaries, the function is spread over.
 
         A hot function has two or three, or more in line with its part of the fleet's work. The more front
         ends there are, the thinner it is spread: otherwise all of them would send to the same three of a
-        hundred workers. Where this front end rarely sends to a candidate, the calls of the others are assumed
+        hundred workers. Where this front end rarely sends to a primary, the calls of the others are assumed
         to keep a copy there, as every front end computes the same ring."""
         calls = self.previous_sketch.estimate(function.sketch_cells) + self.sketch.estimate(
             function.sketch_cells)
         share = (calls - 1) / (self.previous_sketch.total + self.sketch.total + SKETCH_PRIOR)
         load = share * len(self.ready_workers) * type_stats.mean_cost / self.mean_cost
         function.spread = max(1 + (share > HOT_SHARE) + (share > 2 * HOT_SHARE),
-                              round(load / max(MIN_LOAD_PER_CANDIDATE, LOAD_PER_CANDIDATE / self.front_ends)))
+                              round(load / max(MIN_LOAD_PER_PRIMARY, LOAD_PER_PRIMARY / self.front_ends)))
         own_calls = calls * self.idle_keep_alive / max(
             self.idle_keep_alive, now - self.previous_sketch.started_at, 1) / function.spread
         function.kept_warm_by_others = own_calls <= 1 and own_calls * (self.front_ends - 1) >= KEEP_WARM_CALLS
@@ -457,7 +457,8 @@
             LOW_PRIORITY_LIMIT if activation.low_priority else 1.0)
         untried = (
             worker for worker in chain(
-                near[first_near:], near[:first_near], far[first_far:], far[:first_far], ready[function.spread:])
+                near[first_near:], near[:first_near], far[first_far:], far[:first_far],
+                ready[function.spread:])
             if worker not in tried)
         eligible = (worker for worker in chain(untried, tried)
                     if worker.ready and self.is_eligible(worker, activation, now))
@@ -653,8 +654,8 @@
     def on_client_gone(self, activation: Activation) -> None:
         """Handles a client that is gone.
 
-        Its activation no longer counts towards load orders: hundreds withdrawn at once would raise the
-        ration."""
+        Its activation no longer counts towards load orders: hundreds withdrawn at once would raise the number
+        that may be ordered."""
         if not activation.answered and activation.admitted_at in self.recent_admissions:
             self.recent_admissions.remove(activation.admitted_at)
         self.finish(activation, None)
--- a/threadshift/state.py
+++ b/threadshift/state.py
@@ -38,13 +38,13 @@
     load_time: int               # usual time of a load as configured; 0: unknown
     ring_point: int              # where its clockwise order begins
     sketch_cells: list[int]      # its cell in each row of the sketch
-    candidates: dict[Worker, None] = field(default_factory=dict)    # clockwise workers, as far as computed
-    ring_version: int = -1       # the version of the ring that candidates and cursor belong to
-    cursor: Cursor = Cursor(0, 0)    # where on the ring the candidates end
+    clockwise_order: dict[Worker, None] = field(default_factory=dict)   # of workers, as far as computed
+    ring_version: int = -1       # the version of the ring that this order belongs to
+    cursor: Cursor = Cursor(0, 0)    # where on the ring this order ends
     turn: int = 0                # of the round-robin over its workers
     last_completed_at: int = 0   # at any worker
     next_order_at: int = 0       # no load is ordered before
-    spread: int = 1              # number of candidates that its calls are spread over
+    spread: int = 1              # number of ring candidates that its calls are spread over
     primaries: dict[Worker, None] = field(default_factory=dict)     # these candidates, home first
     kept_warm_by_others: bool = False    # calls of other front ends are assumed to keep copies there
     parked: deque[Activation] = field(default_factory=deque)    # activations that wait for a load or a lane
