--- a/threadshift/choice.py
+++ b/threadshift/choice.py
@@ -103,7 +103,7 @@
 # Memory and advice.
 MAX_FUNCTIONS = 20_000           # functions remembered
 MIN_GONE_WORKERS = 16            # gone workers remembered, or as many as are ready if that is more
-RETRY_AFTER_JITTER = 0.5         # random share of the advice; clients told the same would return at once
+RETRY_AFTER_JITTER = 0.5         # random share of the advice; without it rejected clients return at once
 
 NEVER_RAN = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NEVER_SENT, Outcome.MISS)
 FAILED = (Outcome.UNREACHABLE, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR)
@@ -124,7 +124,7 @@
             2 * deployment.tick, deployment.front_ends, deployment.idle_keep_alive)
         self.max_sends, self.may_cancel, self.may_duplicate = (
             deployment.max_sends, deployment.may_cancel, deployment.may_duplicate)
-        # With many front ends, their caps of more than one each exceed what a worker bears and bound no load.
+        # With many front ends, their caps, each above one, add up to more than a worker can process.
         self.has_many_front_ends = deployment.front_ends * (1 + EPSILON) > INITIAL_IN_FLIGHT_LIMIT
         # Workers of the own zone are preferred where a send to another zone costs a fee.
         self.preferred_zone = (
