--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -28,8 +28,8 @@
         self.log.append(("send", self.engine.now, pending.id, worker, pending.is_settled))
         return self.at_once.pop(0) if self.at_once else None
 
-    def cancel(self, worker, pending, number, tell):
-        self.log.append(("cancel", self.engine.now, pending.id, worker, tell))
+    def cancel(self, worker, pending, number, notify_worker):
+        self.log.append(("cancel", self.engine.now, pending.id, worker, notify_worker))
         return Outcome.NEVER_SENT if self.moot else Outcome.CANCELLED
 
     def withdraw(self, worker, pending, number):
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -272,10 +272,10 @@
             else:
                 key[0].on_send_ended(self.clock.now, key[1], Outcome.RESET)
 
-    def cancel(self, worker: str, pending: PendingRequest, number: int, tell: bool) -> Outcome:
+    def cancel(self, worker: str, pending: PendingRequest, number: int, notify_worker: bool) -> Outcome:
         self.out.get(worker, {}).pop((pending, number), None)
         it = self.link(worker)
-        if tell and it is not None:
+        if notify_worker and it is not None:
             self.network.forth(self, it, it.cancel, self.name, pending.call.mark.split(" ")[0])
         return Outcome.CANCELLED
 
--- a/threadshift/engine/engine.py
+++ b/threadshift/engine/engine.py
@@ -64,7 +64,7 @@
     """One send as it left: where to, when, and how it ended."""
 
     worker: str
-    at: int
+    sent_at: int
     outcome: Outcome | None = None
     copy: Copy = Copy.UNKNOWN
     waited: int = 0
@@ -128,7 +128,7 @@
     """What carries steps to workers. An outcome handed back at once means that nothing will follow."""
 
     def send(self, worker: str, pending: PendingRequest, number: int) -> Outcome | None: ...
-    def cancel(self, worker: str, pending: PendingRequest, number: int, tell: bool) -> Outcome: ...
+    def cancel(self, worker: str, pending: PendingRequest, number: int, notify_worker: bool) -> Outcome: ...
     # True where it never left, and will not
     def withdraw(self, worker: str, pending: PendingRequest, number: int) -> bool: ...
     def order_load(self, worker: str, order: PendingWorkerQuery) -> Outcome | None: ...
@@ -220,7 +220,7 @@
             self.counts["late"] += 1
             return
         sent.outcome, sent.copy = outcome, copy
-        sent.waited = now - sent.at if waited is None else min(waited, now - sent.at)
+        sent.waited = now - sent.sent_at if waited is None else min(waited, now - sent.sent_at)
         self.counts[outcome.value] += 1
         final = outcome is Outcome.COMPLETED and not pending.is_settled and now <= pending.deadline
         if final:
@@ -276,7 +276,7 @@
             elif step.amount:
                 heapq.heappush(self.times, (now + step.amount, self.serial(), SendDeadline(pending, number)))
         elif step.action is Action.CANCEL and pending:
-            self.cancel_send(pending, now, step.amount, tell=True)
+            self.cancel_send(pending, now, step.amount, notify_worker=True)
         elif step.action in (Action.REJECT, Action.ABORT) and pending:
             if not pending.is_settled:
                 self.finish(pending, now, refusal(pending, step, now))
@@ -294,13 +294,13 @@
         if outcome is not None:
             self.on_query_answered(asked, now, outcome, 0, None)
 
-    def cancel_send(self, pending: PendingRequest, now: int, number: int, tell: bool) -> None:
+    def cancel_send(self, pending: PendingRequest, now: int, number: int, notify_worker: bool) -> None:
         """Ends a send that has no outcome; one still in our own buffer never ran."""
         sent = pending.sends[number]
         if sent.outcome is None:
-            outcome = self.workers.cancel(sent.worker, pending, number, tell)
+            outcome = self.workers.cancel(sent.worker, pending, number, notify_worker)
             self.on_send_ended(pending, now, number,
-                               outcome if tell or outcome is Outcome.NEVER_SENT else Outcome.TIMEOUT)
+                               outcome if notify_worker or outcome is Outcome.NEVER_SENT else Outcome.TIMEOUT)
 
     def withdraw_send(self, pending: PendingRequest, number: int, now: int) -> None:
         """Ends a send of which nothing has left."""
@@ -311,7 +311,7 @@
     def time_up(self, pending: PendingRequest, now: int) -> None:
         for number, sent in enumerate(pending.sends):
             if sent.outcome is None:
-                self.cancel_send(pending, now, number, tell=False)
+                self.cancel_send(pending, now, number, notify_worker=False)
         if not pending.is_settled:
             # The dispatcher answers two ticks earlier; this stands against a fault there, loudly in the counts.
             self.counts["overdue"] += 1
--- a/threadshift/fastcgi/listener.py
+++ b/threadshift/fastcgi/listener.py
@@ -38,7 +38,8 @@
 
 def attempts_of(pending: PendingRequest) -> list[str]:
     """The attempts of a request for its line in the log: worker, ms after the request was taken, outcome."""
-    return [f"{sent.worker} +{(sent.at - pending.admitted_at) // MS} {sent.outcome.value if sent.outcome else 'open'}"
+    return [f"{sent.worker} +{(sent.sent_at - pending.admitted_at) // MS} "
+            f"{sent.outcome.value if sent.outcome else 'open'}"
             for sent in pending.sends]
 
 
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -194,7 +194,7 @@
             return True
         return shows(connection.sock, select.POLLRDHUP)
 
-    def cancel(self, pending: Any, number: int, tell: bool) -> Outcome:
+    def cancel(self, pending: Any, number: int, notify_worker: bool) -> Outcome:
         """Stops waiting for a send. MOOT where it never left. The worker is told in any case, or it works on."""
         if self.withdraw(pending, number):
             return Outcome.NEVER_SENT
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -289,6 +289,6 @@
             took_ms=round((pending.engine.now - pending.admitted_at) / MS, 3),
             left_ms=pending.time_left(pending.engine.now) // MS,
             may_have_run=answer.may_have_run,
-            sends=[{"worker": sent.worker, "after_ms": round((sent.at - pending.admitted_at) / MS, 3),
+            sends=[{"worker": sent.worker, "after_ms": round((sent.sent_at - pending.admitted_at) / MS, 3),
                     "waited_ms": round(sent.waited / MS, 3), "copy": sent.copy.value,
                     "outcome": sent.outcome.value if sent.outcome else "out"} for sent in pending.sends])
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -114,7 +114,7 @@
         self.wake.set()
         return None
 
-    def cancel(self, pending: Any, number: int, tell: bool) -> Outcome:
+    def cancel(self, pending: Any, number: int, notify_worker: bool) -> Outcome:
         """Stops waiting for a send. MOOT where it never left."""
         if self.withdraw(pending, number):
             return Outcome.NEVER_SENT
@@ -123,7 +123,7 @@
             return Outcome.CANCELLED
         self.waiting.pop(id_, None)
         self.outbox.left.pop(id_, None)
-        if tell and self.up and self.outbox.put(None, encode("cancel", id=id_)):
+        if notify_worker and self.up and self.outbox.put(None, encode("cancel", id=id_)):
             self.wake.set()
         return Outcome.CANCELLED
 
