--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -91,7 +91,7 @@
                     count -= part
                 model = [each for each in model if each[2] < len(each[1])]
             self.assertEqual(written, wanted)
-            self.assertEqual([it.never_left(n) for n in range(number)],
+            self.assertEqual([it.is_unsent(n) for n in range(number)],
                              [any(each[0] == n and each[2] == 0 for each in model) for n in range(number)])
             self.assertEqual(it.size, sum(len(frame) - done for _, frame, done in model))
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -30,7 +30,7 @@
 from threadshift.frames import link, pool
 from threadshift.frames.codec import FROM_WORKER, INVOKE, OK, encode
 from threadshift.interface import MS, SECOND, Effect, Outcome
-from threadshift.links.sockets import Outgoing
+from threadshift.links.sockets import BufferedSender
 from threadshift.node import shutdown
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -302,7 +302,7 @@
                 filled += ours.send(b"-" * 4096, 0, 0.0)
         except BlockingIOError:
             pass
-        it = Outgoing(ours, 1 << 20, SECOND)
+        it = BufferedSender(ours, 1 << 20, SECOND)
         self.assertTrue(it.outbox.put("a", b"a" * 100) and it.outbox.put("b", b"b" * 100))
         it.write()
         gevent.idle()
@@ -312,7 +312,7 @@
         while len(got) < filled + 100:
             got += peer.recv(65536)
         it.writer and it.writer.join(1)
-        self.assertEqual((got[filled:], it.outbox.size, set(it.outbox.left)), (b"b" * 100, 0, {"b"}))
+        self.assertEqual((got[filled:], it.outbox.size, set(it.outbox.first_written_at)), (b"b" * 100, 0, {"b"}))
         ours.close()
         peer.close()
 
--- a/threadshift/coordinator/stream.py
+++ b/threadshift/coordinator/stream.py
@@ -17,7 +17,7 @@
 from threadshift.coordinator.freshness import LONGEST_PAUSE, Freshness
 from threadshift.interface import MS, SECOND
 from threadshift.links.redial import ReconnectBackoff
-from threadshift.links.sockets import READ, connect, shows
+from threadshift.links.sockets import READ, connect, has_events
 from threadshift.log import exception_fields
 
 PATH = "/v2/stream"
@@ -99,7 +99,7 @@
 
     def has_unread_data(self) -> bool:
         """Whether something of the coordinator has arrived and is not read yet."""
-        return self.sock is not None and shows(self.sock, select.POLLIN)
+        return self.sock is not None and has_events(self.sock, select.POLLIN)
 
     def move(self, address: Address) -> None:
         """Goes on at another address, at once, with the numbers kept."""
@@ -172,6 +172,6 @@
         if self.freshness.current:
             return
         gevent.sleep(CATCH_UP / SECOND)
-        if not shows(sock, select.POLLIN):
+        if not has_events(sock, select.POLLIN):
             self.note("coordinator-current", last_event=self.sequence.last, failures=self.freshness.failures)
             self.freshness.caught_up()
--- a/threadshift/discovery/sources.py
+++ b/threadshift/discovery/sources.py
@@ -19,7 +19,7 @@
 from threadshift.conf.values import Address
 from threadshift.interface import MS, SECOND, WorkerState
 from threadshift.links.codec import VERSION, Frames, ProtocolError, encode
-from threadshift.links.sockets import READ, connect, shows
+from threadshift.links.sockets import READ, connect, has_events
 from threadshift.links.redial import ReconnectBackoff
 from threadshift.discovery.registry import MAX_WORKERS, InvalidWorkerList, WorkerEntry, parse_entry
 
@@ -44,7 +44,7 @@
 
     def unread(self) -> bool:
         """Whether something of the feed has arrived and is not read yet."""
-        return self.sock is not None and shows(self.sock, select.POLLIN)
+        return self.sock is not None and has_events(self.sock, select.POLLIN)
 
     def run(self) -> None:
         while True:
--- a/threadshift/fastcgi/connection.py
+++ b/threadshift/fastcgi/connection.py
@@ -19,7 +19,7 @@
 from threadshift.fastcgi.requests import LONGEST_BODY, LONGEST_PARAMS, InvalidRequest
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.refusal_counters import RefusalCounters
-from threadshift.links.sockets import Outgoing, shows
+from threadshift.links.sockets import BufferedSender, has_events
 
 READ = 16 << 10            # bytes a read: several usual requests, and little memory a connection
 WRITE = 2 * SECOND         # without progress, until a client that takes no answer is cut off
@@ -57,7 +57,7 @@
         self.connection.respond(self, content, status)
 
 
-class Connection(Outgoing):
+class Connection(BufferedSender):
     """One client connection."""
 
     def __init__(self, sock: socket.socket, listener: Listener, unread: int):
@@ -219,7 +219,7 @@
 
         Nothing is read from here on: one taken from a connection that we have closed could not be answered. Found by
         an incident, 53 requests of one day."""
-        if not self.ended and not shows(self.sock, select.POLLIN):
+        if not self.ended and not has_events(self.sock, select.POLLIN):
             self.ended = True
             self.shut()
         return self.ended
--- a/threadshift/fastcgi/listener.py
+++ b/threadshift/fastcgi/listener.py
@@ -23,7 +23,7 @@
 from threadshift.invoke.admission import Admission
 from threadshift.invoke.poll_monitor import STALL_THRESHOLD, PollMonitor
 from threadshift.invoke.refusal_counters import RefusalCounters
-from threadshift.links.sockets import BACKLOG, arriving, shows
+from threadshift.links.sockets import BACKLOG, accept_connections, has_events
 from threadshift.log import exception_fields
 
 LOOK = 100 * MS            # between two looks at all limits; they are of seconds
@@ -61,7 +61,7 @@
         self.engine: RequestEngine
 
     def accept(self, sock: socket.socket) -> None:
-        for client in arriving(sock, self.note):
+        for client in accept_connections(sock, self.note):
             self.wait_for_room()
             if len(self.connections) >= self.max_connections():
                 self.refusal_counters.record(time.monotonic_ns(), CROWDED)
@@ -154,7 +154,7 @@
 
     def unread_on(self, request: Request) -> bool:
         """Whether something lies unread on the connection of a request that is open."""
-        return self.still_open(request) and shows(request.connection.sock, select.POLLIN | select.POLLRDHUP)
+        return self.still_open(request) and has_events(request.connection.sock, select.POLLIN | select.POLLRDHUP)
 
     def refuse_late(self, request: Request, asked: requests.ParsedRequest) -> None:
         self.refuse(request, LATE, asked.ivk)
@@ -195,7 +195,7 @@
 
     def has_unread_disconnect(self, pending: PendingRequest) -> bool:
         connection = pending.client.connection
-        return connection.sock.fileno() < 0 or shows(connection.sock, select.POLLRDHUP)
+        return connection.sock.fileno() < 0 or has_events(connection.sock, select.POLLRDHUP)
 
     def on_answered(self, pending: PendingRequest) -> None:
         answer = pending.answer
@@ -232,7 +232,7 @@
         until = time.monotonic_ns() + FLUSH
         gevent.sleep(ROOM_WAIT / SECOND)
         while time.monotonic_ns() < until and any(
-                each.busy or shows(each.sock, select.POLLIN) for each in self.connections):
+                each.busy or has_events(each.sock, select.POLLIN) for each in self.connections):
             gevent.sleep(ROOM_WAIT / SECOND)
         for each in list(self.connections):
             each.shut()
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -21,7 +21,7 @@
     ProtocolError, encode)
 from threadshift.interface import MS, SECOND, Copy, Outcome
 from threadshift.links.redial import ReconnectBackoff
-from threadshift.links.sockets import Outgoing, connect, shows, since_ready
+from threadshift.links.sockets import BufferedSender, connect, has_events, time_since_poll
 from threadshift.log import exception_fields
 
 READ = 16 << 10            # bytes a read: many usual answers, and little memory a connection
@@ -79,7 +79,7 @@
     return invoke_frame(id_, pending.call, pending.time_left(time.monotonic_ns()))
 
 
-class Connection(Outgoing):
+class Connection(BufferedSender):
     """One connection to a worker."""
 
     def __init__(self, sock: socket.socket, settings: LinkSettings):
@@ -192,7 +192,7 @@
         """Whether the peer has closed an idle connection, seen or not, or is about to: nothing is written on it."""
         if pool.is_idle_timeout_near(time.monotonic_ns(), connection.last_received_at, self.settings.idle_timeout):
             return True
-        return shows(connection.sock, select.POLLRDHUP)
+        return has_events(connection.sock, select.POLLRDHUP)
 
     def cancel(self, pending: Any, number: int, notify_worker: bool) -> Outcome:
         """Stops waiting for a send. MOOT where it never left. The worker is told in any case, or it works on."""
@@ -201,7 +201,7 @@
         connection, id_ = self.routes.pop((pending.id, number), (None, b""))
         if connection is None or connection.in_flight.pop(id_, None) is None:
             return Outcome.CANCELLED
-        left = connection.outbox.left.pop(id_, 0)
+        left = connection.outbox.first_written_at.pop(id_, 0)
         if connection.outbox.put(None, encode(CANCEL, id_)):
             connection.write()
         connection.suspected = connection.suspected or pool.is_suspected(connection.last_received_at, left)
@@ -355,13 +355,13 @@
                 raise ProtocolError(f"n={copies[:20]} is no number of copies")
         del connection.in_flight[it.id]
         connection.has_answered = True
-        left = connection.outbox.left.pop(it.id, now)
+        left = connection.outbox.first_written_at.pop(it.id, now)
         if isinstance(what, tuple):
             pending, number = what
             self.routes.pop((pending.id, number), None)
             # What we held it up ourselves is not the worker's, or at our own limit every worker would look slow.
             pending.on_send_ended(now, number, ENDS[it.code], body=it.body, copy=copy, report=load,
-                          waited=max(0, now - since_ready() - left))
+                          waited=max(0, now - time_since_poll() - left))
         elif what.fn:
             what.on_answered(now, ORDERS[it.code], copies=int(copies))
         else:
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -38,7 +38,7 @@
 from threadshift.invoke.shares import weights
 from threadshift.links.codec import Frame
 from threadshift.links.link import Link
-from threadshift.links.sockets import arriving, listener
+from threadshift.links.sockets import accept_connections, listener
 from threadshift.log import Log, exception_fields
 from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
 from threadshift.discovery.sources import FeedSource, WatchedFile
@@ -208,7 +208,7 @@
         self.ending = True
 
     def accept(self, sock: socket.socket) -> None:
-        for client in arriving(sock, self.note):
+        for client in accept_connections(sock, self.note):
             self.arrivals.record(time.monotonic_ns())
             if len(self.connections) >= self.told.bounds.connections:
                 # Who holds connections and asks nothing makes room for who asks.
@@ -228,7 +228,7 @@
 
     def accept_admin(self, sock: socket.socket, admin: Admin) -> None:
         """Operators' connections: with a bound of their own, so that a flood of clients does not lock them out."""
-        for client in arriving(sock, self.note):
+        for client in accept_connections(sock, self.note):
             if len(self.operators) < OPERATORS:
                 self.operators.spawn(self.converse, client, admin)
             else:
--- a/threadshift/invoke/client.py
+++ b/threadshift/invoke/client.py
@@ -12,7 +12,7 @@
 from threadshift.errors import ThreadshiftError
 from threadshift.conf.values import Address
 from threadshift.interface import SECOND
-from threadshift.links.sockets import READ, connect, shows
+from threadshift.links.sockets import READ, connect, has_events
 
 CONNECT_TIMEOUT = 5 * SECOND
 DEFAULT_TIMEOUT = 30 * SECOND
@@ -64,7 +64,7 @@
             # The connection was closed meanwhile, or holds bytes that no request asked for. Without this check, after
             # most front ends were killed at once, the next call was written to a connection that had ended with its
             # front end, and was lost.
-            if self.sock is not None and shows(self.sock, select.POLLIN):
+            if self.sock is not None and has_events(self.sock, select.POLLIN):
                 self.close()
             if self.sock is None:
                 self.sock = connect(self.address, CONNECT_TIMEOUT)
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -21,7 +21,7 @@
 from threadshift.links.codec import VERSION, Frame, Frames, ProtocolError, encode, pack
 from threadshift.links.outbox import Outbox
 from threadshift.links.redial import ReconnectBackoff
-from threadshift.links.sockets import READ, connect, since_ready, write_out
+from threadshift.links.sockets import READ, connect, time_since_poll, write_out
 
 PORTION = 16 << 10         # bytes of answers heard before others have their turn: some hundred
 SILENT = 3                 # keepalives without a frame from the worker until the link counts as broken
@@ -122,7 +122,7 @@
         if id_ is None:
             return Outcome.CANCELLED
         self.waiting.pop(id_, None)
-        self.outbox.left.pop(id_, None)
+        self.outbox.first_written_at.pop(id_, None)
         if notify_worker and self.up and self.outbox.put(None, encode("cancel", id=id_)):
             self.wake.set()
         return Outcome.CANCELLED
@@ -302,7 +302,7 @@
         if what is None:
             return
         self.ids.pop(self.key(what), None)
-        left = self.outbox.left.pop(frame["id"], now)
+        left = self.outbox.first_written_at.pop(frame["id"], now)
         load = report(frame.get("load"))
         if isinstance(what, tuple) != (kind in ("result", "error", "full", "miss")):
             raise ProtocolError(f"'{kind}' answers something else")
@@ -319,7 +319,7 @@
             error = frame.get("function_error")
             # What we held it up ourselves, before writing and since the answer lay ready, is not the worker's: at the
             # limit of our own processor every worker would look slow, be passed over, and cost yet longer walks.
-            waited = max(0, now - since_ready() - left)
+            waited = max(0, now - time_since_poll() - left)
             pending.on_send_ended(now, number, outcome, waited=waited, body=frame.get("body", b""),
                           error=error if isinstance(error, str) else "", copy=copy, report=load)
 
@@ -334,7 +334,7 @@
         """Every frame that waits for an answer ends: as never run, or as maybe run. Then a pause."""
         now = time.monotonic_ns()
         self.not_before = self.backoff.on_disconnected(now)
-        ended = [(what, self.outbox.never_left(id_)) for id_, what in self.waiting.items()]
+        ended = [(what, self.outbox.is_unsent(id_)) for id_, what in self.waiting.items()]
         self.waiting.clear()
         self.ids.clear()
         self.outbox.clear()
--- a/threadshift/links/outbox.py
+++ b/threadshift/links/outbox.py
@@ -19,7 +19,7 @@
         self.waiting: deque[list] = deque()         # [key, bytes]; the first may be written in part
         self.offset = 0                             # bytes of the first that are written
         self.unwritten: dict[Any, list] = {}        # keys none of whose bytes are written
-        self.left: dict[Any, int] = {}              # when the first byte of others was written, ns
+        self.first_written_at: dict[Any, int] = {}              # when the first byte of others was written, ns
 
     def put(self, key: Any, frame: bytes) -> bool:
         """False where the bound would be passed: nothing is kept then."""
@@ -65,7 +65,7 @@
             key, frame = self.waiting[0]
             rest = len(frame) - self.offset
             if self.unwritten.pop(key, None) is not None:
-                self.left[key] = now
+                self.first_written_at[key] = now
             if count < rest:
                 self.offset += count
                 return
@@ -73,11 +73,11 @@
             self.offset = 0
             self.waiting.popleft()
 
-    def never_left(self, key: Any) -> bool:
+    def is_unsent(self, key: Any) -> bool:
         return key in self.unwritten
 
     def clear(self) -> None:
         self.waiting.clear()
         self.unwritten.clear()
-        self.left.clear()
+        self.first_written_at.clear()
         self.size = self.offset = 0
--- a/threadshift/links/sockets.py
+++ b/threadshift/links/sockets.py
@@ -51,7 +51,7 @@
         raise
 
 
-def arriving(sock: socket.socket, note: Callable[..., None]) -> Iterator[socket.socket]:
+def accept_connections(sock: socket.socket, note: Callable[..., None]) -> Iterator[socket.socket]:
     """Connections as they come, until the listener is closed; what fails is noted and tried again after a pause."""
     while True:
         try:
@@ -79,7 +79,7 @@
     outbox.wrote(0)
 
 
-class Outgoing:
+class BufferedSender:
     """What goes out on one socket: written at once as far as the operating system takes it, the rest by a greenlet.
 
     Where that fails the socket is shut, and whoever reads it notices and tidies up."""
@@ -122,13 +122,13 @@
             self.sock.shutdown(how)
 
 
-def shows(sock: socket.socket, events: int) -> bool:
+def has_events(sock: socket.socket, events: int) -> bool:
     """Whether a socket shows one of these events of poll() now, seen by its reader or not."""
     look = select.poll()
     look.register(sock.fileno(), events)
     return bool(look.poll(0))
 
 
-def since_ready() -> int:
+def time_since_poll() -> int:
     """ns since the event loop last looked which sockets have something to read: what is read now lay ready then."""
     return max(0, int((time.time() - gevent.get_hub().loop.now()) * SECOND))
--- a/threadshift/peers/link.py
+++ b/threadshift/peers/link.py
@@ -20,7 +20,7 @@
 from threadshift.links.codec import VERSION, Frame, Frames, ProtocolError, encode
 from threadshift.links.outbox import Outbox
 from threadshift.links.redial import ReconnectBackoff
-from threadshift.links.sockets import READ, arriving, connect, listener, write_out
+from threadshift.links.sockets import READ, accept_connections, connect, listener, write_out
 from threadshift.peers.words import checked
 
 BUFFER = 8 << 20           # bytes waiting for one peer: two snapshots
@@ -169,7 +169,7 @@
 
     def accept(self) -> None:
         assert self.sock is not None
-        for sock in arriving(self.sock, self.owner.note):
+        for sock in accept_connections(self.sock, self.owner.note):
             if len(self.greenlets) > 4 * len(self.peers) + 16:
                 sock.close()
                 continue
