--- a/benchmarks/flat_workers.py
+++ b/benchmarks/flat_workers.py
@@ -6,7 +6,7 @@
 from gevent import socket
 
 from threadshift.conf.values import Address
-from threadshift.links.codec import VERSION, Frames, encode
+from threadshift.links.codec import VERSION, FrameDecoder, encode
 from threadshift.links.sockets import READ, listener
 
 
@@ -18,7 +18,7 @@
 
 
 def converse(name, sock, wait):
-    frames = Frames(1 << 22)
+    frames = FrameDecoder(1 << 22)
     while data := sock.recv(READ):
         out = []
         for frame in frames.feed(data):
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -13,7 +13,7 @@
 from threadshift.conf.values import Address, address
 from threadshift.invoke.http import Connection, TimeoutMonitor
 from threadshift.invoke.requests import Response
-from threadshift.links.codec import VERSION, Frames, encode
+from threadshift.links.codec import VERSION, FrameDecoder, encode
 from threadshift.links.sockets import READ, connect, listener
 
 
@@ -52,7 +52,7 @@
             sock.sendall(data)
 
     def read(self, sock):
-        frames = Frames(1 << 22)
+        frames = FrameDecoder(1 << 22)
         while data := sock.recv(READ):
             for frame in frames.feed(data):
                 if frame["kind"] == "result":
--- a/tests/live.py
+++ b/tests/live.py
@@ -9,7 +9,7 @@
 from threadshift.conf.values import Address, address
 from threadshift.gateway.front_end import FrontEnd
 from threadshift.invoke.client import Client
-from threadshift.links.codec import VERSION, Frames, encode
+from threadshift.links.codec import VERSION, FrameDecoder, encode
 from threadshift.links.sockets import listener
 from threadshift.standins.common import Record
 from threadshift.standins.feed import RosterFeed
@@ -200,7 +200,7 @@
         self.script(self, sock, self.frames(sock))
 
     def frames(self, sock):
-        cut = Frames(1 << 20)
+        cut = FrameDecoder(1 << 20)
         while data := sock.recv(65536):
             for frame in cut.feed(data):
                 self.heard.append(frame["kind"])
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,7 +8,7 @@
 
 from tests.live import Live, Scripted, until
 from threadshift.interface import MS, SECOND
-from threadshift.links.codec import LENGTH, VERSION, Frames, ProtocolError, encode
+from threadshift.links.codec import LENGTH, VERSION, FrameDecoder, ProtocolError, encode
 from threadshift.links.outbox import Outbox
 from threadshift.links.redial import MAX_PAUSE, MIN_PAUSE, STABLE_AFTER, ReconnectBackoff
 
@@ -20,19 +20,19 @@
     @given(st.lists(st.binary(max_size=40), max_size=8), st.lists(st.integers(1, 30), max_size=30))
     def test_any_cut_of_the_stream_gives_the_same_frames(self, bodies, cuts):
         stream = b"".join(encode("result", id=n, body=body) for n, body in enumerate(bodies))
-        cut, got, at = Frames(1 << 16), [], 0
+        cut, got, at = FrameDecoder(1 << 16), [], 0
         for size in [*cuts, len(stream)]:
             got += cut.feed(stream[at:at + size])
             at += size
         self.assertEqual([frame["body"] for frame in got], bodies)
-        self.assertFalse(cut.torn)
+        self.assertFalse(cut.has_partial_frame)
 
     @settings(max_examples=500, deadline=None, derandomize=True)
     @given(st.binary(max_size=200))
     def test_any_bytes_are_frames_or_refused(self, data):
         for stream in (data, LENGTH.pack(len(data)) + data):
             try:
-                Frames(1 << 16).feed(stream)
+                FrameDecoder(1 << 16).feed(stream)
             except ProtocolError as problem:
                 self.assertTrue(str(problem))
 
@@ -52,11 +52,11 @@
         )
         for data, words in cases:
             with self.assertRaises(ProtocolError) as caught:
-                Frames(1 << 16).feed(data)
+                FrameDecoder(1 << 16).feed(data)
             self.assertIn(words, str(caught.exception))
 
     def test_unknown_fields_are_skipped(self):
-        self.assertEqual(Frames(999).feed(encode("full", id=3, colour="red"))[0]["id"], 3)
+        self.assertEqual(FrameDecoder(999).feed(encode("full", id=3, colour="red"))[0]["id"], 3)
 
 
 class Outboxes(unittest.TestCase):
--- a/threadshift/discovery/sources.py
+++ b/threadshift/discovery/sources.py
@@ -18,7 +18,7 @@
 from threadshift.conf.reading import Directive, Mistake, load, nearest
 from threadshift.conf.values import Address
 from threadshift.interface import MS, SECOND, WorkerState
-from threadshift.links.codec import VERSION, Frames, ProtocolError, encode
+from threadshift.links.codec import VERSION, FrameDecoder, ProtocolError, encode
 from threadshift.links.sockets import READ, connect, has_events
 from threadshift.links.redial import ReconnectBackoff
 from threadshift.discovery.registry import MAX_WORKERS, InvalidWorkerList, WorkerEntry, parse_entry
@@ -61,7 +61,7 @@
             self.sock = sock = connect(self.address, self.bounds.connect)
             sock.sendall(encode("hello", version=VERSION, name=self.name))
             sock.settimeout(QUIET / SECOND)
-            frames = Frames(self.bounds.frame)
+            frames = FrameDecoder(self.bounds.frame)
             while data := sock.recv(READ):
                 for frame in frames.feed(data):
                     self.hear(frame)
--- a/threadshift/gateway/eviction_service.py
+++ b/threadshift/gateway/eviction_service.py
@@ -44,7 +44,7 @@
 
     # Links ask and tell.
 
-    def more(self, worker: str) -> dict[str, Any]:
+    def extra_fields(self, worker: str) -> dict[str, Any]:
         """What goes out with a hello or a ping."""
         _, names = self.copies.get(worker, (0, []))
         holders = {name: [other for other in self.where[name] if other != worker][:MOST_HOLDERS]
@@ -59,7 +59,7 @@
                 for name in names:
                     self.where.setdefault(name, []).append(worker)
 
-    def heard(self, worker: str, frame: Frame) -> None:
+    def on_frame(self, worker: str, frame: Frame) -> None:
         """A worker's hello or pong. What is not of the right type counts as not told."""
         if isinstance(policies := frame.get("policies"), dict):
             self.has[worker] = {str(name): str(text) for name, text in policies.items()}
@@ -114,7 +114,7 @@
 
     def speak(self) -> None:
         for link in self.front.links.values():
-            link.tell()
+            link.send_ping()
 
     # Operators and peers.
 
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -103,7 +103,7 @@
                 it.start()
                 self.replicated_services = it
                 for link in self.links.values():
-                    link.speaks = it.eviction_service
+                    link.extension = it.eviction_service
                 self.note("joined-in", version=self.version)
                 return
             except ThreadshiftError as problem:
--- a/threadshift/links/codec.py
+++ b/threadshift/links/codec.py
@@ -83,7 +83,7 @@
     return frame
 
 
-class Frames:
+class FrameDecoder:
     """Cuts a stream of bytes into frames. One a connection and direction; holds at most one frame's bytes
     beyond what was fed last."""
 
@@ -113,6 +113,6 @@
         return frames
 
     @property
-    def torn(self) -> bool:
+    def has_partial_frame(self) -> bool:
         """Whether the input so far ends inside a frame."""
         return bool(self.buffer)
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -18,7 +18,7 @@
 from threadshift.conf.installation import Bounds
 from threadshift.conf.values import Address
 from threadshift.interface import SECOND, Copy, Outcome, Report
-from threadshift.links.codec import VERSION, Frame, Frames, ProtocolError, encode, pack
+from threadshift.links.codec import VERSION, Frame, FrameDecoder, ProtocolError, encode, pack
 from threadshift.links.outbox import Outbox
 from threadshift.links.redial import ReconnectBackoff
 from threadshift.links.sockets import READ, connect, time_since_poll, write_out
@@ -29,7 +29,7 @@
 HELD = {"stands": Outcome.COMPLETED, "full": Outcome.FULL, "error": Outcome.ERROR}
 
 
-class Answered(Protocol):
+class LinkOwner(Protocol):
     """What a link tells of a worker, beside answers: it is up with this hello, it said that it drains.
     catch_up_after_stall() is called before answers are heard: it may wait a moment."""
 
@@ -48,11 +48,11 @@
                     for value in values))
 
 
-class Speaks(Protocol):
+class LinkExtension(Protocol):
     """What more is told to a worker with a hello or a ping, and heard with its answer."""
 
-    def more(self, worker: str) -> dict[str, Any]: ...
-    def heard(self, worker: str, frame: Frame) -> None: ...
+    def extra_fields(self, worker: str) -> dict[str, Any]: ...
+    def on_frame(self, worker: str, frame: Frame) -> None: ...
 
 
 def invoke_fields(pending: Any, left: int) -> dict[str, Any]:
@@ -71,9 +71,9 @@
 class Link:
     """The connection to one worker. Keys are ids of frames; `waiting` has what each id's answer goes to."""
 
-    def __init__(self, worker: str, address: Address, bounds: Bounds, front_end: str, zone: str, owner: Answered,
-                 chance: Callable[[], float], speaks: Speaks | None = None):
-        self.speaks = speaks
+    def __init__(self, worker: str, address: Address, bounds: Bounds, front_end: str, zone: str, owner: LinkOwner,
+                 chance: Callable[[], float], extension: LinkExtension | None = None):
+        self.extension = extension
         self.worker, self.address, self.bounds, self.owner = worker, address, bounds, owner
         self.front_end, self.zone = front_end, zone
         self.outbox = Outbox(bounds.worker_buffer)
@@ -136,12 +136,12 @@
         self.waiting.pop(id_, None)
         return True
 
-    def more(self) -> dict[str, Any]:
-        return self.speaks.more(self.worker) if self.speaks is not None else {}
+    def extra_fields(self) -> dict[str, Any]:
+        return self.extension.extra_fields(self.worker) if self.extension is not None else {}
 
-    def tell(self) -> None:
+    def send_ping(self) -> None:
         """A ping, with what more there is to tell."""
-        if self.up and self.outbox.put(None, encode("ping", **self.more())):
+        if self.up and self.outbox.put(None, encode("ping", **self.extra_fields())):
             self.wake.set()
 
     def take_back(self) -> None:
@@ -179,11 +179,11 @@
             problem = "closed by the worker"
             try:
                 self.sock = connect(self.address, self.bounds.connect)
-                frames = Frames(self.bounds.frame)
+                frames = FrameDecoder(self.bounds.frame)
                 self.greet(frames)
                 writer = gevent.spawn(self.write)
                 self.read(frames)
-                if frames.torn:
+                if frames.has_partial_frame:
                     problem = "closed by the worker inside a frame"
             except (OSError, ProtocolError) as failed:
                 problem = str(failed) or type(failed).__name__
@@ -201,10 +201,11 @@
             if not self.stopped:
                 self.broke(problem)
 
-    def greet(self, frames: Frames) -> None:
+    def greet(self, frames: FrameDecoder) -> None:
         """Hellos both ways; the worker's name must be the one the roster has for this address."""
         assert self.sock is not None
-        self.sock.sendall(encode("hello", version=VERSION, name=self.front_end, zone=self.zone, **self.more()))
+        self.sock.sendall(encode("hello", version=VERSION, name=self.front_end, zone=self.zone,
+                                 **self.extra_fields()))
         first: list[Frame] = []
         until = time.monotonic_ns() + self.bounds.connect
         while not first:
@@ -224,8 +225,8 @@
         problem = self.owner.hello(self.worker, hello)
         if problem:
             raise ProtocolError(problem)
-        if self.speaks is not None:
-            self.speaks.heard(self.worker, hello)
+        if self.extension is not None:
+            self.extension.on_frame(self.worker, hello)
         started = hello.get("started", 0)
         if hello.get("draining") or self.started and started > self.started:
             # What waited for the link was meant for the life before, warm as it was; this one is cold, or drains.
@@ -237,7 +238,7 @@
         for frame in first:
             self.hear(frame)
 
-    def read(self, frames: Frames) -> None:
+    def read(self, frames: FrameDecoder) -> None:
         assert self.sock is not None
         while True:
             self.sock.settimeout(self.bounds.keepalive / SECOND)
@@ -247,7 +248,7 @@
                 # Nothing heard: ask whether it lives. Half-open connections show only this way.
                 if time.monotonic_ns() - self.heard > SILENT * self.bounds.keepalive:
                     raise OSError("silent past its keepalives") from None
-                self.tell()
+                self.send_ping()
                 continue
             if not data:
                 return
@@ -288,8 +289,8 @@
         """One frame as the call on the handle that it belongs to; an answer that nobody waits for is dropped."""
         kind, now = frame["kind"], time.monotonic_ns()
         if kind == "pong":
-            if self.speaks is not None:
-                self.speaks.heard(self.worker, frame)
+            if self.extension is not None:
+                self.extension.on_frame(self.worker, frame)
             return
         if kind == "draining":
             self.owner.draining(self.worker)
--- a/threadshift/peers/link.py
+++ b/threadshift/peers/link.py
@@ -17,7 +17,7 @@
 
 from threadshift.conf.peering import Peer, Peering
 from threadshift.interface import MS, SECOND
-from threadshift.links.codec import VERSION, Frame, Frames, ProtocolError, encode
+from threadshift.links.codec import VERSION, Frame, FrameDecoder, ProtocolError, encode
 from threadshift.links.outbox import Outbox
 from threadshift.links.redial import ReconnectBackoff
 from threadshift.links.sockets import READ, accept_connections, connect, listener, write_out
@@ -88,7 +88,7 @@
                 sock = connect(self.peer.address, CONNECT)
                 sock.sendall(encode("hello", version=VERSION, name=self.hello["name"], to=self.peer.name,
                                     life=self.hello["life"], voters=self.hello["voters"]))
-                frames = Frames(LONGEST)
+                frames = FrameDecoder(LONGEST)
                 writer = gevent.spawn(self.write, sock)
                 self.read(sock, frames)
                 said = "closed by the peer"
@@ -106,7 +106,7 @@
             self.problem = said
             gevent.sleep(max(0, self.backoff.on_disconnected(time.monotonic_ns()) - time.monotonic_ns()) / SECOND)
 
-    def read(self, sock: socket.socket, frames: Frames) -> None:
+    def read(self, sock: socket.socket, frames: FrameDecoder) -> None:
         """The peer's hello, then replies."""
         sock.settimeout(CONNECT / SECOND)
         while data := sock.recv(READ):
@@ -176,7 +176,7 @@
             self.spawn(self.converse, sock)
 
     def converse(self, sock: socket.socket) -> None:
-        name, frames, life = "", Frames(LONGEST), 0
+        name, frames, life = "", FrameDecoder(LONGEST), 0
         try:
             sock.settimeout(QUIET / SECOND)
             while data := sock.recv(READ):
--- a/threadshift/standins/common.py
+++ b/threadshift/standins/common.py
@@ -18,7 +18,7 @@
 from threadshift.conf import values
 from threadshift.conf.values import Address
 from threadshift.interface import SECOND
-from threadshift.links.codec import Frame, Frames, ProtocolError, encode
+from threadshift.links.codec import Frame, FrameDecoder, ProtocolError, encode
 from threadshift.links.sockets import READ, listener
 
 LONGEST_FRAME = 16 << 20   # bytes
@@ -114,7 +114,7 @@
                 self.group.spawn(self.converse, sock)
 
     def converse(self, sock: socket.socket) -> None:
-        peer, frames = Peer(sock), Frames(LONGEST_FRAME)
+        peer, frames = Peer(sock), FrameDecoder(LONGEST_FRAME)
         peer.cut = self.cut_off
         writer = gevent.spawn(peer.write)
         self.peers.add(peer)
--- a/threadshift/standins/worker.py
+++ b/threadshift/standins/worker.py
@@ -23,7 +23,7 @@
 from threadshift.eviction.node import Evictor, keeper
 from threadshift.eviction.policies import Facts, digest
 from threadshift.interface import MS, SECOND
-from threadshift.links.codec import VERSION, Frame, Frames, ProtocolError, encode
+from threadshift.links.codec import VERSION, Frame, FrameDecoder, ProtocolError, encode
 from threadshift.links.sockets import READ, connect
 from threadshift.standins.common import LONGEST_FRAME, Peer, Record, Server
 
@@ -300,7 +300,7 @@
             sock.sendall(encode("hello", version=VERSION, name=self.machine.name)
                          + encode("fetch", id=1, function=function))
             sock.settimeout(10)
-            frames = Frames(LONGEST_FRAME)
+            frames = FrameDecoder(LONGEST_FRAME)
             while data := sock.recv(READ):
                 for frame in frames.feed(data):
                     if frame["kind"] != "pack":
