--- a/threadshift/engine/__init__.py
+++ b/threadshift/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The front end without sockets: drives one Dispatcher, and hands its steps to ports."""
+"""Drives a dispatcher for the requests of one front end: sends, deadlines, answers."""
--- a/threadshift/engine/engine.py
+++ b/threadshift/engine/engine.py
@@ -1,13 +1,19 @@
-"""Drives one Dispatcher without sockets, clocks or greenlets: calls in, steps out to ports.
+"""Drives a Dispatcher for the requests of one front end, without sockets, clocks or greenlets.
 
-Make a RequestEngine(dispatcher, workers, clients). admit() returns a PendingRequest; its on_send_ended() and
-on_client_gone() report what became of it. The answer to a load order or a probe goes to on_answered() of its
-PendingWorkerQuery. Call tick() when the time that due() returns has come.
-Every call takes `now`, whole ns of a clock that does not go back; a `now` before the last one counts as the last one.
+Create a RequestEngine(dispatcher, workers, clients) with the two ports that carry out its steps. admit() returns a
+PendingRequest, whose on_send_ended() and on_client_gone() report what became of it. The answer to a load order or a
+probe goes to on_answered() of its PendingWorkerQuery. Call tick() when the time that due() returns has come. Every
+call takes `now` in nanoseconds of a monotonic clock; a `now` before the last one counts as the last one.
 
-What the engine adds to the decisions is only what the bench's wire did for them: the first completed answer is handed
-on and is final; a send with no outcome at the end of its activation's time ends as a time-out; a cancelled send ends
-at once; an order or a question that nobody answers ends as a time-out. The same calls bring the same steps.
+Beyond carrying out the dispatcher's decisions, the engine only settles how things end (the simulator, which drives
+a Dispatcher through the package adapter, does the same itself):
+
+- the first completed answer in time goes to the client and is final
+- a send without an outcome at its request's deadline ends as a timeout
+- a cancelled send ends at once
+- a load order or a probe without an answer ends as a timeout
+
+The same calls lead to the same steps.
 """
 from __future__ import annotations
 
@@ -20,13 +26,13 @@
 from typing import Any, NamedTuple, Protocol
 
 from threadshift.choice import NEVER_RAN, Dispatcher
-from threadshift.interface import SECOND, Activation, Copy, Action, Effect, WorkerListing, Outcome, Report, Step
+from threadshift.interface import SECOND, Action, Activation, Copy, Effect, Outcome, Report, Step, WorkerListing
 
-ASK_WAIT = SECOND          # a question that nobody answered so long is lost; far above any answer on a network
+PROBE_TIMEOUT = SECOND     # far longer than any answer takes on a network: a probe without one by then is lost
 
 
 class FinalKind(Enum):
-    """The three final answers."""
+    """How a request was answered."""
 
     COMPLETED = "completed"
     REJECTED = "rejected"
@@ -34,45 +40,45 @@
 
 
 class Answer(NamedTuple):
-    """A final answer. `reason` is one word for logs and clients."""
+    """The final answer to a request. `reason` is a short code for logs and clients."""
 
     final: FinalKind
     reason: str
     body: bytes = b""
-    error: str = ""              # the function's own error, by name; the call completed all the same
-    retry_after: int = 0           # ns; 0: no advice
+    error: str = ""              # the error that the function itself returned, by name; the call completed
+    retry_after: int = 0         # ns after which the client may retry; 0: no advice
     may_have_run: bool = False
 
 
 class Call(NamedTuple):
-    """What a client asks for."""
+    """One call as a client requests it. Its fields are stored by name."""
 
     type: str
     function: str
-    left: int                    # ns until its client gives up
+    left: int                    # ns until the client gives up
     body: bytes = b""
     tenant: str = ""
-    mark: str = ""               # by which a repeat of a deduplicated call is known
+    mark: str = ""               # idempotency key: workers recognize repeats of a deduplicated call by it
     work: int = 0                # cost hint in ns
     lanes: int = 1
-    load_time: int = 0
-    again: bool = False          # a repetition by the client
+    load_time: int = 0           # ns
+    again: bool = False          # the client repeats an earlier call
 
 
 @dataclass(slots=True, eq=False)
 class SendRecord:
-    """One send as it left: where to, when, and how it ended."""
+    """One send of a request: to which worker, when, and how it ended."""
 
     worker: str
     sent_at: int
     outcome: Outcome | None = None
     copy: Copy = Copy.UNKNOWN
-    waited: int = 0
+    waited: int = 0              # ns that the worker took
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """The handle of one activation taken."""
+    """A request that was admitted, until its answer is final and its last send has ended."""
 
     engine: RequestEngine
     id: str
@@ -83,17 +89,18 @@
     sends: list[SendRecord] = field(default_factory=list)
     answer: Answer | None = None
     answered_at: int = 0
-    client_gone: bool = False    # its client quit first
-    client: Any = None           # whatever the clients' port keeps with it
+    client_gone: bool = False    # the client left before its answer
+    client: Any = None           # whatever the ClientPort stores with it
 
     def on_send_ended(self, now: int, number: int, outcome: Outcome, *, body: bytes = b"", error: str = "",
                       copy: Copy = Copy.UNKNOWN, report: Report | None = None, waited: int | None = None) -> None:
-        """A send ended. What comes for a send that has ended before is counted and dropped. `waited` is what the
-        worker took, where the port can tell that from what we took ourselves."""
+        """Reports the end of a send. A second report for the same send is counted and dropped.
+
+        `waited` is the time that the worker took, where the port can tell it from the time spent in this process."""
         self.engine.on_send_ended(self, now, number, outcome, body, error, copy, report, waited)
 
     def on_client_gone(self, now: int) -> None:
-        """The client is gone; no answer is owed."""
+        """Reports that the client is gone, so that it needs no answer."""
         self.engine.on_client_gone(self, now)
 
     def time_left(self, now: int) -> int:
@@ -101,121 +108,126 @@
 
     @property
     def is_settled(self) -> bool:
+        """Whether the client needs no answer any more."""
         return self.answer is not None or self.client_gone
 
 
 @dataclass(slots=True, eq=False)
 class PendingWorkerQuery:
-    """A load order (function set) or a question for a report, on its way to a worker."""
+    """A load order or a probe that waits for its worker's answer."""
 
     engine: RequestEngine
     worker: str
-    function: str = ""
+    function: str = ""           # of a load order; empty for a probe
     is_done: bool = False
 
     def on_answered(self, now: int, outcome: Outcome, *, copies: int = 0, report: Report | None = None) -> None:
+        """Reports the answer, or why there is none. Further reports are ignored."""
         self.engine.on_query_answered(self, now, outcome, copies, report)
 
 
 class SendDeadline(NamedTuple):
-    """A send that has to leave by a time, or not at all."""
+    """A send that is withdrawn unless its first byte has been written by a certain time."""
 
     pending: PendingRequest
     number: int
 
 
 class WorkerPort(Protocol):
-    """What carries steps to workers. An outcome handed back at once means that nothing will follow."""
+    """Carries steps to workers. A returned outcome is final: no report will follow."""
 
     def send(self, worker: str, pending: PendingRequest, number: int) -> Outcome | None: ...
     def cancel(self, worker: str, pending: PendingRequest, number: int, notify_worker: bool) -> Outcome: ...
-    # True where it never left, and will not
+    # Whether nothing of the send was written yet; it is not sent then.
     def withdraw(self, worker: str, pending: PendingRequest, number: int) -> bool: ...
     def order_load(self, worker: str, order: PendingWorkerQuery) -> Outcome | None: ...
     def probe(self, worker: str, question: PendingWorkerQuery) -> Outcome | None: ...
 
 
 class ClientPort(Protocol):
-    """What takes final answers to clients, and hears when nothing more can come for a handle."""
+    """Delivers final answers to clients."""
 
     # Whether the client has disconnected and that has not been read yet.
     def has_unread_disconnect(self, pending: PendingRequest) -> bool: ...
     def on_answered(self, pending: PendingRequest) -> None: ...
+    # Nothing more will be reported for the request.
     def on_finished(self, pending: PendingRequest) -> None: ...
 
 
 class RequestEngine:
-    """The only owner of a Dispatcher."""
+    """Carries out the decisions of a Dispatcher, of which it is the only owner."""
 
     def __init__(self, dispatcher: Dispatcher, workers: WorkerPort, clients: ClientPort,
-                 order_wait: int = 10 * SECOND):
-        self.dispatcher, self.workers, self.clients, self.order_wait = dispatcher, workers, clients, order_wait
+                 load_order_timeout: int = 10 * SECOND):
+        self.dispatcher, self.workers, self.clients, self.load_order_timeout = (
+            dispatcher, workers, clients, load_order_timeout)
         self.now = 0
-        self.requests: dict[str, PendingRequest] = {}         # answer owed, or sends out
-        self.owed = 0                           # of them, without their final answer
-        # (due, serial, what ends then)
-        self.times: list[tuple[int, int, PendingRequest | PendingWorkerQuery | SendDeadline]] = []
-        self.serial = count().__next__
-        self.todo: deque[Step] = deque()
-        self.busy = False
+        self.requests: dict[str, PendingRequest] = {}   # without a final answer, or with open sends
+        self.owed = 0                           # how many of them have no final answer yet
+        # Heap of (due time, serial number, what ends then).
+        self.deadlines: list[tuple[int, int, PendingRequest | PendingWorkerQuery | SendDeadline]] = []
+        self.next_serial = count().__next__
+        self.queued_steps: deque[Step] = deque()
+        self.is_executing = False
         self.counts: Counter[str] = Counter()
-        self.last: int | None = None            # when the last answer must be given, once we are to end
+        self.final_deadline: int | None = None  # when the last answer is due, once this front end shuts down
 
-    # What comes in.
+    # Requests and events.
 
-    def admit(self, now: int, ivk: str, call: Call, client: Any = None) -> PendingRequest:
-        """A call is taken: from here on it is owed one final answer. Its type must be known."""
-        now = self.clock(now)
-        if self.last is not None:
-            call = call._replace(left=min(call.left, self.last - now))
-        pending = PendingRequest(self, ivk, call, now, now + max(0, call.left), client=client)
+    def admit(self, now: int, request_id: str, call: Call, client: Any = None) -> PendingRequest:
+        """Takes over a call, whose type must be known. From here on it gets exactly one final answer."""
+        now = self.advance_clock(now)
+        if self.final_deadline is not None:
+            call = call._replace(left=min(call.left, self.final_deadline - now))
+        pending = PendingRequest(self, request_id, call, now, now + max(0, call.left), client=client)
         pending.activation = self.dispatcher.admit(
-            now, ivk, call.type, call.function, call.left, tenant=call.tenant, cost_hint=call.work, lanes=call.lanes,
-            load_time=call.load_time, is_client_retry=call.again)
-        self.requests[ivk] = pending
+            now, request_id, call.type, call.function, call.left, tenant=call.tenant, cost_hint=call.work,
+            lanes=call.lanes, load_time=call.load_time, is_client_retry=call.again)
+        self.requests[request_id] = pending
         self.owed += 1
         self.counts["taken"] += 1
-        heapq.heappush(self.times, (pending.deadline, self.serial(), pending))
+        heapq.heappush(self.deadlines, (pending.deadline, self.next_serial(), pending))
         self.execute_steps(now, pending.activation.start(now))
         return pending
 
     def shorten_deadlines(self, now: int, last: int) -> None:
-        """This front end is to end: all that is owed, and all taken from here on, is answered by `last`."""
-        self.last = last
+        """Before a shutdown: all requests, also those admitted later, are answered by `last`."""
+        self.final_deadline = last
         for pending in self.requests.values():
             if pending.deadline > last:
                 pending.deadline = last
-                heapq.heappush(self.times, (last, self.serial(), pending))
+                heapq.heappush(self.deadlines, (last, self.next_serial(), pending))
         self.dispatcher.shorten_deadlines(last)
 
     def update_workers(self, now: int, listings: list[WorkerListing], full: bool) -> None:
-        now = self.clock(now)
+        """Passes on the workers that are new or changed; with `full`, those not listed are gone."""
+        now = self.advance_clock(now)
         self.execute_steps(now, self.dispatcher.update_workers(now, listings, full))
 
     def due(self) -> int:
-        while self.times and self.past(self.times[0][2]):
-            heapq.heappop(self.times)
-        return min(self.dispatcher.due(), self.times[0][0]) if self.times else self.dispatcher.due()
+        """When tick() has to be called next."""
+        while self.deadlines and self.is_obsolete(self.deadlines[0][2]):
+            heapq.heappop(self.deadlines)
+        return min(self.dispatcher.due(), self.deadlines[0][0]) if self.deadlines else self.dispatcher.due()
 
     def tick(self, now: int) -> None:
-        """All that time alone ends by now: activations without an answer first, then sends, orders, questions."""
-        now = self.clock(now)
+        """Ends what has run out of time by now: the dispatcher's timers first, then the engine's own deadlines."""
+        now = self.advance_clock(now)
         self.execute_steps(now, self.dispatcher.tick(now))
-        while self.times and self.times[0][0] <= now:
-            _, _, what = heapq.heappop(self.times)
-            if isinstance(what, PendingRequest):
-                self.time_up(what, now)
-            elif isinstance(what, SendDeadline):
-                self.withdraw_send(*what, now)
-            elif not what.is_done:
-                what.on_answered(now, Outcome.TIMEOUT)
-
-    # What handles pass on.
+        while self.deadlines and self.deadlines[0][0] <= now:
+            _, _, item = heapq.heappop(self.deadlines)
+            if isinstance(item, PendingRequest):
+                self.on_deadline(item, now)
+            elif isinstance(item, SendDeadline):
+                self.withdraw_send(*item, now)
+            elif not item.is_done:
+                item.on_answered(now, Outcome.TIMEOUT)
 
     def on_send_ended(self, pending: PendingRequest, now: int, number: int, outcome: Outcome, body: bytes = b"",
-              error: str = "", copy: Copy = Copy.UNKNOWN, report: Report | None = None,
-              waited: int | None = None) -> None:
-        now, sent = self.clock(now), pending.sends[number]
+                      error: str = "", copy: Copy = Copy.UNKNOWN, report: Report | None = None,
+                      waited: int | None = None) -> None:
+        """Records the end of a send; the first completed one in time answers the client."""
+        now, sent = self.advance_clock(now), pending.sends[number]
         if sent.outcome is not None:
             self.counts["late"] += 1
             return
@@ -224,44 +236,47 @@
         self.counts[outcome.value] += 1
         final = outcome is Outcome.COMPLETED and not pending.is_settled and now <= pending.deadline
         if final:
-            self.finish(pending, now, Answer(FinalKind.COMPLETED, "completed", body, error))
+            self.answer_client(pending, now, Answer(FinalKind.COMPLETED, "completed", body, error))
         self.execute_steps(now, pending.activation.on_send_ended(
             now, number, outcome, sent.waited, copy=copy, final=final, report=report))
         self.release(pending)
 
     def on_client_gone(self, pending: PendingRequest, now: int) -> None:
+        """The client left before its answer: the dispatcher ends what is still under way for it."""
         if pending.is_settled:
             return
-        now, pending.client_gone = self.clock(now), True
+        now, pending.client_gone = self.advance_clock(now), True
         self.owed -= 1
         self.counts["left"] += 1
         self.execute_steps(now, pending.activation.on_client_gone(now))
         self.release(pending)
 
-    def on_query_answered(self, asked: PendingWorkerQuery, now: int, outcome: Outcome, copies: int,
-                report: Report | None) -> None:
-        if asked.is_done:
+    def on_query_answered(self, query: PendingWorkerQuery, now: int, outcome: Outcome, copies: int,
+                          report: Report | None) -> None:
+        """Passes the end of a load order or a probe to the dispatcher, once."""
+        if query.is_done:
             return
-        now, asked.is_done = self.clock(now), True
-        self.execute_steps(now, self.dispatcher.on_load_ended(now, asked.worker, asked.function, outcome, copies)
-                           if asked.function
-                           else self.dispatcher.on_report(now, asked.worker, outcome, report))
+        now, query.is_done = self.advance_clock(now), True
+        self.execute_steps(now, self.dispatcher.on_load_ended(now, query.worker, query.function, outcome, copies)
+                           if query.function
+                           else self.dispatcher.on_report(now, query.worker, outcome, report))
 
-    # What goes out.
+    # Steps.
 
     def execute_steps(self, now: int, steps: Iterable[Step]) -> None:
-        """Carries out steps in order. What a port answers at once is heard after the steps before it."""
-        self.todo.extend(steps)
-        if self.busy:
+        """Carries out steps in order. Steps that follow from a port's immediate outcome are queued behind them."""
+        self.queued_steps.extend(steps)
+        if self.is_executing:
             return
-        self.busy = True
+        self.is_executing = True
         try:
-            while self.todo:
-                self.step(self.todo.popleft(), now)
+            while self.queued_steps:
+                self.execute_step(self.queued_steps.popleft(), now)
         finally:
-            self.busy = False
+            self.is_executing = False
 
-    def step(self, step: Step, now: int) -> None:
+    def execute_step(self, step: Step, now: int) -> None:
+        """Carries out one step of the dispatcher."""
         pending = self.requests.get(step.activation.id) if step.activation else None
         if step.action is Action.SEND and pending:
             number = len(pending.sends)
@@ -269,33 +284,34 @@
             self.counts["sends"] += 1
             if not pending.is_settled and self.clients.has_unread_disconnect(pending):
                 self.on_client_gone(pending, now)
-            # Nothing leaves for an activation that has its answer, whatever order the steps came in.
+            # Nothing is sent for a request that has its answer, whatever the order of the steps.
             outcome = Outcome.NEVER_SENT if pending.is_settled else self.workers.send(step.worker, pending, number)
             if outcome is not None:
                 self.on_send_ended(pending, now, number, outcome)
             elif step.amount:
-                heapq.heappush(self.times, (now + step.amount, self.serial(), SendDeadline(pending, number)))
+                heapq.heappush(self.deadlines, (now + step.amount, self.next_serial(), SendDeadline(pending, number)))
         elif step.action is Action.CANCEL and pending:
             self.cancel_send(pending, now, step.amount, notify_worker=True)
         elif step.action in (Action.REJECT, Action.ABORT) and pending:
             if not pending.is_settled:
-                self.finish(pending, now, refusal(pending, step, now))
+                self.answer_client(pending, now, build_refusal(pending, step, now))
             self.release(pending)
         elif step.action is Action.LOAD:
-            self.send_query(PendingWorkerQuery(self, step.worker, step.function), now, self.order_wait,
+            self.send_query(PendingWorkerQuery(self, step.worker, step.function), now, self.load_order_timeout,
                             self.workers.order_load)
         elif step.action is Action.PROBE:
-            self.send_query(PendingWorkerQuery(self, step.worker), now, ASK_WAIT, self.workers.probe)
+            self.send_query(PendingWorkerQuery(self, step.worker), now, PROBE_TIMEOUT, self.workers.probe)
 
-    def send_query(self, asked: PendingWorkerQuery, now: int, wait: int, port: Any) -> None:
-        self.counts["orders" if asked.function else "questions"] += 1
-        heapq.heappush(self.times, (now + wait, self.serial(), asked))
-        outcome = port(asked.worker, asked)
+    def send_query(self, query: PendingWorkerQuery, now: int, timeout: int, port: Any) -> None:
+        """Gives a load order or a probe to the port's method and sets its deadline."""
+        self.counts["orders" if query.function else "questions"] += 1
+        heapq.heappush(self.deadlines, (now + timeout, self.next_serial(), query))
+        outcome = port(query.worker, query)
         if outcome is not None:
-            self.on_query_answered(asked, now, outcome, 0, None)
+            self.on_query_answered(query, now, outcome, 0, None)
 
     def cancel_send(self, pending: PendingRequest, now: int, number: int, notify_worker: bool) -> None:
-        """Ends a send that has no outcome; one still in our own buffer never ran."""
+        """Ends a send that has no outcome. One that is still in this process's buffer never ran."""
         sent = pending.sends[number]
         if sent.outcome is None:
             outcome = self.workers.cancel(sent.worker, pending, number, notify_worker)
@@ -303,62 +319,65 @@
                                outcome if notify_worker or outcome is Outcome.NEVER_SENT else Outcome.TIMEOUT)
 
     def withdraw_send(self, pending: PendingRequest, number: int, now: int) -> None:
-        """Ends a send of which nothing has left."""
+        """Ends a send of which no byte was written."""
         sent = pending.sends[number]
         if sent.outcome is None and self.workers.withdraw(sent.worker, pending, number):
             self.on_send_ended(pending, now, number, Outcome.NEVER_SENT)
 
-    def time_up(self, pending: PendingRequest, now: int) -> None:
+    def on_deadline(self, pending: PendingRequest, now: int) -> None:
+        """Ends all open sends of a request whose time is up, and the request."""
         for number, sent in enumerate(pending.sends):
             if sent.outcome is None:
                 self.cancel_send(pending, now, number, notify_worker=False)
         if not pending.is_settled:
-            # The dispatcher answers two ticks earlier; this stands against a fault there, loudly in the counts.
+            # The dispatcher answers two ticks earlier. This guards against a fault there; the count shows it.
             self.counts["overdue"] += 1
-            self.finish(pending, now, Answer(FinalKind.ABORTED, "overdue", may_have_run=may_have_run(pending)))
+            self.answer_client(pending, now, Answer(FinalKind.ABORTED, "overdue", may_have_run=may_have_run(pending)))
             self.execute_steps(now, pending.activation.on_client_gone(now))
         self.release(pending)
 
-    def finish(self, pending: PendingRequest, now: int, answer: Answer) -> None:
-        """The one place where a client is answered."""
+    def answer_client(self, pending: PendingRequest, now: int, answer: Answer) -> None:
+        """Sets the final answer and delivers it. No other place answers a client."""
         pending.answer, pending.answered_at = answer, now
         self.owed -= 1
         self.counts[f"answered {answer.final.value}"] += 1
         self.clients.on_answered(pending)
 
     def release(self, pending: PendingRequest) -> None:
-        # What still waits to leave does not, whether or not cancels are allowed: its client is answered, or gone.
+        """Withdraws what is not sent yet once the client needs no answer, and forgets a finished request."""
+        # This does not depend on whether cancels are allowed: the client is answered, or gone.
         for number in range(len(pending.sends) if pending.is_settled else 0):
             self.withdraw_send(pending, number, self.now)
         if pending.is_settled and pending.activation.is_finished and pending.id in self.requests:
             del self.requests[pending.id]
             self.clients.on_finished(pending)
-            # Left as a ring, each call would wait for the collector, which then stands still for tens of ms.
+            # Breaks reference cycles. With one left by each call, garbage collections stop the process for tens
+            # of milliseconds.
             pending.client = None
             pending.activation.sends.clear()
             pending.activation.possible_runs.clear()
 
-    # Small things.
-
-    def clock(self, now: int) -> int:
+    def advance_clock(self, now: int) -> int:
+        """The time that counts as now; it never goes back."""
         self.now = max(self.now, now)
         return self.now
 
     @staticmethod
-    def past(what: PendingRequest | PendingWorkerQuery | SendDeadline) -> bool:
-        if isinstance(what, SendDeadline):
-            return what.pending.sends[what.number].outcome is not None
-        return (what.is_done if isinstance(what, PendingWorkerQuery)
-                else what.is_settled and what.activation.is_finished)
+    def is_obsolete(item: PendingRequest | PendingWorkerQuery | SendDeadline) -> bool:
+        """Whether an entry of the heap has ended already, so that its deadline does not matter."""
+        if isinstance(item, SendDeadline):
+            return item.pending.sends[item.number].outcome is not None
+        return (item.is_done if isinstance(item, PendingWorkerQuery)
+                else item.is_settled and item.activation.is_finished)
 
 
 def may_have_run(pending: PendingRequest) -> bool:
-    """Whether any of its sends may have run, by how they ended so far."""
+    """Whether any of its sends may have run, judged by how they ended so far."""
     return any(sent.outcome not in NEVER_RAN for sent in pending.sends)
 
 
-def refusal(pending: PendingRequest, step: Step, now: int) -> Answer:
-    """A rejection or an abort with its reason, by what was seen last."""
+def build_refusal(pending: PendingRequest, step: Step, now: int) -> Answer:
+    """The answer for a rejection or an abort. Its reason is taken from the last send, if there was one."""
     last = pending.sends[-1].outcome if pending.sends else None
     if pending.activation.answer_due <= now:
         reason = "time-up"
@@ -369,6 +388,6 @@
     ran = may_have_run(pending)
     if step.action is Action.ABORT:
         return Answer(FinalKind.ABORTED, reason, may_have_run=ran)
-    # A repeatable call may be tried again although it ran; the client is told both.
+    # A repeatable call may be retried although it may have run; the answer says both.
     return Answer(FinalKind.REJECTED, reason, retry_after=step.amount,
                   may_have_run=ran and pending.activation.type_stats.effect is not Effect.ONCE_ONLY)
--- a/threadshift/engine/previous_process.py
+++ b/threadshift/engine/previous_process.py
@@ -1,7 +1,8 @@
-"""What a front end that starts must take an earlier life of its own to have done. Free of I/O.
+"""What a front end that starts has to assume of the process that ran before it. Free of I/O.
 
-A window limit is promised of a front end, not of a process: one that is restarted or upgraded within the window and
-knew nothing of before would order all its free copies twice. Found by a hunt, on a day with an upgrade.
+The limit on load orders within a window applies to a front end, not to a process. A front end that is restarted or
+upgraded within the window, and did not count what its previous process ordered, would order all its free copies
+twice.
 """
 from __future__ import annotations
 
@@ -9,10 +10,12 @@
 from threadshift.interface import Deployment
 
 
-def count_free_orders_as_given(dispatcher: Dispatcher, told: Deployment, now: int) -> None:
-    """Counts every free load order of the window as given just before the start; the share of calls taken stays.
+def count_free_orders_as_given(dispatcher: Dispatcher, deployment: Deployment, now: int) -> None:
+    """Counts every free load order of the window as given just before the start. The share of admitted calls that
+    brings further orders is not affected.
 
-    The price is paid by a fleet that loads by order alone: until the window has passed, one call in 1/ratio brings a
-    copy. Where workers load on a miss themselves, the first calls load all the same."""
-    if told.load_window:
-        dispatcher.recent_load_orders.extend([now] * int(told.load_free))
+    This costs a deployment whose workers load by order alone: until the window has passed, only one call in
+    1/load_ratio brings a copy. Where workers load on a miss themselves, the first calls load all the same.
+    """
+    if deployment.load_window:
+        dispatcher.recent_load_orders.extend([now] * int(deployment.load_free))
