--- a/threadshift/links/__init__.py
+++ b/threadshift/links/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to workers: the frame codec, one link a worker, and what a broken write proves."""
+"""Connections to workers: the frame codec, one link a worker, and what a broken connection proves."""
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -1,7 +1,7 @@
-"""One worker's connection: dialling, hello, many calls at once, keepalive, and what a break proves.
+"""The connection to one worker: dialling, hello, many calls at a time, keepalive, and what a break proves.
 
-A Link owns two greenlets, ended by stop(): one dials and reads, one writes. What comes in becomes a call on the
-handle it belongs to; nothing here decides what follows from it.
+A Link owns two greenlets, ended by stop(): one dials and reads, the other writes. Each frame that arrives is reported
+to the request or query that waits for it; the link takes no decisions on calls.
 """
 from __future__ import annotations
 
@@ -23,44 +23,45 @@
 from threadshift.links.redial import ReconnectBackoff
 from threadshift.links.sockets import READ, connect, time_since_poll, write_out
 
-PORTION = 16 << 10         # bytes of answers heard before others have their turn: some hundred
-SILENT = 3                 # keepalives without a frame from the worker until the link counts as broken
-COPIES = {copy.value: copy for copy in Copy}
-HELD = {"stands": Outcome.COMPLETED, "full": Outcome.FULL, "error": Outcome.ERROR}
+READ_PORTION = 16 << 10        # bytes, some hundred answers; then other greenlets have their turn
+MAX_SILENT_KEEPALIVES = 3      # the link counts as broken after so many keepalive intervals without a frame
+COPIES_BY_NAME = {copy.value: copy for copy in Copy}
+LOAD_OUTCOMES = {"stands": Outcome.COMPLETED, "full": Outcome.FULL, "error": Outcome.ERROR}
 
 
 class LinkOwner(Protocol):
-    """What a link tells of a worker, beside answers: it is up with this hello, it said that it drains.
-    catch_up_after_stall() is called before answers are heard: it may wait a moment."""
+    """What a link reports of its worker, besides answers."""
 
+    # Called before answers are handled; may wait for a moment.
     def catch_up_after_stall(self) -> None: ...
+    # The worker's hello arrived. A text that is returned is the reason why the link is refused.
     def hello(self, worker: str, hello: Frame) -> str: ...
+    # The worker says that it drains.
     def draining(self, worker: str) -> None: ...
     def note(self, event: str, **fields: Any) -> None: ...
 
 
-def report(told: Any) -> Report | None:
-    """A load report off the wire; what is no number is taken as not told."""
-    if not isinstance(told, dict):
+def parse_report(fields: Any) -> Report | None:
+    """A load report from the wire. A value that is not a number counts as unknown."""
+    if not isinstance(fields, dict):
         return None
-    values = (told.get(name) for name in Report._fields)
+    values = (fields.get(name) for name in Report._fields)
     return Report(*(float(value) if isinstance(value, int | float) and not isinstance(value, bool) else None
                     for value in values))
 
 
 class LinkExtension(Protocol):
-    """What more is told to a worker with a hello or a ping, and heard with its answer."""
+    """Adds fields to each hello and ping that a worker is sent, and reads those of its hello and pongs."""
 
     def extra_fields(self, worker: str) -> dict[str, Any]: ...
     def on_frame(self, worker: str, frame: Frame) -> None: ...
 
 
 def invoke_fields(pending: Any, left: int) -> dict[str, Any]:
-    """What an invoke frame says of a call with so many ns left."""
+    """The fields of an invoke frame for a call that has `left` ns left."""
     call = pending.call
     fields = {"function": call.function, "type": call.type, "effect": pending.activation.type_stats.effect.value,
-              "left": left,
-              "body": call.body, "lanes": call.lanes, "activation": pending.id}
+              "left": left, "body": call.body, "lanes": call.lanes, "activation": pending.id}
     if call.mark:
         fields["mark"] = call.mark
     if call.work:
@@ -69,7 +70,7 @@
 
 
 class Link:
-    """The connection to one worker. Keys are ids of frames; `waiting` has what each id's answer goes to."""
+    """The connection to one worker, made anew whenever it breaks."""
 
     def __init__(self, worker: str, address: Address, bounds: Bounds, front_end: str, zone: str, owner: LinkOwner,
                  chance: Callable[[], float], extension: LinkExtension | None = None):
@@ -81,114 +82,122 @@
         self.not_before = 0
         self.sock: socket.socket | None = None
         self.up = False
-        self.waiting: dict[int, Any] = {}       # (pending, number) of an invoke, or an Asked
-        self.ids: dict[tuple, int] = {}         # the way back for cancels
-        self.number = count(1).__next__
-        self.heard = 0
-        self.started = 0                        # of the worker's life that said hello last, its own clock
-        self.wake = Event()
+        # By frame id, what its answer goes to: (PendingRequest, send number) or a PendingWorkerQuery.
+        self.receivers: dict[int, Any] = {}
+        self.frame_ids: dict[tuple, int] = {}   # by receiver_key(), to find the frame of a send to cancel
+        self.next_id = count(1).__next__
+        self.last_frame_at = 0
+        self.worker_started_at = 0              # by the worker's clock, from its last hello; 0: unknown
+        self.has_output = Event()
         self.stopped = False
         self.greenlet = gevent.spawn(self.run)
 
-    # What the engine's port asks for.
+    # The engine's steps.
 
     def invoke(self, pending: Any, number: int, left: int) -> Outcome | None:
-        return self.put((pending, number), "invoke", invoke_fields(pending, left))
+        """Sends a call. An outcome that is returned is final."""
+        return self.enqueue((pending, number), "invoke", invoke_fields(pending, left))
 
-    def order_load(self, asked: Any) -> Outcome | None:
-        return self.put(asked, "hold", {"function": asked.function, "copies": 1})
+    def order_load(self, query: Any) -> Outcome | None:
+        """Orders one copy of the query's function."""
+        return self.enqueue(query, "hold", {"function": query.function, "copies": 1})
 
-    def probe(self, asked: Any) -> Outcome | None:
-        return self.put(asked, "ask", {})
+    def probe(self, query: Any) -> Outcome | None:
+        """Requests a load report."""
+        return self.enqueue(query, "ask", {})
 
-    def put(self, what: Any, kind: str, fields: dict[str, Any]) -> Outcome | None:
-        """Queues a frame, or says that the worker is not to be reached: nothing of it will be written then."""
+    def enqueue(self, receiver: Any, kind: str, fields: dict[str, Any]) -> Outcome | None:
+        """Queues a frame. Returns UNREACHABLE where it cannot be sent; nothing of it will be written then."""
         if self.stopped or not self.up and time.monotonic_ns() < self.not_before:
             return Outcome.UNREACHABLE
-        id_ = self.number()
+        id_ = self.next_id()
         if not self.outbox.put(id_, pack({"kind": kind, "id": id_, **fields})):
-            # A worker that does not read: what fits no more never left, and tells as much as a refused connection.
+            # The worker does not read and its buffer is full: like a refused connection, nothing was sent.
             return Outcome.UNREACHABLE
-        self.waiting[id_] = what
-        self.ids[self.key(what)] = id_
-        self.wake.set()
+        self.receivers[id_] = receiver
+        self.frame_ids[self.receiver_key(receiver)] = id_
+        self.has_output.set()
         return None
 
     def cancel(self, pending: Any, number: int, notify_worker: bool) -> Outcome:
-        """Stops waiting for a send. MOOT where it never left."""
+        """Stops waiting for a send. Returns NEVER_SENT where nothing of it was written."""
         if self.withdraw(pending, number):
             return Outcome.NEVER_SENT
-        id_ = self.ids.pop((pending.id, number), None)
+        id_ = self.frame_ids.pop((pending.id, number), None)
         if id_ is None:
             return Outcome.CANCELLED
-        self.waiting.pop(id_, None)
+        self.receivers.pop(id_, None)
         self.outbox.first_written_at.pop(id_, None)
         if notify_worker and self.up and self.outbox.put(None, encode("cancel", id=id_)):
-            self.wake.set()
+            self.has_output.set()
         return Outcome.CANCELLED
 
     def withdraw(self, pending: Any, number: int) -> bool:
-        """Takes back a send of which nothing has left; False where that is too late."""
-        id_ = self.ids.get((pending.id, number))
+        """Withdraws a send of which nothing was written; False where that is too late."""
+        id_ = self.frame_ids.get((pending.id, number))
         if id_ is None or not self.outbox.withdraw(id_):
             return False
-        del self.ids[pending.id, number]
-        self.waiting.pop(id_, None)
+        del self.frame_ids[pending.id, number]
+        self.receivers.pop(id_, None)
         return True
 
     def extra_fields(self) -> dict[str, Any]:
+        """What the extension adds to a hello or a ping."""
         return self.extension.extra_fields(self.worker) if self.extension is not None else {}
 
     def send_ping(self) -> None:
-        """A ping, with what more there is to tell."""
+        """Sends a keepalive ping with the extension's fields."""
         if self.up and self.outbox.put(None, encode("ping", **self.extra_fields())):
-            self.wake.set()
+            self.has_output.set()
 
     def take_back(self) -> None:
-        """Ends all that waits here and of which nothing is written: it never ran. Called when nothing more may go to
-        this worker, so that what a full socket held up does not leave once the grace is over."""
+        """Ends as UNREACHABLE all sends and queries of which nothing was written. Called when nothing more may go to
+        this worker, so that what a full socket delayed is not sent once the drain grace is over."""
         now = time.monotonic_ns()
-        for id_, what in list(self.waiting.items()):
+        for id_, receiver in list(self.receivers.items()):
             if self.outbox.withdraw(id_):
-                self.waiting.pop(id_, None)
-                self.ids.pop(self.key(what), None)
-                self.end(what, now, Outcome.UNREACHABLE)
+                self.receivers.pop(id_, None)
+                self.frame_ids.pop(self.receiver_key(receiver), None)
+                self.report_end(receiver, now, Outcome.UNREACHABLE)
 
     @property
     def busy(self) -> bool:
-        """Whether something waits for this worker's answer."""
-        return bool(self.waiting)
+        """Whether a send or a query waits for this worker's answer."""
+        return bool(self.receivers)
 
     @staticmethod
-    def end(what: Any, now: int, outcome: Outcome) -> None:
-        if isinstance(what, tuple):
-            what[0].on_send_ended(now, what[1], outcome)
+    def report_end(receiver: Any, now: int, outcome: Outcome) -> None:
+        """Reports an outcome to a send's request or to a query."""
+        if isinstance(receiver, tuple):
+            receiver[0].on_send_ended(now, receiver[1], outcome)
         else:
-            what.on_answered(now, outcome)
+            receiver.on_answered(now, outcome)
 
     @staticmethod
-    def key(what: Any) -> tuple:
-        return (what[0].id, what[1]) if isinstance(what, tuple) else (id(what),)
+    def receiver_key(receiver: Any) -> tuple:
+        """The key of a receiver in `frame_ids`."""
+        return (receiver[0].id, receiver[1]) if isinstance(receiver, tuple) else (id(receiver),)
 
     # The connection.
 
     def run(self) -> None:
+        """Connects, reads until the connection breaks, and begins anew after a pause."""
         while not self.stopped:
             gevent.sleep(max(0, self.not_before - time.monotonic_ns()) / SECOND)
             writer = None
             problem = "closed by the worker"
             try:
                 self.sock = connect(self.address, self.bounds.connect)
-                frames = FrameDecoder(self.bounds.frame)
-                self.greet(frames)
+                decoder = FrameDecoder(self.bounds.frame)
+                self.exchange_hellos(decoder)
                 writer = gevent.spawn(self.write)
-                self.read(frames)
-                if frames.has_partial_frame:
+                self.read(decoder)
+                if decoder.has_partial_frame:
                     problem = "closed by the worker inside a frame"
             except (OSError, ProtocolError) as failed:
                 problem = str(failed) or type(failed).__name__
                 if isinstance(failed, ProtocolError):
-                    self.refuse(problem)
+                    self.send_refusal(problem)
             finally:
                 self.up = False
                 if writer is not None:
@@ -196,97 +205,99 @@
                 if self.sock is not None:
                     self.sock.close()
                     self.sock = None
-            if self.waiting:
+            if self.receivers:
                 self.owner.catch_up_after_stall()
             if not self.stopped:
-                self.broke(problem)
+                self.on_disconnected(problem)
 
-    def greet(self, frames: FrameDecoder) -> None:
-        """Hellos both ways; the worker's name must be the one the roster has for this address."""
+    def exchange_hellos(self, decoder: FrameDecoder) -> None:
+        """Sends and reads a hello. The owner checks that the worker is the one listed with this address."""
         assert self.sock is not None
         self.sock.sendall(encode("hello", version=VERSION, name=self.front_end, zone=self.zone,
                                  **self.extra_fields()))
-        first: list[Frame] = []
-        until = time.monotonic_ns() + self.bounds.connect
-        while not first:
-            self.sock.settimeout(max(1, until - time.monotonic_ns()) / SECOND)
+        first_frames: list[Frame] = []
+        deadline = time.monotonic_ns() + self.bounds.connect
+        while not first_frames:
+            self.sock.settimeout(max(1, deadline - time.monotonic_ns()) / SECOND)
             try:
                 data = self.sock.recv(READ)
             except TimeoutError:
                 raise OSError("no hello in time") from None
             if not data:
                 raise OSError("closed before its hello")
-            first = frames.feed(data)
-        hello = first.pop(0)
+            first_frames = decoder.feed(data)
+        hello = first_frames.pop(0)
         if hello["kind"] != "hello":
             raise ProtocolError(f"'{hello['kind']}' came before hello")
         if hello["version"] != VERSION:
-            raise ProtocolError(f"version {hello['version']} is not spoken here, version {VERSION} is")
+            raise ProtocolError(f"protocol version {hello['version']} is not supported, version {VERSION} is")
         problem = self.owner.hello(self.worker, hello)
         if problem:
             raise ProtocolError(problem)
         if self.extension is not None:
             self.extension.on_frame(self.worker, hello)
         started = hello.get("started", 0)
-        if hello.get("draining") or self.started and started > self.started:
-            # What waited for the link was meant for the life before, warm as it was; this one is cold, or drains.
+        if hello.get("draining") or self.worker_started_at and started > self.worker_started_at:
+            # What waited for this connection was meant for the worker before its restart, which was warm. Now it is
+            # cold, or it drains.
             self.take_back()
-        self.started = started or self.started
-        self.heard = time.monotonic_ns()
+        self.worker_started_at = started or self.worker_started_at
+        self.last_frame_at = time.monotonic_ns()
         self.up = True
-        self.backoff.on_connected(self.heard)
-        for frame in first:
-            self.hear(frame)
+        self.backoff.on_connected(self.last_frame_at)
+        for frame in first_frames:
+            self.handle_frame(frame)
 
-    def read(self, frames: FrameDecoder) -> None:
+    def read(self, decoder: FrameDecoder) -> None:
+        """Handles frames until the worker closes the connection."""
         assert self.sock is not None
         while True:
             self.sock.settimeout(self.bounds.keepalive / SECOND)
             try:
-                data = self.sock.recv(PORTION)
+                data = self.sock.recv(READ_PORTION)
             except TimeoutError:
-                # Nothing heard: ask whether it lives. Half-open connections show only this way.
-                if time.monotonic_ns() - self.heard > SILENT * self.bounds.keepalive:
-                    raise OSError("silent past its keepalives") from None
+                # Only a ping finds a half-open connection.
+                if time.monotonic_ns() - self.last_frame_at > MAX_SILENT_KEEPALIVES * self.bounds.keepalive:
+                    raise OSError("no frame within the keepalive limit") from None
                 self.send_ping()
                 continue
             if not data:
                 return
-            self.heard = time.monotonic_ns()
-            came = frames.feed(data)
-            for frame in came:
+            self.last_frame_at = time.monotonic_ns()
+            frames = decoder.feed(data)
+            for frame in frames:
                 if frame["kind"] == "draining":
-                    self.hear(frame)        # before what answers bring, also where it was said after them
+                    self.handle_frame(frame)        # before the answers, even where it came after them
             self.owner.catch_up_after_stall()
-            for frame in came:
+            for frame in frames:
                 if frame["kind"] != "draining":
-                    self.hear(frame)
+                    self.handle_frame(frame)
 
-    def refresh(self) -> None:
-        """Calls that waited, for the link or its socket, say how much time is left now, not when they were queued."""
+    def update_time_left(self) -> None:
+        """Sets the time left in all queued calls, which is less now than when they were queued."""
         now = time.monotonic_ns()
         for id_ in self.outbox.unwritten:
-            what = self.waiting.get(id_)
-            if isinstance(what, tuple):
-                fields = invoke_fields(what[0], what[0].time_left(now))
+            receiver = self.receivers.get(id_)
+            if isinstance(receiver, tuple):
+                fields = invoke_fields(receiver[0], receiver[0].time_left(now))
                 self.outbox.replace(id_, pack({"kind": "invoke", "id": id_, **fields}))
 
     def write(self) -> None:
-        """Writes what waits. A worker that takes no byte for the write limit is broken off."""
+        """Writes queued frames. A worker that takes no byte within the write limit is disconnected."""
         sock = self.sock
         assert sock is not None
-        self.refresh()
+        self.update_time_left()
         try:
             while True:
-                write_out(sock, self.outbox, self.bounds.write, self.refresh)
-                self.wake.clear()
-                self.wake.wait()
+                write_out(sock, self.outbox, self.bounds.write, self.update_time_left)
+                self.has_output.clear()
+                self.has_output.wait()
         except OSError:
             with suppress(OSError):
-                sock.shutdown(socket.SHUT_RDWR)     # the reader notices and tidies up
+                sock.shutdown(socket.SHUT_RDWR)     # the reader notices and cleans up
 
-    def hear(self, frame: Frame) -> None:
-        """One frame as the call on the handle that it belongs to; an answer that nobody waits for is dropped."""
+    def handle_frame(self, frame: Frame) -> None:
+        """Reports one frame to its receiver. An answer without a receiver is dropped."""
         kind, now = frame["kind"], time.monotonic_ns()
         if kind == "pong":
             if self.extension is not None:
@@ -298,53 +309,54 @@
         if kind == "refused":
             raise OSError(f"refused by the worker: {frame['reason'][:200]}")
         if kind not in ("result", "error", "full", "miss", "held", "status"):
-            raise ProtocolError(f"'{kind}' is not for a worker to send here")
-        what = self.waiting.pop(frame["id"], None)
-        if what is None:
+            raise ProtocolError(f"a worker may not send '{kind}' here")
+        receiver = self.receivers.pop(frame["id"], None)
+        if receiver is None:
             return
-        self.ids.pop(self.key(what), None)
-        left = self.outbox.first_written_at.pop(frame["id"], now)
-        load = report(frame.get("load"))
-        if isinstance(what, tuple) != (kind in ("result", "error", "full", "miss")):
-            raise ProtocolError(f"'{kind}' answers something else")
+        self.frame_ids.pop(self.receiver_key(receiver), None)
+        written_at = self.outbox.first_written_at.pop(frame["id"], now)
+        load = parse_report(frame.get("load"))
+        if isinstance(receiver, tuple) != (kind in ("result", "error", "full", "miss")):
+            raise ProtocolError(f"'{kind}' does not answer the frame with this id")
         if kind == "held":
-            what.on_answered(now, HELD.get(frame["outcome"], Outcome.ERROR), copies=frame["copies"])
+            receiver.on_answered(now, LOAD_OUTCOMES.get(frame["outcome"], Outcome.ERROR), copies=frame["copies"])
         elif kind == "status":
-            what.on_answered(now, Outcome.COMPLETED, report=load)
+            receiver.on_answered(now, Outcome.COMPLETED, report=load)
         else:
-            pending, number = what
-            failed = bool(frame.get("load_failed"))
-            copy = Copy.LOAD_FAILED if failed else COPIES.get(frame.get("copy", ""), Copy.UNKNOWN)
+            pending, number = receiver
+            load_failed = bool(frame.get("load_failed"))
+            copy = Copy.LOAD_FAILED if load_failed else COPIES_BY_NAME.get(frame.get("copy", ""), Copy.UNKNOWN)
             outcome = {"result": Outcome.COMPLETED, "error": Outcome.ERROR, "full": Outcome.FULL}.get(
                 kind, Outcome.MISS)
             error = frame.get("function_error")
-            # What we held it up ourselves, before writing and since the answer lay ready, is not the worker's: at the
-            # limit of our own processor every worker would look slow, be passed over, and cost yet longer walks.
-            waited = max(0, now - time_since_poll() - left)
+            # Time spent in this process, before writing and since the answer was ready to be read, is not counted as
+            # the worker's. Otherwise every worker would look slow and be passed over when this process reaches the
+            # limit of its processor, and the longer search for a worker would cost still more.
+            waited = max(0, now - time_since_poll() - written_at)
             pending.on_send_ended(now, number, outcome, waited=waited, body=frame.get("body", b""),
-                          error=error if isinstance(error, str) else "", copy=copy, report=load)
+                                  error=error if isinstance(error, str) else "", copy=copy, report=load)
 
-    def refuse(self, reason: str) -> None:
-        """Tells the peer why, as far as its socket takes it at once."""
+    def send_refusal(self, reason: str) -> None:
+        """Sends the worker the reason of a refusal, if its socket takes it without waiting."""
         if self.sock is not None:
             with suppress(OSError):
                 self.sock.settimeout(0)
                 self.sock.send(encode("refused", reason=reason))
 
-    def broke(self, problem: str) -> None:
-        """Every frame that waits for an answer ends: as never run, or as maybe run. Then a pause."""
+    def on_disconnected(self, problem: str) -> None:
+        """Ends all sends and queries: UNREACHABLE where nothing was written, else RESET. Sets the next attempt."""
         now = time.monotonic_ns()
         self.not_before = self.backoff.on_disconnected(now)
-        ended = [(what, self.outbox.is_unsent(id_)) for id_, what in self.waiting.items()]
-        self.waiting.clear()
-        self.ids.clear()
+        ended = [(receiver, self.outbox.is_unsent(id_)) for id_, receiver in self.receivers.items()]
+        self.receivers.clear()
+        self.frame_ids.clear()
         self.outbox.clear()
         self.owner.note("link-broke", worker=self.worker, problem=problem, sends=len(ended))
-        for what, never in ended:
-            self.end(what, now, Outcome.UNREACHABLE if never else Outcome.RESET)
+        for receiver, is_unsent in ended:
+            self.report_end(receiver, now, Outcome.UNREACHABLE if is_unsent else Outcome.RESET)
 
     def stop(self) -> None:
-        """Ends the link and its greenlets; what waits for answers ends like after a break."""
+        """Ends the link and its greenlets. Sends and queries end as after a broken connection."""
         self.stopped = True
         self.greenlet.kill()
-        self.broke("stopped")
+        self.on_disconnected("stopped")
--- a/threadshift/links/outbox.py
+++ b/threadshift/links/outbox.py
@@ -1,68 +1,68 @@
-"""Frames that wait to be written to one peer, and what is proven of each when the connection breaks. Free of I/O.
+"""Frames that wait to be written to one peer, and what is certain of each when the connection breaks. Free of I/O.
 
-A frame none of whose bytes the operating system took provably never ran. From the first byte taken on it may have
-run, whatever the peer does: the rest may be the peer's to read, and nothing tells how much of it was read.
+A frame of which the operating system took no byte certainly never ran. From the first byte on it may have run,
+whatever the peer does: the peer may have received the rest, and nothing shows how much of it was read.
 """
 from __future__ import annotations
 
 from collections import deque
 from typing import Any
 
-CHUNK = 64 << 10           # bytes offered to the operating system at once; more gains nothing on a socket
+CHUNK_SIZE = 64 << 10      # bytes offered to the operating system at a time; more gains nothing on a socket
 
 
 class Outbox:
-    """First in, first out; bounded in bytes. Keys name frames whose fate matters; None are told nothing of."""
+    """A queue of frames, bounded in bytes. Frames with a key are tracked until written; those with None are not."""
 
-    def __init__(self, most: int):
-        self.most, self.size = most, 0
-        self.waiting: deque[list] = deque()         # [key, bytes]; the first may be written in part
+    def __init__(self, max_size: int):
+        self.max_size, self.size = max_size, 0
+        self.queue: deque[list] = deque()           # [key, bytes]; the first may be written in part
         self.offset = 0                             # bytes of the first that are written
-        self.unwritten: dict[Any, list] = {}        # keys none of whose bytes are written
-        self.first_written_at: dict[Any, int] = {}              # when the first byte of others was written, ns
+        self.unwritten: dict[Any, list] = {}        # by key, the entries of which no byte is written
+        self.first_written_at: dict[Any, int] = {}  # by key, when the first byte was written, ns
 
     def put(self, key: Any, frame: bytes) -> bool:
-        """False where the bound would be passed: nothing is kept then."""
-        if self.size + len(frame) > self.most:
+        """Queues a frame. False if the bound would be exceeded; nothing is queued then."""
+        if self.size + len(frame) > self.max_size:
             return False
         entry = [key, frame]
-        self.waiting.append(entry)
+        self.queue.append(entry)
         self.size += len(frame)
         if key is not None:
             self.unwritten[key] = entry
         return True
 
     def withdraw(self, key: Any) -> bool:
-        """Takes back a frame none of whose bytes are written; False where that is too late."""
+        """Removes a frame of which no byte is written; False where that is too late."""
         entry = self.unwritten.pop(key, None)
         if entry is None:
             return False
         self.size -= len(entry[1])
-        entry[1] = b""      # its place is passed over; moving the rest would cost more
+        entry[1] = b""      # the empty entry is skipped; removing it would move the others
         return True
 
     def replace(self, key: Any, frame: bytes) -> None:
-        """Another frame in the place of one none of whose bytes are written."""
+        """Replaces a frame of which no byte is written."""
         entry = self.unwritten[key]
         self.size += len(frame) - len(entry[1])
         entry[1] = frame
 
     def chunk(self) -> bytes:
-        """The next bytes to write, at most CHUNK and at least one frame's rest; empty when none wait."""
+        """The next bytes to write, at most CHUNK_SIZE; empty when nothing waits."""
         parts, size = [], 0
-        for number, (_, frame) in enumerate(self.waiting):
+        for number, (_, frame) in enumerate(self.queue):
             part = memoryview(frame)[self.offset if number == 0 else 0:]
-            parts.append(part[:CHUNK - size])
+            parts.append(part[:CHUNK_SIZE - size])
             size += len(parts[-1])
-            if size >= CHUNK:
+            if size >= CHUNK_SIZE:
                 break
         return b"".join(parts)
 
     def wrote(self, count: int, now: int = 0) -> None:
-        """The operating system took so many bytes of the chunk."""
+        """Records that the operating system took `count` bytes of the last chunk."""
         self.size -= count
-        while self.waiting and (count or not self.waiting[0][1]):
-            key, frame = self.waiting[0]
+        while self.queue and (count or not self.queue[0][1]):
+            key, frame = self.queue[0]
             rest = len(frame) - self.offset
             if self.unwritten.pop(key, None) is not None:
                 self.first_written_at[key] = now
@@ -71,13 +71,15 @@
                 return
             count -= rest
             self.offset = 0
-            self.waiting.popleft()
+            self.queue.popleft()
 
     def is_unsent(self, key: Any) -> bool:
+        """Whether the frame is queued and no byte of it is written."""
         return key in self.unwritten
 
     def clear(self) -> None:
-        self.waiting.clear()
+        """Drops all frames and forgets their state, after the connection broke."""
+        self.queue.clear()
         self.unwritten.clear()
         self.first_written_at.clear()
         self.size = self.offset = 0
--- a/threadshift/links/sockets.py
+++ b/threadshift/links/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets of all three kinds, IPv4, IPv6 and Unix: to listen at and to dial."""
+"""Sockets over IPv4, IPv6 and Unix paths: listening, connecting, buffered writing."""
 from __future__ import annotations
 
 import os
@@ -14,13 +14,13 @@
 from threadshift.interface import MS, SECOND
 from threadshift.links.outbox import Outbox
 
-READ = 64 << 10            # bytes a read; a usual frame or request fits many times
-BACKLOG = 1024             # connections that the kernel keeps for us to accept
-ACCEPT_PAUSE = 100 * MS    # after an accept that failed for want of descriptors
+READ = 64 << 10            # bytes a read; many usual frames or requests fit
+BACKLOG = 1024             # connections that the kernel queues until they are accepted
+ACCEPT_PAUSE = 100 * MS    # after an accept that failed because no file descriptor was free
 
 
 def listener(address: Address, shared: bool) -> socket.socket:
-    """A listening socket; `shared` lets several processes of ours listen at the same port."""
+    """A listening socket. With `shared`, several processes of an installation may listen at the same port."""
     family = socket.AF_UNIX if address.path else socket.AF_INET6 if ":" in address.host else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     if address.path:
@@ -37,7 +37,7 @@
 
 
 def connect(address: Address, limit: int) -> socket.socket:
-    """A connected socket. Waits for at most limit ns; raises OSError."""
+    """A connected socket. Waits for at most `limit` ns; raises OSError."""
     family = socket.AF_UNIX if address.path else socket.AF_INET6 if ":" in address.host else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
@@ -52,7 +52,7 @@
 
 
 def accept_connections(sock: socket.socket, note: Callable[..., None]) -> Iterator[socket.socket]:
-    """Connections as they come, until the listener is closed; what fails is noted and tried again after a pause."""
+    """Yields connections until the listener is closed. A failed accept is logged and retried after a pause."""
     while True:
         try:
             client, _ = sock.accept()
@@ -66,10 +66,12 @@
 
 
 def write_out(sock: socket.socket, outbox: Outbox, limit: int, refresh: Callable[[], None] = lambda: None) -> None:
-    """Writes what waits in the outbox. Raises OSError where the peer takes no byte for limit ns.
+    """Writes what waits in the outbox. Raises OSError where the peer takes no byte for `limit` ns.
 
-    Each chunk is cut when it can be written, not before: what is taken back while we wait must not leave after all,
-    and what did leave would be counted against frames that it is not of. refresh() is called after each wait."""
+    Each chunk is cut when it can be written, not before. Otherwise a frame that is withdrawn during the wait would
+    be sent all the same, and its bytes would be counted as those of other frames. refresh() is called after each
+    wait.
+    """
     while chunk := outbox.chunk():
         try:
             outbox.wrote(sock.send(chunk, 0, 0.0), time.monotonic_ns())
@@ -80,16 +82,17 @@
 
 
 class BufferedSender:
-    """What goes out on one socket: written at once as far as the operating system takes it, the rest by a greenlet.
+    """Writes to one socket: at once as far as the operating system takes the bytes, the rest in a greenlet.
 
-    Where that fails the socket is shut, and whoever reads it notices and tidies up."""
+    When a write fails the socket is shut down, and the greenlet that reads it notices and cleans up.
+    """
 
-    def __init__(self, sock: socket.socket, most: int, limit: int):
-        self.sock, self.outbox, self.write_limit = sock, Outbox(most), limit
+    def __init__(self, sock: socket.socket, max_buffered: int, limit: int):
+        self.sock, self.outbox, self.write_limit = sock, Outbox(max_buffered), limit
         self.writer: gevent.Greenlet | None = None
 
     def write(self) -> None:
-        """Writes what waits in the outbox."""
+        """Writes what waits in the outbox, unless the greenlet does so already."""
         if self.writer is not None:
             return
         try:
@@ -103,6 +106,7 @@
             self.shut()
 
     def write_rest(self) -> None:
+        """Writes what waits, as the socket becomes writable."""
         try:
             write_out(self.sock, self.outbox, self.write_limit, self.refresh)
             self.written()
@@ -112,23 +116,24 @@
             self.writer = None
 
     def refresh(self) -> None:
-        """What waits is about to be written after the socket was full."""
+        """Called before waiting output is written to a socket that was full."""
 
     def written(self) -> None:
-        """All that waited is written."""
+        """Called when the outbox is empty."""
 
     def shut(self, how: int = socket.SHUT_RDWR) -> None:
+        """Shuts the socket down, if it is still connected."""
         with suppress(OSError):
             self.sock.shutdown(how)
 
 
 def has_events(sock: socket.socket, events: int) -> bool:
-    """Whether a socket shows one of these events of poll() now, seen by its reader or not."""
-    look = select.poll()
-    look.register(sock.fileno(), events)
-    return bool(look.poll(0))
+    """Whether one of these events of poll() holds for the socket now, whether or not its reader has seen it."""
+    poller = select.poll()
+    poller.register(sock.fileno(), events)
+    return bool(poller.poll(0))
 
 
 def time_since_poll() -> int:
-    """ns since the event loop last looked which sockets have something to read: what is read now lay ready then."""
+    """ns since the event loop last polled its sockets. What is read now was ready then."""
     return max(0, int((time.time() - gevent.get_hub().loop.now()) * SECOND))
