--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -258,7 +258,7 @@
             except TimeoutError:
                 # Only a ping finds a half-open connection.
                 if time.monotonic_ns() - self.last_frame_at > MAX_SILENT_KEEPALIVES * self.bounds.keepalive:
-                    raise OSError("no frame within the keepalive limit") from None
+                    raise OSError("silent for longer than the keepalive limit") from None
                 self.send_ping()
                 continue
             if not data:
