--- a/threadshift/discovery/__init__.py
+++ b/threadshift/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of workers comes from, and what of it is believed."""
+"""Finds workers: where their list is read from, and which of its entries are believed."""
--- a/threadshift/discovery/sources.py
+++ b/threadshift/discovery/sources.py
@@ -1,6 +1,6 @@
-"""Where the roster is read from: a feed over TCP, or a plain watched file. Each runs in a greenlet of its own.
+"""Where the list of workers is read from: a feed over TCP, or a watched file. Each runs in a greenlet of its own.
 
-Both hand entries to a `Listener` and keep quiet about what they cannot read beyond one note: the last list stands.
+Both hand entries to a `ListListener`. What cannot be read is logged once, and the last list stays in force.
 """
 from __future__ import annotations
 
@@ -17,25 +17,27 @@
 from threadshift.conf.installation import Bounds
 from threadshift.conf.reading import Directive, Mistake, load, nearest
 from threadshift.conf.values import Address
+from threadshift.discovery.registry import MAX_WORKERS, InvalidWorkerList, WorkerEntry, parse_entry
 from threadshift.interface import MS, SECOND, WorkerState
 from threadshift.links.codec import VERSION, FrameDecoder, ProtocolError, encode
-from threadshift.links.sockets import READ, connect, has_events
 from threadshift.links.redial import ReconnectBackoff
-from threadshift.discovery.registry import MAX_WORKERS, InvalidWorkerList, WorkerEntry, parse_entry
+from threadshift.links.sockets import READ, connect, has_events
+
+POLL_INTERVAL = 500 * MS       # of a file; a change is noticed about as soon as a feed would report it
+FEED_TIMEOUT = 30 * SECOND     # without a byte, not even a keepalive, the feed is dialled anew
 
-LOOK = 500 * MS            # ns between two looks at a file; a change is seen as soon as any feed would tell it
-QUIET = 30 * SECOND        # ns; a feed that says nothing, not even a keepalive, so long is dialled anew
 
+class ListListener(Protocol):
+    """What takes the lists that a source reads."""
 
-class Listener(Protocol):
     def listed(self, entries: list[WorkerEntry], full: bool) -> None: ...
     def note(self, event: str, **fields: Any) -> None: ...
 
 
 class FeedSource:
-    """Follows a roster feed: a full list after each hello, then changes with generations that have no gap."""
+    """Follows a roster feed: a full list after each hello, then changes with consecutive generations."""
 
-    def __init__(self, address: Address, name: str, bounds: Bounds, listener: Listener,
+    def __init__(self, address: Address, name: str, bounds: Bounds, listener: ListListener,
                  chance: Callable[[], float]):
         self.address, self.name, self.bounds, self.listener = address, name, bounds, listener
         self.backoff = ReconnectBackoff(chance)
@@ -43,10 +45,11 @@
         self.sock: socket.socket | None = None
 
     def unread(self) -> bool:
-        """Whether something of the feed has arrived and is not read yet."""
+        """Whether data of the feed has arrived and is not read yet."""
         return self.sock is not None and has_events(self.sock, select.POLLIN)
 
     def run(self) -> None:
+        """Follows the feed, and connects anew after a pause whenever that ends."""
         while True:
             problem = self.follow()
             self.generation = None
@@ -55,16 +58,16 @@
             gevent.sleep(max(0, pause) / SECOND)
 
     def follow(self) -> str:
-        """One connection until it ends; why it ended."""
+        """Reads one connection until it ends; returns why it ended."""
         sock = None
         try:
             self.sock = sock = connect(self.address, self.bounds.connect)
             sock.sendall(encode("hello", version=VERSION, name=self.name))
-            sock.settimeout(QUIET / SECOND)
-            frames = FrameDecoder(self.bounds.frame)
+            sock.settimeout(FEED_TIMEOUT / SECOND)
+            decoder = FrameDecoder(self.bounds.frame)
             while data := sock.recv(READ):
-                for frame in frames.feed(data):
-                    self.hear(frame)
+                for frame in decoder.feed(data):
+                    self.handle_frame(frame)
             return "closed by the feed"
         except (OSError, ProtocolError, InvalidWorkerList) as failed:
             return str(failed) or type(failed).__name__
@@ -73,18 +76,19 @@
             if sock is not None:
                 sock.close()
 
-    def hear(self, frame: dict[str, Any]) -> None:
+    def handle_frame(self, frame: dict[str, Any]) -> None:
+        """Passes on a list or changes. Raises ProtocolError or InvalidWorkerList."""
         if frame["kind"] in ("hello", "ping", "pong"):
             return
         full = frame["kind"] == "list"
         if not full and frame["kind"] != "changes":
-            raise ProtocolError(f"'{frame['kind']}' is not for a feed to send")
+            raise ProtocolError(f"a feed may not send '{frame['kind']}'")
         if len(frame["workers"]) > MAX_WORKERS:
             raise InvalidWorkerList(f"a list of {len(frame['workers'])} workers is over {MAX_WORKERS}")
         if not full and self.generation is None:
-            raise InvalidWorkerList("changes came before a full list")
+            raise InvalidWorkerList("changes arrived before a full list")
         if not full and self.generation is not None and frame["generation"] != self.generation + 1:
-            # Something between was missed: only a full list mends that, and each connection begins with one.
+            # Changes were missed. Only a full list recovers them, and each connection begins with one.
             raise InvalidWorkerList(f"generation {frame['generation']} follows {self.generation}")
         entries = [parse_entry(each) for each in frame["workers"] if isinstance(each, dict)]
         if len(entries) != len(frame["workers"]):
@@ -94,12 +98,13 @@
         self.listener.listed(entries, full)
 
 
+# Optional facts of a worker line, with the functions that read them.
 FACTS: dict[str, Callable[[str], Any]] = {
     "zone": values.name, "cell": int, "size": values.number, "state": WorkerState}
 
 
 def worker_line(line: Directive) -> WorkerEntry:
-    """'worker w1 127.0.0.1:9001 zone hall-a size 1.5 state draining'"""
+    """Reads a line such as 'worker w1 127.0.0.1:9001 zone hall-a size 1.5 state draining'."""
     if line.name != "worker":
         raise line.wrong(f"unknown directive '{line.name}'{nearest(line.name, ['worker'])}")
     if line.block is not None or len(line.words) < 2 or len(line.words) % 2:
@@ -116,26 +121,29 @@
 
 
 class WatchedFile:
-    """A file with a 'worker' line each; read again whenever it changes. A bad one leaves the last list in force."""
+    """A file with one line for each worker, read again whenever it changes. After an error in it the last list stays
+    in force."""
 
-    def __init__(self, path: str, listener: Listener):
+    def __init__(self, path: str, listener: ListListener):
         self.path, self.listener = path, listener
-        self.seen: tuple | None = None
+        self.last_version: tuple | None = None
 
     def run(self) -> None:
+        """Checks the file at regular intervals."""
         while True:
-            self.look()
-            gevent.sleep(LOOK / SECOND)
+            self.check()
+            gevent.sleep(POLL_INTERVAL / SECOND)
 
-    def look(self) -> None:
+    def check(self) -> None:
+        """Reads the file if it has changed since the last check."""
         try:
             stat = os.stat(self.path)
-            mark: tuple = (stat.st_mtime_ns, stat.st_size, stat.st_ino)
+            version: tuple = (stat.st_mtime_ns, stat.st_size, stat.st_ino)
         except OSError as problem:
-            mark = (problem.errno,)
-        if mark == self.seen:
+            version = (problem.errno,)
+        if version == self.last_version:
             return
-        self.seen = mark
+        self.last_version = version
         try:
             entries = [worker_line(line) for line in load(self.path)]
         except Mistake as problem:
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -46,7 +46,7 @@
 
     def __init__(self, config: FrontEndConfig, environment: Mapping[str, str], log: Log):
         # Starts are told by one clock.
-        super().__init__(WorkerRegistry(config.deployment.drain_grace, same_start=0), log)
+        super().__init__(WorkerRegistry(config.deployment.drain_grace, same_start_tolerance=0), log)
         now = time.monotonic_ns()
         self.known_updates, self.config = config.known_updates, config._replace(known_updates=())
         self.environment = environment
