--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -3,8 +3,8 @@
 import sys
 import unittest
 
-from threadshift.adapter.codec import frames, to_ms
-from threadshift.adapter.host import Host
+from threadshift.adapter.codec import format_ms, read_batches
+from threadshift.adapter.host import DispatcherHost
 from threadshift.conf.settings import Malformed, to_ns
 
 START = ("START i=0 entropy=7 lanes.count=1 lanes.0.name=qty lanes.0.aim=600.0 lanes.0.giveUp=2500.0 "
@@ -21,15 +21,15 @@
 
 
 def replies(text):
-    host = Host()
-    return [host.reply(frame) for frame in frames(io.StringIO(text))]
+    host = DispatcherHost()
+    return [host.handle_batch(each) for each in read_batches(io.StringIO(text))]
 
 
 class Codec(unittest.TestCase):
-    def test_times_there_and_back(self):
+    def test_times_survive_formatting_and_parsing(self):
         for text, ns in (("0", 0), ("1", 10**6), ("8412.25", 8412250000), ("0.001", 1000), ("0.24", 240000)):
             self.assertEqual(to_ns(text), ns)
-            self.assertEqual(to_ns(to_ms(ns)), ns)
+            self.assertEqual(to_ns(format_ms(ns)), ns)
 
     def test_malformed_input_names_the_line(self):
         cases = (
@@ -55,13 +55,13 @@
         self.assertEqual(sends, ["DISPATCH i=0 id=c:one worker=10.0.0.1:80",
                                  "DISPATCH i=1 id=c:one worker=10.0.0.2:80"])
 
-    def test_stop_then_start_and_late_news_are_ordinary(self):
+    def test_a_restart_and_late_events_are_no_error(self):
         verdict = "VERDICT i=0 id=c:one waitTime=1 worker=10.0.0.1:80 outcome=0 go=0 final=1"
         out = replies(batch(LIST, START, MEMBERS, REQUEST) + batch("KILL i=0", START, MEMBERS, verdict,
                       "ELAPSED i=0 handle=99", "VANISHED i=0 id=c:gone", "VERDICT i=9 id=c:z", frame=2))
         self.assertEqual([line.split()[0] for line in out[1]], ["REMIND", "EOR"])
 
-    def test_a_failing_module_bails_out(self):
+    def test_a_failing_instance_is_reported(self):
         out = replies(batch(LIST, START, MEMBERS, REQUEST.replace("type=qty", "type=unheard")))[0]
         self.assertTrue(out[0].startswith("BAIL_OUT i=0 words=KeyError"), out)
 
--- a/threadshift/adapter/__init__.py
+++ b/threadshift/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts instances of the decision module on the simulator's wire. Nothing here decides."""
+"""Runs instances of the dispatcher behind the simulator's protocol. No decision is taken here."""
--- a/threadshift/adapter/__main__.py
+++ b/threadshift/adapter/__main__.py
@@ -1,16 +1,17 @@
-"""Reads batches from standard input and writes one reply a batch to standard output."""
+"""Reads batches of events from standard input and writes one reply for each batch to standard output."""
 import sys
 
-from threadshift.adapter.codec import Malformed, frames
-from threadshift.adapter.host import Host
+from threadshift.adapter.codec import Malformed, read_batches
+from threadshift.adapter.host import DispatcherHost
 
 
 def main() -> int:
-    host = Host()
+    """Serves until the end of input. Returns the exit status: 2 for malformed input."""
+    host = DispatcherHost()
     sys.stdin.reconfigure(encoding="utf-8", errors="replace")
     try:
-        for frame in frames(sys.stdin):
-            sys.stdout.write("\n".join(host.reply(frame)) + "\n")
+        for batch in read_batches(sys.stdin):
+            sys.stdout.write("\n".join(host.handle_batch(batch)) + "\n")
             sys.stdout.flush()
     except Malformed as problem:
         print(f"threadshift: {problem}", file=sys.stderr)
--- a/threadshift/adapter/codec.py
+++ b/threadshift/adapter/codec.py
@@ -1,4 +1,5 @@
-"""Wire text to plain fields and back. The wire's names and milliseconds stay in this package."""
+"""Converts the lines of the simulator's protocol to fields and back. Its names and its milliseconds are used in this
+package only."""
 from __future__ import annotations
 
 from collections.abc import Iterator
@@ -8,52 +9,55 @@
 from threadshift.interface import MS
 
 
-def to_ms(ns: int) -> str:
+def format_ms(ns: int) -> str:
+    """Nanoseconds as decimal milliseconds."""
     return f"{ns / MS:.6f}".rstrip("0").rstrip(".")
 
 
-def pairs(text: str, line: int) -> dict[str, str]:
-    found = {}
+def parse_pairs(text: str, line: int) -> dict[str, str]:
+    """The name=value pairs of a line. Raises Malformed."""
+    pairs = {}
     for part in text.split():
-        name, mark, value = part.partition("=")
-        if not mark:
+        name, separator, value = part.partition("=")
+        if not separator:
             raise Malformed(f"line {line}: '{part}' is not name=value")
-        found[name] = value
-    return found
+        pairs[name] = value
+    return pairs
 
 
-class Frame:
-    """One batch: its number, its clock and its event lines."""
+class Batch:
+    """One batch: its number, its time and its event lines."""
 
     def __init__(self, number: int, now: int, lines: list[Fields]):
         self.number, self.now, self.lines = number, now, lines
 
 
-def frames(source: TextIO) -> Iterator[Frame]:
-    """Batches until the end of input, which is clean only between two of them."""
-    count = 0
-    head: Fields | None = None
+def read_batches(source: TextIO) -> Iterator[Batch]:
+    """Yields batches until the end of input. Raises Malformed, also where the input ends inside a batch."""
+    line_number = 0
+    header: Fields | None = None
     lines: list[Fields] = []
     for raw in source:
-        count += 1
+        line_number += 1
         text = raw.strip()
         if not text:
             continue
-        word, _, rest = text.partition(" ")
-        if head is None:
-            if word != "SYNC":
-                raise Malformed(f"line {count}: expected SYNC, found '{word}'")
-            head = Fields(word, pairs(rest, count), count)
-        elif word == "EOB":
-            yield Frame(head.whole("frame"), head.ns("clock"), lines)
-            head, lines = None, []
-        elif word == "SYNC":
-            raise Malformed(f"line {count}: SYNC inside a batch")
+        keyword, _, rest = text.partition(" ")
+        if header is None:
+            if keyword != "SYNC":
+                raise Malformed(f"line {line_number}: expected SYNC, found '{keyword}'")
+            header = Fields(keyword, parse_pairs(rest, line_number), line_number)
+        elif keyword == "EOB":
+            yield Batch(header.whole("frame"), header.ns("clock"), lines)
+            header, lines = None, []
+        elif keyword == "SYNC":
+            raise Malformed(f"line {line_number}: SYNC inside a batch")
         else:
-            lines.append(Fields(word, pairs(rest, count), count))
-    if head is not None:
-        raise Malformed(f"line {count}: input ends inside a batch")
+            lines.append(Fields(keyword, parse_pairs(rest, line_number), line_number))
+    if header is not None:
+        raise Malformed(f"line {line_number}: input ends inside a batch")
 
 
-def line(word: str, **values) -> str:
-    return " ".join([word, *(f"{name}={value}" for name, value in values.items() if value is not None)])
+def format_line(keyword: str, **values) -> str:
+    """One line of a reply. Values that are None are left out."""
+    return " ".join([keyword, *(f"{name}={value}" for name, value in values.items() if value is not None)])
