--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -154,7 +154,7 @@
 class Logs(unittest.TestCase):
     def test_a_flood_of_one_kind_leaves_room_for_the_rare_and_is_counted_at_the_end(self):
         stream = Stuck()
-        log = Log("json", stream=stream, most=60)
+        log = Log("json", stream=stream, max_lines=60)
         for n in range(5000):
             log.note("final", reason="no-room", number=n)
             log.note("final", reason="over-share", number=n)
--- a/threadshift/__main__.py
+++ b/threadshift/__main__.py
@@ -1,4 +1,4 @@
-"""python -m threadshift"""
+"""Runs the command line: python -m threadshift."""
 from threadshift.cli import main
 
 main()
--- a/threadshift/errors.py
+++ b/threadshift/errors.py
@@ -7,14 +7,14 @@
 
 
 class ThreadshiftError(Exception):
-    """`str()` is what happened and where; `help` is what an operator can do, one sentence of the type's own."""
+    """`str()` says what happened and where. `help` is one sentence of each type on what an operator can do."""
 
-    help = "report it: no cause of its own is told"
+    help = "report it: this error has no advice of its own"
 
     def __init__(self, what: str = "", where: str = ""):
         super().__init__(f"{where}: {what}" if where else what)
         self.what, self.where = what, where
 
     def as_fields(self) -> dict[str, str]:
-        """The three as fields of a log line or of an API's answer."""
+        """What happened, where, and the advice, as fields of a log line or of an API's answer."""
         return {"problem": self.what, **({"where": self.where} if self.where else {}), "help": self.help}
--- a/threadshift/log.py
+++ b/threadshift/log.py
@@ -1,7 +1,8 @@
-"""Structured logs over structlog, written by a thread of their own so that a full pipe never holds a call up.
+"""Structured logs over structlog, written by a separate thread, so that a full pipe never delays a call.
 
-`Log.note(event, level, **fields)` is all that packages use. The queue is bounded; what finds it full, or is one of
-too many of its kind (log_limiter.py), is counted before anything is rendered, and the counts are logged by kind.
+Other packages use `Log.note(event, level, **fields)` only. The queue of lines is bounded. A line that finds it full,
+or that is one of too many of its kind (log_limiter.py), is counted before it is rendered, and the counts are logged
+by kind.
 """
 from __future__ import annotations
 
@@ -19,88 +20,96 @@
 from threadshift.log_limiter import LogRateLimiter
 
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
-RARE = 0.25                # of the queue, kept for kinds of which no line was held back lately
-CLOSE_WAIT = 2.0           # s; what a stuck reader of our logs may hold up the end of the process
+RESERVED_SHARE = 0.25      # of the queue, for kinds that were written once at most in the current second
+CLOSE_TIMEOUT = 2.0        # s for which a stuck reader of the log may delay the end of the process
+CLOSE_POLL_INTERVAL = 0.01     # s
 
 
-def exception_fields(fault: BaseException) -> dict[str, str]:
-    """A fault of ours as fields of a line: what, and where."""
-    place = traceback.extract_tb(fault.__traceback__)[-1]
-    return {"problem": repr(fault), "at": f"{place.filename}:{place.lineno}"}
+def exception_fields(error: BaseException) -> dict[str, str]:
+    """An unexpected exception as log fields: what it is and where it was raised."""
+    frame = traceback.extract_tb(error.__traceback__)[-1]
+    return {"problem": repr(error), "at": f"{frame.filename}:{frame.lineno}"}
 
 
-class Lines:
-    """A bounded queue of lines before a stream. Its thread is a real one: writing to a pipe may block."""
+class LogWriter:
+    """Writes queued lines to a stream in an operating system thread, as writing to a pipe may block."""
 
-    def __init__(self, stream: TextIO, most: int):
-        self.stream, self.most = stream, most
-        self.queue: queue.Queue[str | None] = queue.Queue(most)
+    def __init__(self, stream: TextIO, max_lines: int):
+        self.stream, self.max_lines = stream, max_lines
+        self.queue: queue.Queue[str | None] = queue.Queue(max_lines)
         self.thread = threading.Thread(target=self.run, name="log", daemon=True)
         self.thread.start()
 
-    def room(self, part: float) -> bool:
-        return self.queue.qsize() < part * self.most
+    def has_room(self, share: float) -> bool:
+        """Whether the queue is filled to less than this share."""
+        return self.queue.qsize() < share * self.max_lines
 
     def msg(self, line: str) -> None:
-        with suppress(queue.Full):          # room was looked for before the line was rendered
+        """Queues a line; structlog calls this method by the name of the level."""
+        with suppress(queue.Full):          # Log.note() checks for room before the line is rendered
             self.queue.put_nowait(line)
 
     debug = info = warning = error = msg
 
     def run(self) -> None:
+        """Writes lines until close()."""
         while (line := self.queue.get()) is not None:
-            with suppress(OSError, ValueError):     # nobody reads; there is nowhere left to say so
+            with suppress(OSError, ValueError):     # the reader is gone, and there is no other place to report it
                 self.stream.write(line + "\n")
                 if self.queue.empty():
                     self.stream.flush()
 
     def close(self) -> None:
+        """Ends the thread after the lines that are queued."""
         try:
-            self.queue.put(None, timeout=CLOSE_WAIT)
+            self.queue.put(None, timeout=CLOSE_TIMEOUT)
         except queue.Full:
             return
-        self.thread.join(CLOSE_WAIT)
+        self.thread.join(CLOSE_TIMEOUT)
 
 
 class Log:
-    """One process's log."""
+    """The log of one process. The fields in `always` are part of each line."""
 
-    def __init__(self, form: str = "console", level: str = "info", most: int = 10_000, stream: TextIO | None = None,
-                 **always: Any):
+    def __init__(self, form: str = "console", level: str = "info", max_lines: int = 10_000,
+                 stream: TextIO | None = None, **always: Any):
         self.level = LEVELS[level]
-        self.lines = Lines(stream or sys.stderr, most)
+        self.writer = LogWriter(stream or sys.stderr, max_lines)
         self.limiter = LogRateLimiter(time.monotonic_ns())
         render: Any = (structlog.processors.JSONRenderer() if form == "json"
                        else structlog.dev.ConsoleRenderer(colors=False))
         self.logger = structlog.wrap_logger(
-            self.lines, processors=[structlog.processors.add_log_level,
-                                    structlog.processors.TimeStamper(fmt="iso", utc=True), render],
+            self.writer, processors=[structlog.processors.add_log_level,
+                                     structlog.processors.TimeStamper(fmt="iso", utc=True), render],
             wrapper_class=structlog.make_filtering_bound_logger(self.level),
             cache_logger_on_first_use=True).bind(**always)
 
     def is_enabled(self, level: str) -> bool:
+        """Whether lines of this level are written."""
         return LEVELS[level] >= self.level
 
     def note(self, event: str, level: str = "info", **fields: Any) -> None:
+        """Logs one event, unless there were too many of its kind or the queue has no room for it."""
         if not self.is_enabled(level):
             return
         now, kind = time.monotonic_ns(), f"{event} {fields['reason']}" if "reason" in fields else event
         if self.limiter.allow(now, kind):
-            known = self.limiter.kinds.get(kind)
-            if self.lines.room(1 - RARE if known and known.written > 1 else 1):
+            counter = self.limiter.kinds.get(kind)
+            if self.writer.has_room(1 - RESERVED_SHARE if counter and counter.written > 1 else 1):
                 getattr(self.logger, level)(event, **fields)
             else:
                 self.limiter.suppress(now, kind)
         self.tick(now)
 
     def tick(self, now: int, is_last: bool = False) -> None:
-        """Says what was not written, once it is time; whoever logs nothing for long calls it."""
-        if self.lines.room(1) and (told := self.limiter.summary(now, is_last)):
-            self.logger.warning("lines-held-back", kinds=told)
+        """Logs the counts of suppressed lines when they are due. Called by a timer, as note() may not be for long."""
+        if self.writer.has_room(1) and (suppressed := self.limiter.summary(now, is_last)):
+            self.logger.warning("lines-held-back", kinds=suppressed)
 
     def close(self) -> None:
-        deadline = time.monotonic() + CLOSE_WAIT
-        while not self.lines.room(1) and time.monotonic() < deadline:
-            time.sleep(0.01)                # a slow reader is given the time to take the last words
+        """Logs the last counts and ends the writer. A stuck reader delays each step by CLOSE_TIMEOUT at most."""
+        deadline = time.monotonic() + CLOSE_TIMEOUT
+        while not self.writer.has_room(1) and time.monotonic() < deadline:
+            time.sleep(CLOSE_POLL_INTERVAL)     # gives a slow reader time, so that the last counts find room
         self.tick(time.monotonic_ns(), is_last=True)
-        self.lines.close()
+        self.writer.close()
--- a/threadshift/timer.py
+++ b/threadshift/timer.py
@@ -1,4 +1,4 @@
-"""The pace of the one timer of an instance: every tick, with how late it came."""
+"""The timer of a front end: yields at every tick, with how late it came."""
 from __future__ import annotations
 
 import time
@@ -8,19 +8,20 @@
 
 from threadshift.interface import MS, SECOND
 
-NEVER = 1 << 62            # ns
-FINEST = MS                # between two ticks: finer, they would take more than they bring
+NEVER = 1 << 62            # ns; later than any time
+MIN_INTERVAL = MS          # between two ticks; shorter ones would cost more than they gain
 
 
-def ticks(tick: int, over: Callable[[], bool],
-          sooner: Callable[[], int] = lambda: NEVER) -> Iterator[tuple[int, int]]:
-    """(now, how late), ns, once a tick until over() says so, and when sooner() falls due before that.
+def ticks(tick: int, is_over: Callable[[], bool],
+          next_due: Callable[[], int] = lambda: NEVER) -> Iterator[tuple[int, int]]:
+    """Yields (now, lateness) in ns at every tick until is_over(), and at next_due() where that is earlier.
 
-    Lateness tells how busy or stalled the process is."""
-    due = time.monotonic_ns() + tick
-    while not over():
+    The lateness shows how busy the process is, or for how long it stood still.
+    """
+    due = time.monotonic_ns() + tick        # the next regular tick
+    while not is_over():
         now = time.monotonic_ns()
-        until = min(due, max(sooner(), now + FINEST))
+        until = min(due, max(next_due(), now + MIN_INTERVAL))
         gevent.sleep(max(0, until - now) / SECOND)
         now = time.monotonic_ns()
         yield now, now - until
