--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -8,29 +8,29 @@
 from threadshift.engine import previous_process
 from threadshift.engine.engine import Answer, Call, FinalKind, RequestEngine
 from threadshift.interface import (
-    MS, SECOND, Copy, Deployment, Effect, WorkerListing, NamespaceType, Outcome, WorkerState)
+    MS, SECOND, Copy, Deployment, Effect, NamespaceType, Outcome, WorkerListing, WorkerState)
 
-LATE = 2500 * MS
+TIME_LEFT = 2500 * MS
 
 
 class Fleet:
-    """The ports of an engine, written down: what was sent, cancelled, ordered and answered, with the time."""
+    """The ports of an engine, which record with the time what is sent, cancelled, ordered and answered."""
 
-    def __init__(self, at_once=()):
-        self.engine, self.log, self.answers, self.overs = None, [], {}, set()
-        self.at_once = list(at_once)        # outcomes that the next sends end with at once
-        self.asked = []
-        self.moot = False
-        self.waiting = set()                # (worker, ivk) of sends that have not left
-        self.gone_unread = set()            # whose client has left, and nobody has heard
+    def __init__(self, immediate_outcomes=()):
+        self.engine, self.log, self.answers, self.finished = None, [], {}, set()
+        self.immediate_outcomes = list(immediate_outcomes)      # of the next sends
+        self.queries = []
+        self.cancels_unsent = False         # whether a cancelled send was never written
+        self.waiting = set()                # (worker, request id) of sends that are not written yet
+        self.gone_unread = set()            # requests with a client that has left, which was not read yet
 
     def send(self, worker, pending, number):
         self.log.append(("send", self.engine.now, pending.id, worker, pending.is_settled))
-        return self.at_once.pop(0) if self.at_once else None
+        return self.immediate_outcomes.pop(0) if self.immediate_outcomes else None
 
     def cancel(self, worker, pending, number, notify_worker):
         self.log.append(("cancel", self.engine.now, pending.id, worker, notify_worker))
-        return Outcome.NEVER_SENT if self.moot else Outcome.CANCELLED
+        return Outcome.NEVER_SENT if self.cancels_unsent else Outcome.CANCELLED
 
     def withdraw(self, worker, pending, number):
         if (worker, pending.id) in self.waiting:
@@ -38,12 +38,12 @@
             return True
         return False
 
-    def order_load(self, worker, order):
-        self.asked.append(order)
-        self.log.append(("hold", self.engine.now, order.function, worker, False))
+    def order_load(self, worker, query):
+        self.queries.append(query)
+        self.log.append(("hold", self.engine.now, query.function, worker, False))
 
-    def probe(self, worker, question):
-        self.asked.append(question)
+    def probe(self, worker, query):
+        self.queries.append(query)
 
     def has_unread_disconnect(self, pending):
         return pending.id in self.gone_unread
@@ -52,34 +52,34 @@
         self.answers.setdefault(pending.id, []).append(pending.answer)
 
     def on_finished(self, pending):
-        self.overs.add(pending.id)
+        self.finished.add(pending.id)
 
-    def sends(self, ivk="a"):
-        return [entry[3] for entry in self.log if entry[0] == "send" and entry[2] == ivk]
+    def sends(self, request_id="a"):
+        return [entry[3] for entry in self.log if entry[0] == "send" and entry[2] == request_id]
 
 
-def engine(workers=4, at_once=(), **changes):
-    fleet = Fleet(at_once)
+def make_engine(workers=4, immediate_outcomes=(), **changes):
+    fleet = Fleet(immediate_outcomes)
     it = fleet.engine = RequestEngine(Dispatcher(1, deployment(**changes), 0), fleet, fleet)
     it.update_workers(0, [listing(f"w{n}") for n in range(workers)], full=True)
     return it, fleet
 
 
-def ask(effect=Effect.REPEATABLE, left=LATE, **facts):
+def make_call(effect=Effect.REPEATABLE, left=TIME_LEFT, **facts):
     return Call(effect.value, "f", left, **facts)
 
 
 class Answers(unittest.TestCase):
-    def test_the_first_completed_answer_is_handed_on_once(self):
-        it, fleet = engine()
-        pending = it.admit(0, "a", ask())
+    def test_only_the_first_completed_answer_is_delivered(self):
+        it, fleet = make_engine()
+        pending = it.admit(0, "a", make_call())
         pending.on_send_ended(10 * MS, 0, Outcome.COMPLETED, body=b"x")
         pending.on_send_ended(11 * MS, 0, Outcome.COMPLETED, body=b"y")
         self.assertEqual(fleet.answers, {"a": [Answer(FinalKind.COMPLETED, "completed", b"x")]})
-        self.assertEqual((it.counts["late"], it.owed, it.requests, fleet.overs), (1, 0, {}, {"a"}))
+        self.assertEqual((it.counts["late"], it.owed, it.requests, fleet.finished), (1, 0, {}, {"a"}))
 
     def test_final_answers_by_effect_and_how_the_sends_ended(self):
-        # effect, outcomes of the sends, the answer, whether it may have run; the third repeat is over budget
+        # effect, outcomes of the sends, final answer, whether it may have run; a third retry is over the budget
         cases = (
             (Effect.ONCE_ONLY, [Outcome.RESET], FinalKind.ABORTED, True),
             (Effect.ONCE_ONLY, [Outcome.UNREACHABLE] * 4, FinalKind.REJECTED, False),
@@ -88,16 +88,16 @@
             (Effect.DEDUPLICATED, [Outcome.NEVER_SENT] * 4, FinalKind.REJECTED, False),
         )
         for effect, outcomes, final, ran in cases:
-            it, fleet = engine(at_once=outcomes)
-            pending = it.admit(0, "a", ask(effect))
+            it, fleet = make_engine(immediate_outcomes=outcomes)
+            pending = it.admit(0, "a", make_call(effect))
             self.assertEqual([each.final for each in fleet.answers["a"]], [final], (effect, outcomes))
             self.assertEqual(pending.answer.may_have_run, ran, (effect, outcomes))
             self.assertEqual(len(fleet.sends()), len(outcomes), (effect, outcomes))
 
-    def test_time_up_answers_in_time_and_ends_every_send(self):
+    def test_a_request_is_answered_before_its_deadline_and_every_send_ends(self):
         for may_cancel in (True, False):
-            it, fleet = engine(may_cancel=may_cancel)
-            pending = it.admit(0, "a", ask(Effect.ONCE_ONLY, left=300 * MS))
+            it, fleet = make_engine(may_cancel=may_cancel)
+            pending = it.admit(0, "a", make_call(Effect.ONCE_ONLY, left=300 * MS))
             while it.due() <= 300 * MS:
                 it.tick(it.due())
             self.assertEqual([each.final for each in fleet.answers["a"]], [FinalKind.ABORTED])
@@ -106,60 +106,60 @@
             pending.on_send_ended(400 * MS, 0, Outcome.COMPLETED)
             self.assertEqual(len(fleet.answers["a"]), 1)
 
-    def test_what_comes_after_a_standstill_is_too_late(self):
-        it, fleet = engine()
-        pending = it.admit(0, "a", ask(left=300 * MS))
+    def test_an_answer_that_is_read_after_a_stall_is_too_late(self):
+        it, fleet = make_engine()
+        pending = it.admit(0, "a", make_call(left=300 * MS))
         pending.on_send_ended(SECOND, 0, Outcome.COMPLETED)
         it.tick(SECOND)
         self.assertEqual([each.final for each in fleet.answers["a"]], [FinalKind.REJECTED])
 
-    def test_what_we_held_up_ourselves_is_not_the_workers(self):
-        it, fleet = engine()
-        pending = it.admit(0, "a", ask())
+    def test_time_spent_in_this_process_does_not_count_as_the_workers(self):
+        it, fleet = make_engine()
+        pending = it.admit(0, "a", make_call())
         pending.on_send_ended(2 * SECOND, 0, Outcome.COMPLETED, copy=Copy.FOUND, waited=10 * MS)
         worker = it.dispatcher.workers[pending.sends[0].worker]
         self.assertEqual((pending.sends[0].waited, worker.relative_latency < 0.05), (10 * MS, True))
 
-    def test_a_client_that_quits_is_owed_nothing(self):
-        it, fleet = engine()
-        pending = it.admit(0, "a", ask())
+    def test_a_client_that_left_gets_no_answer(self):
+        it, fleet = make_engine()
+        pending = it.admit(0, "a", make_call())
         pending.on_client_gone(5 * MS)
         pending.on_client_gone(6 * MS)
         pending.on_send_ended(7 * MS, 0, Outcome.COMPLETED)
-        self.assertEqual((fleet.answers, it.owed, it.requests, fleet.overs), ({}, 0, {}, {"a"}))
+        self.assertEqual((fleet.answers, it.owed, it.requests, fleet.finished), ({}, 0, {}, {"a"}))
 
-    def test_a_cancelled_send_that_never_left_is_told_apart(self):
-        for moot in (True, False):
-            it, fleet = engine(workers=1)
-            fleet.moot = moot
-            pending = it.admit(0, "a", ask())
+    def test_a_cancelled_send_never_ran_only_if_nothing_of_it_was_written(self):
+        for unsent in (True, False):
+            it, fleet = make_engine(workers=1)
+            fleet.cancels_unsent = unsent
+            pending = it.admit(0, "a", make_call())
             it.execute_steps(0, it.dispatcher.collect_steps(it.dispatcher.finish, pending.activation, None))
-            self.assertEqual(pending.sends[0].outcome in NEVER_RAN, moot)
+            self.assertEqual(pending.sends[0].outcome in NEVER_RAN, unsent)
 
-    def test_an_order_and_a_question_that_nobody_answers_end(self):
-        it, fleet = engine(loads_on_miss=False, may_probe=True, front_ends=100)
+    def test_a_load_order_and_a_probe_without_an_answer_end(self):
+        it, fleet = make_engine(loads_on_miss=False, may_probe=True, front_ends=100)
         it.dispatcher.pressure_share = 1.0
-        # two copies believed to stand, so an answer could move the call
+        # Both functions are believed to have copies, so that a probe's answer could move the call.
         for worker in it.dispatcher.ready_workers:
             worker.warm_until |= {"f": 3 * SECOND, "g": 3 * SECOND}
-        pending, now = it.admit(SECOND, "a", ask()), SECOND
-        fleet.asked[0].on_answered(now, Outcome.COMPLETED)
+        pending, now = it.admit(SECOND, "a", make_call()), SECOND
+        fleet.queries[0].on_answered(now, Outcome.COMPLETED)
         pending.on_send_ended(now, 0, Outcome.MISS)
-        it.admit(now, "b", Call("repeatable", "g", LATE))
-        self.assertEqual([asked.function for asked in fleet.asked[1:]], ["f", ""])
+        it.admit(now, "b", Call("repeatable", "g", TIME_LEFT))
+        self.assertEqual([query.function for query in fleet.queries[1:]], ["f", ""])
         while now < 11 * SECOND:
             now = max(now + 1, it.due())
             it.tick(now)
-        self.assertTrue(all(asked.is_done for asked in fleet.asked))
+        self.assertTrue(all(query.is_done for query in fleet.queries))
         before = len(fleet.log)
-        fleet.asked[1].on_answered(now, Outcome.COMPLETED, copies=1)
+        fleet.queries[1].on_answered(now, Outcome.COMPLETED, copies=1)
         self.assertEqual(len(fleet.log), before)
 
-    def test_a_clock_that_goes_back_counts_as_standing(self):
-        it, fleet = engine()
-        it.admit(5 * SECOND, "a", ask())
-        pending = it.admit(SECOND, "b", ask())
-        self.assertEqual((pending.admitted_at, pending.deadline), (5 * SECOND, 5 * SECOND + LATE))
+    def test_a_clock_that_goes_back_counts_as_stopped(self):
+        it, fleet = make_engine()
+        it.admit(5 * SECOND, "a", make_call())
+        pending = it.admit(SECOND, "b", make_call())
+        self.assertEqual((pending.admitted_at, pending.deadline), (5 * SECOND, 5 * SECOND + TIME_LEFT))
 
 
 EFFECTS = st.sampled_from(list(Effect))
@@ -177,35 +177,35 @@
 
 
 class Play:
-    """Plays a list of events on an engine and keeps the promises in view."""
+    """Plays a list of events on an engine and checks what it promises."""
 
     def __init__(self, test, may_cancel, may_twice):
         self.test, self.may_twice = test, may_twice
-        self.it, self.fleet = engine(workers=5, may_cancel=may_cancel, may_duplicate=may_twice, max_sends=4)
+        self.it, self.fleet = make_engine(workers=5, may_cancel=may_cancel, may_duplicate=may_twice, max_sends=4)
         self.now, self.calls, self.jumped, self.unready = 0, [], 0, {}
 
     def play(self, events):
         for event in events:
             getattr(self, event[0].replace(" ", "_"))(*event[1:])
-            for name, act in [entry[3:1:-1] for entry in self.fleet.log if entry[0] == "send"][self.checked:]:
-                self.test.assertNotIn(name, self.unready, act)
+            for name, request in [entry[3:1:-1] for entry in self.fleet.log if entry[0] == "send"][self.checked:]:
+                self.test.assertNotIn(name, self.unready, request)
             self.checked = sum(entry[0] == "send" for entry in self.fleet.log)
         self.wait(20_000)
-        self.verdict()
+        self.check()
 
     checked = 0
 
     def take(self, effect, left):
-        ivk = f"c{len(self.calls)}"
-        self.calls.append(self.it.admit(self.now, ivk, Call(effect.value, f"f{left % 3}", left * MS)))
+        request_id = f"c{len(self.calls)}"
+        self.calls.append(self.it.admit(self.now, request_id, Call(effect.value, f"f{left % 3}", left * MS)))
 
-    def out(self, pick):
+    def open_send(self, pick):
         sends = [(pending, n) for pending in self.calls for n, sent in enumerate(pending.sends)
                  if sent.outcome is None]
         return sends[pick % len(sends)] if sends else None
 
     def end(self, pick, outcome, copy):
-        if found := self.out(pick):
+        if found := self.open_send(pick):
             found[0].on_send_ended(self.now, found[1], outcome, copy=copy)
 
     def again(self, pick, outcome):
@@ -228,11 +228,11 @@
             name, state, started_at=age and max(1, self.now - age))], full=False)
 
     def held(self, pick, outcome):
-        if self.fleet.asked:
-            self.fleet.asked[pick % len(self.fleet.asked)].on_answered(self.now, outcome, copies=1)
+        if self.fleet.queries:
+            self.fleet.queries[pick % len(self.fleet.queries)].on_answered(self.now, outcome, copies=1)
 
     def at_once(self, outcome):
-        self.fleet.at_once.append(outcome)
+        self.fleet.immediate_outcomes.append(outcome)
 
     def wait(self, ms):
         until = self.now + ms * MS
@@ -242,18 +242,18 @@
         self.now = max(self.now, until)
 
     def jump(self, ms):
-        """The process stood still, or its clock was set back: no timer fired in between."""
+        """The process stalls, or its clock goes back: no timer fires in between."""
         self.now = max(0, self.now + ms * MS)
         self.jumped += ms > 0
         self.it.tick(self.now)
 
-    def verdict(self):
+    def check(self):
         test = self.test
         test.assertEqual((self.it.requests, self.it.owed, self.it.counts["overdue"] * (not self.jumped)), ({}, 0, 0))
         for pending in self.calls:
             answers = self.fleet.answers.get(pending.id, [])
             test.assertEqual(len(answers), 0 if pending.client_gone else 1, pending.id)
-            test.assertIn(pending.id, self.fleet.overs)
+            test.assertIn(pending.id, self.fleet.finished)
             if answers and not self.jumped:
                 test.assertLessEqual(pending.answered_at, pending.deadline)
             entries = [entry for entry in self.fleet.log if entry[0] == "send" and entry[2] == pending.id]
@@ -283,24 +283,24 @@
         self.assertEqual(*logs)
 
 
-class Earlier(unittest.TestCase):
+class PreviousProcess(unittest.TestCase):
     def test_the_free_orders_of_the_window_count_as_given_at_a_start(self):
-        told = Deployment((NamespaceType("a", SECOND, SECOND, 1.0, 0.0, Effect.REPEATABLE),), may_order_loads=True,
-                          load_window=5 * SECOND, load_free=6.0, load_ratio=0.2)
+        windowed = Deployment((NamespaceType("a", SECOND, SECOND, 1.0, 0.0, Effect.REPEATABLE),),
+                              may_order_loads=True, load_window=5 * SECOND, load_free=6.0, load_ratio=0.2)
         for now, most in ((SECOND, 0), (5 * SECOND, 0), (6 * SECOND, 6)):
-            it = Dispatcher(1, told, SECOND)
-            previous_process.count_free_orders_as_given(it, told, SECOND)
+            it = Dispatcher(1, windowed, SECOND)
+            previous_process.count_free_orders_as_given(it, windowed, SECOND)
             it.update_workers(SECOND, [WorkerListing("w", WorkerState.READY)], True)
             given = 0
             for n in range(9):
                 fn = it.admit(now, str(n), "a", f"f{n}", SECOND).function
-                it.open_load_orders, it.load_limit = 0, 99.0      # not its own pacing, the rule's limit
+                it.open_load_orders, it.load_limit = 0, 99.0      # only the window limits orders then
                 given += it.order_load(it.workers["w"], fn, now)
-            # Nine calls were taken too, which earn one and four fifths of an order.
+            # The nine admitted calls earn 1.8 further orders.
             self.assertLessEqual(given, most + 1)
             self.assertGreaterEqual(given, most)
-        it = Dispatcher(1, told._replace(load_window=0), SECOND)
-        previous_process.count_free_orders_as_given(it, told._replace(load_window=0), SECOND)
+        it = Dispatcher(1, windowed._replace(load_window=0), SECOND)
+        previous_process.count_free_orders_as_given(it, windowed._replace(load_window=0), SECOND)
         self.assertFalse(it.recent_load_orders)
 
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -10,8 +10,8 @@
 PAGE = Path(__file__).resolve().parent.parent / "docs" / "operate" / "errors.md"
 
 
-def causes():
-    """All types, by 'module.Type'."""
+def error_types():
+    """All error types, by 'module.Type'."""
     for each in pkgutil.walk_packages(threadshift.__path__, "threadshift."):
         if not each.name.endswith("__main__"):
             importlib.import_module(each.name)
@@ -25,18 +25,18 @@
 
 
 class Errors(unittest.TestCase):
-    def test_each_cause_is_told_on_the_operators_page_with_what_it_says_itself(self):
+    def test_the_operators_page_lists_each_type_with_its_help(self):
         rows = dict(re.findall(r"^\| `([\w.]+)` \| .+? \| (.+?) \|$", PAGE.read_text(), re.M))
-        found = causes()
+        found = error_types()
         self.assertEqual(set(rows), set(found))
         self.assertEqual({name: each.help for name, each in found.items()}, rows)
 
-    def test_none_stands_straight_on_exception(self):
-        straight = [path.name for path in Path(threadshift.__path__[0]).rglob("*.py")
+    def test_only_the_base_class_derives_from_exception(self):
+        direct = [path.name for path in Path(threadshift.__path__[0]).rglob("*.py")
                     if re.search(r"^class \w+\(Exception\)", path.read_text(), re.M)]
-        self.assertEqual(straight, ["errors.py"])
+        self.assertEqual(direct, ["errors.py"])
 
-    def test_all_three_print_the_same(self):
+    def test_text_and_fields_agree(self):
         it = ThreadshiftError("what", "where:1")
         self.assertEqual((str(it), it.as_fields()), ("where:1: what", {"problem": "what", "where": "where:1",
                                                                        "help": ThreadshiftError.help}))
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -1,5 +1,6 @@
-"""The five rules over histories: recorded ones, and ones drawn with troubles together that drive the real engine and
-decisions. What a port breaks on the way to the outside must be named: that rule, and no other."""
+"""The five rules, checked on recorded histories and on emulated days with drawn combinations of faults, in which the
+real engine and decisions run. A breach that a test adds on the way to the outside must be found as a breach of that
+rule and of no other."""
 import json
 import random
 import tempfile
@@ -16,81 +17,82 @@
 from threadshift.emulator.run import Emulation
 from threadshift.interface import Effect, WorkerState
 
-RECORDED = Path(__file__).parent / "histories"
-DRAWN = 20                 # days; each takes a third of a second
-MARKED = DAY.replace("effect repeatable", "effect deduplicated\n    memory-span 1s\n    group zone")
+RECORDED_HISTORIES = Path(__file__).parent / "histories"
+DRAWN_DAYS = 20            # each takes a third of a second
+DEDUPLICATED_DAY = DAY.replace("effect repeatable", "effect deduplicated\n    memory-span 1s\n    group zone")
 
 
-class Port(ModelFront):
-    """A front end whose port to the outside can be broken by a test."""
+class TamperingFrontEnd(ModelFront):
+    """A front end whose sends and load orders a test can tamper with."""
 
-    sabotage = None
+    tamper = None
 
     def send(self, worker, pending, number):
         outcome = super().send(worker, pending, number)
-        if self.sabotage and outcome is None:
-            self.sabotage("send", worker, pending, number)
+        if self.tamper and outcome is None:
+            self.tamper("send", worker, pending, number)
         return outcome
 
     def order_load(self, worker, order):
         outcome = super().order_load(worker, order)
-        if self.sabotage and outcome is None and not isinstance(order, Extra):
-            self.sabotage("hold", worker, order)
+        if self.tamper and outcome is None and not isinstance(order, ExtraOrder):
+            self.tamper("hold", worker, order)
         return outcome
 
 
-class Extra(PendingWorkerQuery):
-    """An order that nobody gave; its answer is dropped."""
+class ExtraOrder(PendingWorkerQuery):
+    """A load order that the dispatcher did not give. Its answer is dropped."""
 
     def on_answered(self, *_, **__):
         pass
 
 
-def emulation(text, seed, sabotage=None):
+def emulation(text, seed, tamper=None):
     it = Emulation(read_text(text, seed=seed), seed)
     start = it.start_front
 
-    def broken(n):
+    def start_tampering(n):
         start(n)
         front = it.fronts[f"front-{n}"]
-        front.__class__ = Port
-        front.sabotage = sabotage and sabotage(it, front)
-    it.start_front = broken
+        front.__class__ = TamperingFrontEnd
+        front.tamper = tamper and tamper(it, front)
+    it.start_front = start_tampering
     return it
 
 
-def judged(text, seed=1, sabotage=None):
-    it = emulation(text, seed, sabotage)
+def run_and_judge(text, seed=1, tamper=None):
+    it = emulation(text, seed, tamper)
     it.run()
     return judge(it.day, it.seen())
 
 
-def drawn(seed):
-    """A day with three to five troubles together; every third with deduplicated calls, every fifth loads by order."""
+def drawn_day(seed):
+    """A day with three to five faults. Every third day has deduplicated calls, and on every fifth workers load by
+    order only."""
     chance = random.Random(f"history {seed}")
-    text = MARKED if seed % 3 == 0 else DAY
+    text = DEDUPLICATED_DAY if seed % 3 == 0 else DAY
     if seed % 5 == 0:
         text = text.replace("fleet {", "fleet {\n    loads-on-miss no")
     return text + "".join(f"trouble {kind}\n" for kind in chance.sample(sorted(KINDS), chance.randint(3, 5)))
 
 
-def again(it, front, effect, where):
+def send_again(it, front, effect, where):
     """Sends each call of an effect a second time, to the first worker for which `where` holds."""
-    def act(what, worker, pending, number=0):
+    def tamper(what, worker, pending, number=0):
         if what != "send" or pending.activation.type_stats.effect is not effect or len(pending.sends) > 1:
             return
         other = next((name for name in it.zones if name in front.links and where(name, worker)), None)
         if other is not None:
-            true = front.out.get(other, {}).copy()
+            open_before = front.out.get(other, {}).copy()
             ModelFront.send(front, other, pending, 99)
-            front.out[other] = true             # what the second one answers is nobody's
-    return act
+            front.out[other] = open_before      # drops the answer to the second send
+    return tamper
 
 
-class Recorded(unittest.TestCase):
-    def test_they_are_judged_as_they_were(self):
-        """Folders of records; 'broken-N...' must show rule N and no other."""
-        folders = sorted(RECORDED.iterdir())
+class RecordedHistories(unittest.TestCase):
+    def test_the_recorded_breaches_are_found(self):
+        """A folder named broken-N... must show a breach of rule N and of no other."""
+        folders = sorted(RECORDED_HISTORIES.iterdir())
         self.assertGreaterEqual(len(folders), 3)
         for folder in folders:
             day = read_text((folder / "day.conf").read_text())
@@ -101,98 +103,101 @@
             self.assertEqual(rules, wanted, folder.name)
 
 
-class Seeded(unittest.TestCase):
-    def test_troubles_together_break_no_rule(self):
-        for seed in range(DRAWN):
-            verdict = judged(drawn(seed), seed)
+class DrawnDays(unittest.TestCase):
+    def test_faults_together_break_no_rule(self):
+        for seed in range(DRAWN_DAYS):
+            verdict = run_and_judge(drawn_day(seed), seed)
             self.assertEqual([str(each) for each in verdict.breaches], [], seed)
             self.assertGreater(verdict.finals["completed"], 0, seed)
 
-    def test_the_same_verdict_every_time(self):
+    def test_a_seed_always_gives_the_same_verdict(self):
         for seed in (3, 5):
-            self.assertEqual(judged(drawn(seed), seed).line, judged(drawn(seed), seed).line)
+            self.assertEqual(run_and_judge(drawn_day(seed), seed).line, run_and_judge(drawn_day(seed), seed).line)
 
 
-class Rejected(unittest.TestCase):
-    """Broken on the way to the outside, by a port: found as that rule alone, and only where it is broken."""
+class Tampering(unittest.TestCase):
+    """A breach that is added between the engine and the outside is found, as a breach of its rule only."""
 
-    def both(self, rule, text, sabotage, seed=1):
-        self.assertEqual(judged(text, seed).breaches, [])
-        found = judged(text, seed, sabotage).breaches
+    def check(self, rule, text, tamper, seed=1):
+        self.assertEqual(run_and_judge(text, seed).breaches, [])
+        found = run_and_judge(text, seed, tamper).breaches
         self.assertTrue(found)
         self.assertEqual({each.rule for each in found}, {rule}, [str(each) for each in found[:5]])
 
-    def test_rule_1_a_port_that_answers_twice(self):
+    def test_rule_1_a_call_answered_twice(self):
         def twice(it, front):
             tell = front.tell
             front.tell = lambda pending: (tell(pending), it.clock.after(0, it.received, pending, pending.client))
-        self.both(1, DAY.replace("retries 1", "retries 0"), twice)
+        self.check(1, DAY.replace("retries 1", "retries 0"), twice)
 
-    def test_rule_1_a_port_that_answers_too_late_or_never(self):
+    def test_rule_1_a_call_answered_too_late_or_never(self):
         def late(it, front):
             front.tell = lambda pending: it.clock.after(2_500_000_000, it.received, pending, pending.client)
-        self.both(1, DAY.replace("retries 1", "retries 0"), late)
+        self.check(1, DAY.replace("retries 1", "retries 0"), late)
 
         def never(it, front):
             front.tell = lambda pending: None
-        self.both(1, DAY, never)
+        self.check(1, DAY, never)
 
     def test_rule_2_a_once_only_call_sent_again(self):
-        self.both(2, DAY, lambda it, front: again(it, front, Effect.ONCE_ONLY, lambda one, other: one != other))
+        self.check(2, DAY, lambda it, front: send_again(it, front, Effect.ONCE_ONLY, lambda one, other: one != other))
 
-    def test_rule_2_a_deduplicated_call_sent_to_who_does_not_know_it(self):
-        self.both(2, MARKED.replace("fleet {", "fleet {\n    two-at-once yes"), lambda it, front: again(
+    def test_rule_2_a_deduplicated_call_sent_outside_its_dedup_scope(self):
+        self.check(2, DEDUPLICATED_DAY.replace(
+            "fleet {", "fleet {\n    two-at-once yes"), lambda it, front: send_again(
             it, front, Effect.DEDUPLICATED, lambda one, other: it.zones[one] != it.zones[other]))
 
-    def test_rule_2_a_deduplicated_call_sent_again_when_it_is_forgotten(self):
-        text = MARKED.replace("memory-span 1s", "memory-span 100ms").replace(
+    def test_rule_2_a_deduplicated_call_sent_again_after_its_dedup_window(self):
+        text = DEDUPLICATED_DAY.replace("memory-span 1s", "memory-span 100ms").replace(
             "fleet {", "fleet {\n    two-at-once yes\n").replace("action-timeout 2s", "action-timeout 3s")
 
         def later(it, front):
-            resend = again(it, front, Effect.DEDUPLICATED, lambda one, other: one == other)
+            resend = send_again(it, front, Effect.DEDUPLICATED, lambda one, other: one == other)
 
-            def act(what, worker, pending, number=0):
+            def tamper(what, worker, pending, number=0):
                 if what == "send" and not pending.activation.function.name.endswith("0"):
                     it.clock.after(400_000_000, lambda: pending.is_settled or resend(what, worker, pending, number))
-            return act
-        self.both(2, text + "trouble hang at 2s for 8s workers 6\n", later)
+            return tamper
+        self.check(2, text + "trouble hang at 2s for 8s workers 6\n", later)
 
-    def test_rule_2_two_at_once(self):
-        self.both(2, DAY, lambda it, front: again(it, front, Effect.REPEATABLE, lambda one, other: one != other))
+    def test_rule_2_two_sends_at_the_same_time(self):
+        self.check(2, DAY, lambda it, front: send_again(
+            it, front, Effect.REPEATABLE, lambda one, other: one != other))
 
-    def test_rule_3_a_drain_not_heard(self):
+    def test_rule_3_a_drain_that_is_ignored(self):
         def deaf(it, front):
-            told = front.apply_listings
-            front.apply_listings = lambda listings: told(
+            apply_listings = front.apply_listings
+            front.apply_listings = lambda listings: apply_listings(
                 [each for each in listings if each.state is WorkerState.READY])
-        self.both(3, DAY + "trouble drain at 3s for 4s workers 2\n", deaf)
+        self.check(3, DAY + "trouble drain at 3s for 4s workers 2\n", deaf)
 
-    def test_rule_4_a_cold_worker_pushed_over(self):
+    def test_rule_4_a_cold_worker_over_its_budget(self):
         def push(it, front):
             front.engine.dispatcher.cold_time = 0
-            whom = front.link
+            link_to = front.link
             young = [name for name in it.zones if name != "w0"]
 
             def link(worker):
                 fresh = next((name for name in young if name in front.links
                               and it.clock.now - front.links[name] < 2_000_000_000), worker)
-                return whom(fresh)
+                return link_to(fresh)
             front.link = link
         text = DAY.replace("rate 40", "rate 140").replace("quits 2%", "")
-        self.both(4, text + "trouble crash at 4s for 2s workers 1\n", push)
+        self.check(4, text + "trouble crash at 4s for 2s workers 1\n", push)
 
-    def test_rule_5_orders_past_the_window(self):
+    def test_rule_5_load_orders_beyond_the_windows_limit(self):
         def order(it, front):
-            def act(what, worker, *rest):
+            def tamper(what, worker, *rest):
                 if what == "hold":
                     for _ in range(12):
-                        Port.order_load(front, worker, Extra(front.engine, worker, rest[0].function))
-            return act
-        self.both(5, DAY.replace("fleet {", "fleet {\n    loads-on-miss no"), order)
+                        TamperingFrontEnd.order_load(
+                            front, worker, ExtraOrder(front.engine, worker, rest[0].function))
+            return tamper
+        self.check(5, DAY.replace("fleet {", "fleet {\n    loads-on-miss no"), order)
 
 
-class Unfit(unittest.TestCase):
-    """What cannot show that a promise was kept is an error, never a pass."""
+class InvalidRecords(unittest.TestCase):
+    """Records that cannot show whether the rules were kept are an error, never a pass."""
 
     def records(self, folder, *lines, name="clients"):
         (Path(folder) / f"{name}.jsonl").write_text("".join(json.dumps(line) + "\n" for line in lines))
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -36,7 +36,7 @@
             except ProtocolError as problem:
                 self.assertTrue(str(problem))
 
-    def test_what_is_wrong_is_named(self):
+    def test_protocol_errors_name_what_is_wrong(self):
         good = dict(id=1, function="f", type="t", effect="repeatable", left=1, body=b"")
         cases = (
             (LENGTH.pack(1 << 30), "over the bound"),
@@ -96,8 +96,8 @@
             self.assertEqual(it.size, sum(len(frame) - done for _, frame, done in model))
 
 
-class Redials(unittest.TestCase):
-    def test_pauses_double_to_a_limit_and_are_forgiven_after_a_sound_link(self):
+class Backoff(unittest.TestCase):
+    def test_pauses_double_to_a_limit_and_are_reset_after_a_stable_connection(self):
         it, now = ReconnectBackoff(lambda: 0.5), SECOND
         pauses = []
         for _ in range(8):
@@ -111,15 +111,15 @@
 
 
 def reads_nothing(worker, sock, frames):
-    """A worker that lives, but reads nothing."""
+    """A worker that sends, but never reads."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     while True:
         sock.sendall(encode("pong"))
         gevent.sleep(0.02)
 
 
-def ends(function, script, hello=True, name="w0", **facts):
-    """One call at a gateway whose only worker is played by the script: the reply, the worker, the live rig."""
+def call_once(function, script, hello=True, name="w0", **facts):
+    """One call at a gateway whose only worker runs `script`: the reply, the worker and the gateway."""
     live = Live(workers=0, **facts)
     worker = Scripted(name, script, hello)
     live.extra.append(worker)
@@ -131,7 +131,7 @@
 
 
 class Breaks(unittest.TestCase):
-    """What a broken connection proves, from what really crossed the sockets."""
+    """What is certain after a broken connection, checked over real sockets."""
 
     def test_a_call_that_was_read_and_broken_off_may_have_run(self):
         def script(worker, sock, frames):
@@ -139,21 +139,21 @@
                 if frame["kind"] == "invoke":
                     return
         for function, status, sends in (("submit-x", 502, 1), ("f", 503, 1)):
-            reply, worker, live = ends(function, script)
+            reply, worker, live = call_once(function, script)
             self.assertEqual((reply.status, worker.heard.count("invoke")), (status, sends), function)
             self.assertIn(b'"may-have-run": true', reply.body)
 
-    def test_an_answer_torn_in_the_middle_is_no_answer(self):
+    def test_an_answer_that_is_cut_off_is_no_answer(self):
         def script(worker, sock, frames):
             for frame in frames:
                 if frame["kind"] == "invoke":
                     sock.sendall(encode("result", id=frame["id"], **RESULT)[:9])
                     return
-        reply, worker, live = ends("submit-x", script)
+        reply, worker, live = call_once("submit-x", script)
         self.assertEqual((reply.status, worker.heard.count("invoke")), (502, 1))
         self.assertTrue(any("inside a frame" in each["problem"] for each in live.log.of("link-broke")))
 
-    def test_nothing_listens_so_a_once_only_call_never_ran(self):
+    def test_a_once_only_call_that_nothing_listens_for_never_ran(self):
         live = Live(workers=0)
         with socket.socket() as sock:
             sock.bind(("127.0.0.1", 0))      # bound, not listening: refused
@@ -210,16 +210,16 @@
                 live.__exit__(*args)
         return Ending()
 
-    def test_a_worker_that_says_nothing_more_is_noticed(self):
+    def test_a_silent_worker_is_disconnected(self):
         def script(worker, sock, frames):
             for _ in frames:
-                pass                        # reads, pings too, and answers nothing: half-open from here
-        reply, worker, live = ends("submit-x", script)
+                pass                        # reads, also pings, and answers nothing, like a half-open connection
+        reply, worker, live = call_once("submit-x", script)
         self.assertEqual((reply.status, worker.heard.count("invoke")), (502, 1))
         self.assertIn("ping", worker.heard)
         self.assertTrue(any("silent" in each["problem"] for each in live.log.of("link-broke")))
 
-    def test_a_worker_that_never_reads_fills_a_bound_and_no_more(self):
+    def test_a_worker_that_never_reads_fills_its_buffer_and_no_more(self):
         live = Live(workers=0, bounds="worker-buffer 300K\nwrite 300ms\nbody 200K\n")
         worker = Scripted("w0", reads_nothing)
         live.extra.append(worker)
@@ -244,12 +244,12 @@
                     sock.sendall(encode("result", id=999, **RESULT))
                 elif frame["kind"] == "ping":
                     sock.sendall(encode("pong"))
-        reply, worker, live = ends("submit-x", script)
+        reply, worker, live = call_once("submit-x", script)
         self.assertEqual((reply.status, reply.body, live.front.engine.counts["answered completed"]), (200, b"ok", 1))
 
-    def test_what_waited_for_the_link_does_not_go_to_another_life_of_the_worker(self):
-        """It was sent to a warm worker, and would all arrive at once at a cold one, past its budget (rule 4), or at
-        one that drains (rule 3)."""
+    def test_queued_sends_do_not_go_to_a_restarted_or_draining_worker(self):
+        """The sends were meant for a warm worker. All at once they would exceed the budget of a cold one (rule 4),
+        and a draining one must not get them (rule 3)."""
         running = []
         for news in (dict(started=2_000 * SECOND), dict(started=SECOND, draining=True)):
             lives, later = [], []
@@ -276,12 +276,12 @@
                 until(lambda lives=lives: len(lives) > 1)
                 reply = live.call("submit-y", time_left="900")
                 outcomes = [sent["outcome"] for sent in live.log.of("final")[-1]["sends"]]
-            # Taken back as never run, then decided anew with the news: for a cold one by its budget, else not at all.
+            # They end as never run and are decided anew: within the budget of a cold worker, none for a draining one.
             self.assertEqual(outcomes[0], "unreachable")
             self.assertEqual(later.count("invoke"), len(outcomes) - 1)
             self.assertEqual(reply.headers["final"], "rejected" if "draining" in news else "aborted")
 
-    def test_what_waited_for_the_link_tells_the_time_that_is_left_then(self):
+    def test_queued_sends_carry_the_time_left_when_they_are_written(self):
         begun, seen = [], []
 
         def script(worker, sock, frames):
@@ -306,8 +306,8 @@
         self.assertLessEqual(left, begun[0] + 900 * MS - at + 150 * MS)
         live.__exit__()
 
-    def test_what_a_full_socket_holds_up_is_taken_back_when_the_worker_drains(self):
-        """Written once the worker read again, it would have been new to it past the grace (rule 3)."""
+    def test_sends_delayed_by_a_full_socket_are_withdrawn_when_the_worker_drains(self):
+        """Written when the worker reads again, they would be new sends after the drain grace (rule 3)."""
         live = Live(workers=0, bounds="worker-buffer 32M\nwrite 3s\nbody 4M\nframe 8M\n")
         worker = Scripted("w0", reads_nothing)
         live.extra.append(worker)
@@ -322,7 +322,7 @@
             until(lambda: not outbox.unwritten, 1.0)
             gevent.joinall(calls)
 
-    def test_a_cancel_of_what_never_left_leaves_nothing(self):
+    def test_an_unsent_frame_can_be_withdrawn_and_a_partly_written_one_cannot(self):
         it = Outbox(1000)
         it.put(1, b"abc")
         it.put(2, b"def")
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -22,7 +22,7 @@
 from tests.live import free_port, until
 from tests.platform import (
     SETTINGS, Client, Coordinator, Platform, Worker, begin, configuration, event, instance, params, request, serve)
-from tests.test_engine import ask, engine
+from tests.test_engine import make_call, make_engine
 from threadshift.conf.values import Address
 from threadshift.coordinator import freshness
 from threadshift.fastcgi import connection_eviction
@@ -196,8 +196,8 @@
     def test_a_send_that_has_not_left_does_not_once_its_client_is_gone(self):
         # Where cancels are not allowed, it left as soon as its connection came up.
         for may_cancel in (True, False):
-            it, fleet = engine(workers=1, may_cancel=may_cancel)
-            pending = it.admit(0, "a", ask(Effect.ONCE_ONLY))
+            it, fleet = make_engine(workers=1, may_cancel=may_cancel)
+            pending = it.admit(0, "a", make_call(Effect.ONCE_ONLY))
             fleet.waiting.add(("w0", "a"))
             pending.on_client_gone(MS)
             self.assertEqual([entry[0] for entry in fleet.log][-1], "cancel" if may_cancel else "withdrawn")
@@ -235,9 +235,9 @@
             self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [B])
 
     def test_a_close_that_lies_unread_stops_the_next_send(self):
-        it, fleet = engine(workers=2, at_once=[Outcome.FULL])
-        fleet.at_once.clear()
-        pending = it.admit(0, "a", ask())
+        it, fleet = make_engine(workers=2, immediate_outcomes=[Outcome.FULL])
+        fleet.immediate_outcomes.clear()
+        pending = it.admit(0, "a", make_call())
         fleet.gone_unread.add("a")
         pending.on_send_ended(MS, 0, Outcome.FULL)
         self.assertEqual((len(fleet.sends()), pending.client_gone, it.owed, it.requests), (1, True, 0, {}))
@@ -317,8 +317,8 @@
         peer.close()
 
     def test_a_repeat_that_waits_past_the_memory_of_the_first_send_does_not_leave(self):
-        it, fleet = engine(workers=2)             # the memory span of the tests' types is 2 s
-        pending = it.admit(0, "a", ask(Effect.DEDUPLICATED, left=4 * SECOND))
+        it, fleet = make_engine(workers=2)             # the memory span of the tests' types is 2 s
+        pending = it.admit(0, "a", make_call(Effect.DEDUPLICATED, left=4 * SECOND))
         fleet.waiting |= {("w0", "a"), ("w1", "a")}
         pending.on_send_ended(1900 * MS, 0, Outcome.RESET)
         self.assertEqual(len(fleet.sends()), 2)
