--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -24,55 +24,55 @@
 class Registry(unittest.TestCase):
     def setUp(self):
         self.it = WorkerRegistry(SECOND)
-        self.it.listed(0, WALL, [entry("a"), entry("b")], full=True)
+        self.it.apply_current(0, WALL, [entry("a"), entry("b")], full=True)
 
     def test_a_worker_that_a_full_list_lacks_is_gone(self):
-        self.assertEqual(states(self.it.listed(1, WALL, [entry("a")], full=True)), {"a": READY, "b": GONE})
-        self.assertEqual(states(self.it.listed(2, WALL, [entry("b")], full=False)), {"b": READY})
+        self.assertEqual(states(self.it.apply_current(1, WALL, [entry("a")], full=True)), {"a": READY, "b": GONE})
+        self.assertEqual(states(self.it.apply_current(2, WALL, [entry("b")], full=False)), {"b": READY})
 
     def test_a_workers_own_report_that_it_drains_holds_until_its_restart(self):
-        self.it.hello(5 * SECOND, WALL, "a", WALL - 9 * SECOND)
-        self.assertEqual(states(self.it.draining("a")), {"a": DRAINING})
-        self.assertEqual(self.it.draining("a"), [])
-        self.assertEqual(states(self.it.listed(1, WALL, [entry("a")], full=False)), {"a": DRAINING})
-        self.assertEqual(states(self.it.listed(1, WALL, [entry("a", GONE)], full=False)), {"a": GONE})
-        self.assertEqual(states(self.it.listed(1, WALL, [entry("a")], full=False)), {"a": DRAINING})
-        self.assertEqual(states(self.it.hello(6 * SECOND, WALL + SECOND, "a", WALL + SECOND)), {"a": READY})
+        self.it.on_hello(5 * SECOND, WALL, "a", WALL - 9 * SECOND)
+        self.assertEqual(states(self.it.on_draining("a")), {"a": DRAINING})
+        self.assertEqual(self.it.on_draining("a"), [])
+        self.assertEqual(states(self.it.apply_current(1, WALL, [entry("a")], full=False)), {"a": DRAINING})
+        self.assertEqual(states(self.it.apply_current(1, WALL, [entry("a", GONE)], full=False)), {"a": GONE})
+        self.assertEqual(states(self.it.apply_current(1, WALL, [entry("a")], full=False)), {"a": DRAINING})
+        self.assertEqual(states(self.it.on_hello(6 * SECOND, WALL + SECOND, "a", WALL + SECOND)), {"a": READY})
 
     def test_an_empty_list_is_believed_late_and_within_the_grace(self):
-        self.assertEqual(self.it.listed(SECOND, WALL, [], full=True), [])
+        self.assertEqual(self.it.apply_current(SECOND, WALL, [], full=True), [])
         self.assertEqual(self.it.tick(SECOND + 400 * MS), [])
         self.assertEqual(states(self.it.tick(SECOND + 500 * MS)), {"a": GONE, "b": GONE})
-        self.assertEqual(self.it.listed(3 * SECOND, WALL, [], full=True), [])
+        self.assertEqual(self.it.apply_current(3 * SECOND, WALL, [], full=True), [])
 
     def test_an_empty_list_that_is_corrected_soon_changes_nothing(self):
-        self.it.listed(SECOND, WALL, [], full=True)
-        self.it.listed(SECOND + 100 * MS, WALL, [entry("a"), entry("b")], full=True)
+        self.it.apply_current(SECOND, WALL, [], full=True)
+        self.it.apply_current(SECOND + 100 * MS, WALL, [entry("a"), entry("b")], full=True)
         self.assertEqual(self.it.tick(9 * SECOND), [])
 
     def test_workers_gone_for_long_are_forgotten(self):
         """Replacements have new names. Memory and status grew with every worker there had ever been."""
         for n in range(300):
             now = n * SECOND
-            self.it.listed(now, WALL + now, [entry(f"n{n}")], full=True)
+            self.it.apply_current(now, WALL + now, [entry(f"n{n}")], full=True)
             self.it.forget(now, {"n7"})
         self.assertLess(len(self.it.known), 70)
         self.assertIn("n7", self.it.known)          # it still has a link
         self.assertIn("n299", self.it.known)
-        self.assertEqual(states(self.it.listed(now, WALL + now, [entry("n0")], full=False)), {"n0": READY})
+        self.assertEqual(states(self.it.apply_current(now, WALL + now, [entry("n0")], full=False)), {"n0": READY})
 
     def test_a_start_time_is_converted_to_the_monotonic_clock_once(self):
         # A step of the wall clock, or one start reported by two clocks, must not look like a restart.
-        first = self.it.hello(10 * SECOND, WALL, "a", WALL - 3 * SECOND)[0].started_at
+        first = self.it.on_hello(10 * SECOND, WALL, "a", WALL - 3 * SECOND)[0].started_at
         self.assertEqual(first, 7 * SECOND)
-        self.assertEqual(self.it.hello(11 * SECOND, WALL + 3600 * SECOND, "a", WALL - 3 * SECOND), [])
-        again = self.it.listed(12 * SECOND, WALL - SECOND, [entry("a", started=WALL - 2 * SECOND)], full=False)
+        self.assertEqual(self.it.on_hello(11 * SECOND, WALL + 3600 * SECOND, "a", WALL - 3 * SECOND), [])
+        again = self.it.apply_current(12 * SECOND, WALL - SECOND, [entry("a", started=WALL - 2 * SECOND)], full=False)
         self.assertEqual(again[0].started_at, first)
-        later = self.it.hello(20 * SECOND, WALL + 10 * SECOND, "a", WALL + 9 * SECOND)[0].started_at
+        later = self.it.on_hello(20 * SECOND, WALL + 10 * SECOND, "a", WALL + 9 * SECOND)[0].started_at
         self.assertEqual(later, 19 * SECOND)
 
     def test_a_start_in_the_future_counts_as_now(self):
-        self.assertEqual(self.it.hello(SECOND, WALL, "a", WALL + 60 * SECOND)[0].started_at, SECOND)
+        self.assertEqual(self.it.on_hello(SECOND, WALL, "a", WALL + 60 * SECOND)[0].started_at, SECOND)
 
 
 class Sources(unittest.TestCase):
@@ -80,7 +80,7 @@
         self.lists, self.notes = [], []
         self.feed = FeedSource(AT, "front", None, self, lambda: 0.5)
 
-    def listed(self, entries, full):
+    def on_list(self, entries, full):
         self.lists.append(([each.worker for each in entries], full))
 
     def note(self, event, **fields):
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -421,7 +421,7 @@
     def test_one_is_believed_within_the_grace_of_when_it_counts_as_told(self, grace_ms, late_ms):
         grace, told, read = grace_ms * MS, 10 * SECOND, 10 * SECOND + late_ms * MS
         it = WorkerRegistry(grace)
-        it.listed(0, 0, [WorkerEntry("a", ANY)], full=True)
+        it.apply_current(0, 0, [WorkerEntry("a", ANY)], full=True)
         changed = it.apply(read, 0, WorkerList([], full=True), told)
         while not changed:
             read += 5 * MS                  # the timer's tick
@@ -433,9 +433,9 @@
 
     def test_workers_told_of_after_it_are_not_gone_with_those_before(self):
         it = WorkerRegistry(SECOND)
-        it.listed(0, 0, [WorkerEntry("a", ANY), WorkerEntry("b", ANY)], full=True)
-        it.listed(SECOND, 0, [], full=True)
-        it.listed(SECOND + MS, 0, [WorkerEntry("b", ANY), WorkerEntry("c", ANY)], full=False)
+        it.apply_current(0, 0, [WorkerEntry("a", ANY), WorkerEntry("b", ANY)], full=True)
+        it.apply_current(SECOND, 0, [], full=True)
+        it.apply_current(SECOND + MS, 0, [WorkerEntry("b", ANY), WorkerEntry("c", ANY)], full=False)
         self.assertEqual([each.worker for each in it.tick(2 * SECOND)], ["a"])
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -182,7 +182,7 @@
             live.front.send = lambda worker, pending, number: to.append(worker) or sent(worker, pending, number)
             # The word lies unread behind the call: it is heard by the next greenlet to run.
             live.front.api.poll_monitor.unread_time = lambda now: (
-                gevent.spawn(live.front.listed, [drains], False) and 200 * MS)
+                gevent.spawn(live.front.on_list, [drains], False) and 200 * MS)
             self.assertEqual(live.call("f").status, 200)
             self.assertNotIn(home, to)
 
@@ -200,7 +200,7 @@
             job = gevent.spawn(live.call, "f", work_hint="100")
             until(lambda: live.front.engine.owed)
             live.front.api.poll_monitor.unread_time = lambda now: (
-                gevent.spawn(live.front.listed, [drains], False) and 200 * MS)
+                gevent.spawn(live.front.on_list, [drains], False) and 200 * MS)
             job.join()
             self.assertEqual(states, [WorkerState.DRAINING])
 
--- a/threadshift/discovery/registry.py
+++ b/threadshift/discovery/registry.py
@@ -101,7 +101,7 @@
     empty_since: int | None = None   # since when an empty list that is not believed yet may count as told
     missing: set[str] = field(default_factory=set)   # workers that the empty list lacked and no list named since
 
-    def listed(self, now: int, wall: int, entries: Iterable[WorkerEntry], full: bool) -> list[WorkerListing]:
+    def apply_current(self, now: int, wall: int, entries: Iterable[WorkerEntry], full: bool) -> list[WorkerListing]:
         """Applies a list that counts as told now; see apply()."""
         return self.apply(now, wall, WorkerList(list(entries), full), now)
 
@@ -174,12 +174,12 @@
                 del self.known[name]
                 self.gone.discard(name)
 
-    def hello(self, now: int, wall: int, name: str, started: int) -> list[WorkerListing]:
+    def on_hello(self, now: int, wall: int, name: str, started: int) -> list[WorkerListing]:
         """A worker's hello with its start time."""
         one = self.known.get(name)
         return [self.listing(one)] if one and self.update_start(one, now, wall, started) else []
 
-    def draining(self, name: str) -> list[WorkerListing]:
+    def on_draining(self, name: str) -> list[WorkerListing]:
         """A worker's own report that it drains."""
         one = self.known.get(name)
         if one is None or one.drains:
--- a/threadshift/discovery/sources.py
+++ b/threadshift/discovery/sources.py
@@ -30,7 +30,7 @@
 class ListListener(Protocol):
     """What takes the lists that a source reads."""
 
-    def listed(self, entries: list[WorkerEntry], full: bool) -> None: ...
+    def on_list(self, entries: list[WorkerEntry], full: bool) -> None: ...
     def note(self, event: str, **fields: Any) -> None: ...
 
 
@@ -95,7 +95,7 @@
             raise InvalidWorkerList("an entry is not a map")
         self.generation = frame["generation"]
         self.backoff.on_connected(time.monotonic_ns())
-        self.listener.listed(entries, full)
+        self.listener.on_list(entries, full)
 
 
 # Optional facts of a worker line, with the functions that read them.
@@ -149,4 +149,4 @@
         except Mistake as problem:
             self.listener.note("roster-unreadable", problem=str(problem))
             return
-        self.listener.listed(entries, full=True)
+        self.listener.on_list(entries, full=True)
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -132,7 +132,7 @@
         self.engine.admit(self.clock.now, f"{self.name}-{self.serial}", call, client)
 
     def listed(self, entries: list[WorkerEntry], full: bool) -> None:
-        self.apply_listings(self.registry.listed(self.clock.now, self.clock.now, entries, full))
+        self.apply_listings(self.registry.apply_current(self.clock.now, self.clock.now, entries, full))
         for each in entries:
             if each.state is not WorkerState.GONE and each.worker not in self.links:
                 self.dial(each.worker)
@@ -142,7 +142,7 @@
             self.engine.update_workers(self.clock.now, listings, full=False)
 
     def drains(self, worker: str) -> None:
-        self.apply_listings(self.registry.draining(worker))
+        self.apply_listings(self.registry.on_draining(worker))
 
     def stop(self) -> None:
         if self.backlog is None:
@@ -210,7 +210,7 @@
             return
         self.links[worker] = it.started
         self.backoffs.setdefault(worker, ReconnectBackoff(self.chance)).on_connected(self.clock.now)
-        self.apply_listings(self.registry.hello(self.clock.now, self.clock.now, worker, it.started))
+        self.apply_listings(self.registry.on_hello(self.clock.now, self.clock.now, worker, it.started))
         if it.draining:
             self.drains(worker)
 
--- a/threadshift/gateway/base_front_end.py
+++ b/threadshift/gateway/base_front_end.py
@@ -144,7 +144,7 @@
 
     # What the roster tells.
 
-    def listed(self, entries: Collection[WorkerEntry], full: bool) -> None:
+    def on_list(self, entries: Collection[WorkerEntry], full: bool) -> None:
         """News that counts as told as it is read."""
         self.apply_list(WorkerList(list(entries), full), time.monotonic_ns())
 
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -134,24 +134,24 @@
 
     # What links and the roster tell.
 
-    def hello(self, worker: str, hello: Frame) -> str:
+    def on_hello(self, worker: str, hello: Frame) -> str:
         """A worker's hello; what is wrong with it, if anything."""
         if hello["name"] != worker:
             return f"this is {worker}'s address, and you are {hello['name'][:64]!r}"
         started = hello.get("started", 0)
         if not isinstance(started, int) or started < 0:
             return "'started' is not a time"
-        self.change(self.registry.hello(time.monotonic_ns(), time.time_ns(), worker, started))
+        self.change(self.registry.on_hello(time.monotonic_ns(), time.time_ns(), worker, started))
         self.note("link-up", worker=worker, level="debug")
         if hello.get("draining"):
-            self.draining(worker)
+            self.on_draining(worker)
         return ""
 
     def has_unread_update(self) -> bool:
         return self.feed is not None and self.feed.unread()
 
-    def draining(self, worker: str) -> None:
-        listings = self.registry.draining(worker)
+    def on_draining(self, worker: str) -> None:
+        listings = self.registry.on_draining(worker)
         if listings:
             self.note("worker-drains", worker=worker)
         self.change(listings)
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -35,9 +35,9 @@
     # Called before answers are handled; may wait for a moment.
     def catch_up_after_stall(self) -> None: ...
     # The worker's hello arrived. A text that is returned is the reason why the link is refused.
-    def hello(self, worker: str, hello: Frame) -> str: ...
+    def on_hello(self, worker: str, hello: Frame) -> str: ...
     # The worker says that it drains.
-    def draining(self, worker: str) -> None: ...
+    def on_draining(self, worker: str) -> None: ...
     def note(self, event: str, **fields: Any) -> None: ...
 
 
@@ -208,7 +208,7 @@
             if self.receivers:
                 self.owner.catch_up_after_stall()
             if not self.stopped:
-                self.on_disconnected(problem)
+                self.on_connection_lost(problem)
 
     def exchange_hellos(self, decoder: FrameDecoder) -> None:
         """Sends and reads a hello. The owner checks that the worker is the one listed with this address."""
@@ -231,7 +231,7 @@
             raise ProtocolError(f"'{hello['kind']}' came before hello")
         if hello["version"] != VERSION:
             raise ProtocolError(f"protocol version {hello['version']} is not supported, version {VERSION} is")
-        problem = self.owner.hello(self.worker, hello)
+        problem = self.owner.on_hello(self.worker, hello)
         if problem:
             raise ProtocolError(problem)
         if self.extension is not None:
@@ -304,7 +304,7 @@
                 self.extension.on_frame(self.worker, frame)
             return
         if kind == "draining":
-            self.owner.draining(self.worker)
+            self.owner.on_draining(self.worker)
             return
         if kind == "refused":
             raise OSError(f"refused by the worker: {frame['reason'][:200]}")
@@ -343,7 +343,7 @@
                 self.sock.settimeout(0)
                 self.sock.send(encode("refused", reason=reason))
 
-    def on_disconnected(self, problem: str) -> None:
+    def on_connection_lost(self, problem: str) -> None:
         """Ends all sends and queries: UNREACHABLE where nothing was written, else RESET. Sets the next attempt."""
         now = time.monotonic_ns()
         self.not_before = self.backoff.on_disconnected(now)
@@ -359,4 +359,4 @@
         """Ends the link and its greenlets. Sends and queries end as after a broken connection."""
         self.stopped = True
         self.greenlet.kill()
-        self.on_disconnected("stopped")
+        self.on_connection_lost("stopped")
