--- a/benchmarks/flat_workers.py
+++ b/benchmarks/flat_workers.py
@@ -7,7 +7,7 @@
 
 from threadshift.conf.values import Address
 from threadshift.links.codec import VERSION, FrameDecoder, encode
-from threadshift.links.sockets import READ, listener
+from threadshift.links.sockets import READ_SIZE, listener
 
 
 def serve(name, sock, wait):
@@ -19,7 +19,7 @@
 
 def converse(name, sock, wait):
     frames = FrameDecoder(1 << 22)
-    while data := sock.recv(READ):
+    while data := sock.recv(READ_SIZE):
         out = []
         for frame in frames.feed(data):
             if frame["kind"] == "hello":
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -14,7 +14,7 @@
 from threadshift.invoke.http import Connection, TimeoutMonitor
 from threadshift.invoke.requests import Response
 from threadshift.links.codec import VERSION, FrameDecoder, encode
-from threadshift.links.sockets import READ, connect, listener
+from threadshift.links.sockets import READ_SIZE, connect, listener
 
 
 class Relay:
@@ -53,7 +53,7 @@
 
     def read(self, sock):
         frames = FrameDecoder(1 << 22)
-        while data := sock.recv(READ):
+        while data := sock.recv(READ_SIZE):
             for frame in frames.feed(data):
                 if frame["kind"] == "result":
                     self.waiting.pop(frame["id"]).respond(
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -25,7 +25,7 @@
             got += cut.feed(stream[at:at + size])
             at += size
         self.assertEqual([frame["body"] for frame in got], bodies)
-        self.assertFalse(cut.has_partial_frame)
+        self.assertFalse(cut.is_mid_frame)
 
     @settings(max_examples=500, deadline=None, derandomize=True)
     @given(st.binary(max_size=200))
--- a/threadshift/bgp/speaker.py
+++ b/threadshift/bgp/speaker.py
@@ -22,7 +22,7 @@
 from threadshift.bgp.session import Neighbour, Session, State, Them, Us
 from threadshift.conf.values import Address
 from threadshift.interface import MS, SECOND
-from threadshift.links.sockets import READ, listener
+from threadshift.links.sockets import READ_SIZE, listener
 
 DIAL_LIMIT = 3 * SECOND    # ns; a router of this site answers within ms
 WRITE_LIMIT = 5 * SECOND   # ns; bytes that no peer takes
@@ -64,7 +64,7 @@
             self.sock.settimeout(None)
             self.wire.up(self)
             self.greenlets.spawn(self.write)
-            while not self.closing and (data := self.sock.recv(READ)):
+            while not self.closing and (data := self.sock.recv(READ_SIZE)):
                 if not self.closing:
                     self.wire.data(self, data)
         except OSError as failed:
@@ -235,7 +235,7 @@
         with suppress(OSError), gevent.Timeout(CLOSE_LIMIT / SECOND, False):
             sock.sendall(codec.write_notification(codec.CEASE, subcode))
             sock.shutdown(socket.SHUT_WR)
-            while sock.recv(READ):
+            while sock.recv(READ_SIZE):
                 pass
         sock.close()
 
--- a/threadshift/coordinator/stream.py
+++ b/threadshift/coordinator/stream.py
@@ -17,7 +17,7 @@
 from threadshift.coordinator.freshness import LONGEST_PAUSE, Freshness
 from threadshift.interface import MS, SECOND
 from threadshift.links.redial import ReconnectBackoff
-from threadshift.links.sockets import READ, connect, has_events
+from threadshift.links.sockets import READ_SIZE, connect, has_events
 from threadshift.log import exception_fields
 
 PATH = "/v2/stream"
@@ -152,7 +152,7 @@
     def read(self, sock: socket.socket, response: Response) -> None:
         """Applies the events of one connection until it ends. Raises OSError, InvalidEvent, MissingEvents."""
         parser = EventParser()
-        while not response.ended and (data := sock.recv(READ)):
+        while not response.ended and (data := sock.recv(READ_SIZE)):
             body = response.feed(data)
             if response.begun:
                 self.freshness.received(time.monotonic_ns())
--- a/threadshift/discovery/registry.py
+++ b/threadshift/discovery/registry.py
@@ -9,8 +9,8 @@
 - A worker that a full list lacks is gone. One whose entry is in the list and cannot be read stays as it was, unless
   it can be read that it drains or is gone.
 - A full list that is empty, while ready workers were listed, is most likely a fault of the roster. It is believed
-  half the drain grace after the time from which it may count as told. It still says that all workers are gone, and
-  rule 3 (no new sends once the drain grace after such news is over) counts from that time.
+  half the drain grace after the front end may count as notified of it. It still says that all workers are gone, and
+  rule 3 (no new sends once the drain grace after such news is over) counts from the notification.
 """
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
     """One worker, from all sources."""
 
     entry: WorkerEntry
-    started: int = 0             # the latest start reported by either source, wall clock ns
+    wall_started_at: int = 0     # the latest start reported by either source, wall clock ns; 0: unknown
     started_at: int = 0          # the same in this process's clock; 0: unknown
     drains: bool = False         # the worker itself said so, since that start
     gone_since: int = 0          # when forget() first found it gone without a link, this process's clock
@@ -98,21 +98,22 @@
     same_start_tolerance: int = SAME_START_TOLERANCE     # ns; 0 where all start times come from one clock
     known: dict[str, KnownWorker] = field(default_factory=dict)
     gone: set[str] = field(default_factory=set)      # the known workers that are gone
-    empty_since: int | None = None   # since when an empty list that is not believed yet may count as told
+    empty_since: int | None = None   # the notification time of an empty list that is not believed yet
     missing: set[str] = field(default_factory=set)   # workers that the empty list lacked and no list named since
 
     def apply_current(self, now: int, wall: int, entries: Iterable[WorkerEntry], full: bool) -> list[WorkerListing]:
-        """Applies a list that counts as told now; see apply()."""
+        """Applies a list of which the front end counts as notified now; see apply()."""
         return self.apply(now, wall, WorkerList(list(entries), full), now)
 
-    def apply(self, now: int, wall: int, workers: WorkerList, told_since: int) -> list[WorkerListing]:
-        """Applies a list that may count as told since `told_since`; returns the changed listings, gone ones included.
-        `wall` is the wall clock at `now`."""
+    def apply(self, now: int, wall: int, workers: WorkerList, notified_since: int) -> list[WorkerListing]:
+        """Applies a list of which the front end may count as notified since `notified_since`.
+
+        Returns the changed listings, gone ones included. `wall` is the wall clock at `now`."""
         present = workers.names()
         if workers.full and workers.empty and any(
                 self.state(each) is WorkerState.READY for each in self.known.values()):
             if self.empty_since is None:
-                self.empty_since, self.missing = told_since, self.not_gone()
+                self.empty_since, self.missing = notified_since, self.not_gone()
             return self.tick(now)
         if workers.full:
             self.empty_since = None
@@ -129,33 +130,33 @@
 
     def update_entry(self, now: int, wall: int, entry: WorkerEntry) -> WorkerListing:
         """Takes over a worker's entry."""
-        one = self.known.setdefault(entry.worker, KnownWorker(entry))
-        one.entry = entry
-        self.update_gone(entry.worker, one)
-        self.update_start(one, now, wall, entry.started)
-        return self.listing(one)
+        worker = self.known.setdefault(entry.worker, KnownWorker(entry))
+        worker.entry = entry
+        self.update_gone(entry.worker, worker)
+        self.update_start(worker, now, wall, entry.started)
+        return self.listing(worker)
 
     def set_state(self, name: str, state: WorkerState) -> WorkerListing:
         """Sets the state that the roster has for a worker."""
-        one = self.known[name]
-        one.entry.state = state
-        self.update_gone(name, one)
-        return self.listing(one)
+        worker = self.known[name]
+        worker.entry.state = state
+        self.update_gone(name, worker)
+        return self.listing(worker)
 
-    def update_gone(self, name: str, one: KnownWorker) -> None:
+    def update_gone(self, name: str, worker: KnownWorker) -> None:
         """Adds the worker to `gone` or removes it, by its entry."""
-        if one.entry.state is WorkerState.GONE:
+        if worker.entry.state is WorkerState.GONE:
             self.gone.add(name)
         else:
             self.gone.discard(name)
-            one.gone_since = 0
+            worker.gone_since = 0
 
-    def update_start(self, one: KnownWorker, now: int, wall: int, started: int) -> bool:
+    def update_start(self, worker: KnownWorker, now: int, wall: int, started: int) -> bool:
         """Takes over a start time if it is later than the known one. The first is no restart, but counts for warming.
         Returns whether it was taken over."""
-        if started <= one.started + (self.same_start_tolerance if one.started else 0):
+        if started <= worker.wall_started_at + (self.same_start_tolerance if worker.wall_started_at else 0):
             return False
-        one.started, one.started_at, one.drains = started, max(1, now - max(0, wall - started)), False
+        worker.wall_started_at, worker.started_at, worker.drains = started, max(1, now - max(0, wall - started)), False
         return True
 
     def forget(self, now: int, linked: Container[str]) -> None:
@@ -165,27 +166,27 @@
         reports in its hello what was forgotten: when it started and that it drains.
         """
         for name in list(self.gone):
-            one = self.known[name]
+            worker = self.known[name]
             if name in linked:
-                one.gone_since = 0
-            elif not one.gone_since:
-                one.gone_since = now
-            elif now - one.gone_since >= FORGET_AFTER:
+                worker.gone_since = 0
+            elif not worker.gone_since:
+                worker.gone_since = now
+            elif now - worker.gone_since >= FORGET_AFTER:
                 del self.known[name]
                 self.gone.discard(name)
 
     def on_hello(self, now: int, wall: int, name: str, started: int) -> list[WorkerListing]:
         """A worker's hello with its start time."""
-        one = self.known.get(name)
-        return [self.listing(one)] if one and self.update_start(one, now, wall, started) else []
+        worker = self.known.get(name)
+        return [self.listing(worker)] if worker and self.update_start(worker, now, wall, started) else []
 
     def on_draining(self, name: str) -> list[WorkerListing]:
         """A worker's own report that it drains."""
-        one = self.known.get(name)
-        if one is None or one.drains:
+        worker = self.known.get(name)
+        if worker is None or worker.drains:
             return []
-        one.drains = True
-        return [self.listing(one)]
+        worker.drains = True
+        return [self.listing(worker)]
 
     def tick(self, now: int) -> list[WorkerListing]:
         """Believes an empty list after half the drain grace."""
@@ -195,11 +196,12 @@
         return [self.set_state(name, WorkerState.GONE) for name in sorted(self.missing & self.not_gone())]
 
     @staticmethod
-    def state(one: KnownWorker) -> WorkerState:
+    def state(worker: KnownWorker) -> WorkerState:
         """The state from both sources."""
-        return WorkerState.DRAINING if one.drains and one.entry.state is WorkerState.READY else one.entry.state
+        return (WorkerState.DRAINING if worker.drains and worker.entry.state is WorkerState.READY
+                else worker.entry.state)
 
-    def listing(self, one: KnownWorker) -> WorkerListing:
+    def listing(self, worker: KnownWorker) -> WorkerListing:
         """The worker as the dispatcher needs it."""
-        entry = one.entry
-        return WorkerListing(entry.worker, self.state(one), entry.zone, entry.cell, one.started_at, entry.size)
+        entry = worker.entry
+        return WorkerListing(entry.worker, self.state(worker), entry.zone, entry.cell, worker.started_at, entry.size)
--- a/threadshift/discovery/sources.py
+++ b/threadshift/discovery/sources.py
@@ -21,7 +21,7 @@
 from threadshift.interface import MS, SECOND, WorkerState
 from threadshift.links.codec import VERSION, FrameDecoder, ProtocolError, encode
 from threadshift.links.redial import ReconnectBackoff
-from threadshift.links.sockets import READ, connect, has_events
+from threadshift.links.sockets import READ_SIZE, connect, has_events
 
 POLL_INTERVAL = 500 * MS       # of a file; a change is noticed about as soon as a feed would report it
 FEED_TIMEOUT = 30 * SECOND     # without a byte, not even a keepalive, the feed is dialled anew
@@ -44,7 +44,7 @@
         self.generation: int | None = None
         self.sock: socket.socket | None = None
 
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether data of the feed has arrived and is not read yet."""
         return self.sock is not None and has_events(self.sock, select.POLLIN)
 
@@ -65,7 +65,7 @@
             sock.sendall(encode("hello", version=VERSION, name=self.name))
             sock.settimeout(FEED_TIMEOUT / SECOND)
             decoder = FrameDecoder(self.bounds.frame)
-            while data := sock.recv(READ):
+            while data := sock.recv(READ_SIZE):
                 for frame in decoder.feed(data):
                     self.handle_frame(frame)
             return "closed by the feed"
--- a/threadshift/gateway/base_front_end.py
+++ b/threadshift/gateway/base_front_end.py
@@ -148,7 +148,7 @@
         """News that counts as told as it is read."""
         self.apply_list(WorkerList(list(entries), full), time.monotonic_ns())
 
-    def apply_list(self, workers: WorkerList, told_since: int) -> None:
+    def apply_list(self, workers: WorkerList, notified_since: int) -> None:
         """All that was told at once of workers in use is known before any link is made or ended: what a link's end
         lets be sent again must not go to a worker that the same news says drains.
 
@@ -157,7 +157,7 @@
         now = self.list_applied_at = time.monotonic_ns()
         self.roster_lost = False
         before = self.registry.empty_since
-        listings = self.registry.apply(now, time.time_ns(), workers, told_since)
+        listings = self.registry.apply(now, time.time_ns(), workers, notified_since)
         if self.registry.empty_since is not None and before is None:
             self.note("roster-empty", level="warning", held_ms=self.registry.grace // 2 // MS)
         listings = self.postpone_new(listings)
@@ -166,7 +166,7 @@
             link.stop()
         self.take_back(listings)
         self.note("list-applied", listed=len(workers.entries), full=workers.full, changed=len(listings),
-                  joining=len(self.joining), told_ms=(now - told_since) // MS if told_since else None,
+                  joining=len(self.joining), told_ms=(now - notified_since) // MS if notified_since else None,
                   took_ms=(time.monotonic_ns() - now) // MS)
 
     def postpone_new(self, listings: list[WorkerListing]) -> list[WorkerListing]:
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -148,7 +148,7 @@
         return ""
 
     def has_unread_update(self) -> bool:
-        return self.feed is not None and self.feed.unread()
+        return self.feed is not None and self.feed.has_unread_data()
 
     def on_draining(self, worker: str) -> None:
         listings = self.registry.on_draining(worker)
--- a/threadshift/invoke/client.py
+++ b/threadshift/invoke/client.py
@@ -12,7 +12,7 @@
 from threadshift.errors import ThreadshiftError
 from threadshift.conf.values import Address
 from threadshift.interface import SECOND
-from threadshift.links.sockets import READ, connect, has_events
+from threadshift.links.sockets import READ_SIZE, connect, has_events
 
 CONNECT_TIMEOUT = 5 * SECOND
 DEFAULT_TIMEOUT = 30 * SECOND
@@ -71,7 +71,7 @@
             self.sock.settimeout((timeout or self.timeout) / SECOND)
             self.sock.sendall("\r\n".join([*lines, "", ""]).encode("latin-1") + body)
             while not reply.is_complete:
-                data = self.sock.recv(READ)
+                data = self.sock.recv(READ_SIZE)
                 if not data:
                     raise NoAnswer("the connection was closed before its answer was complete")
                 reply.parser.feed_data(data)
--- a/threadshift/links/codec.py
+++ b/threadshift/links/codec.py
@@ -114,6 +114,6 @@
         return frames
 
     @property
-    def has_partial_frame(self) -> bool:
+    def is_mid_frame(self) -> bool:
         """Whether the input so far ends inside a frame."""
         return bool(self.buffer)
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -21,11 +21,11 @@
 from threadshift.links.codec import VERSION, Frame, FrameDecoder, ProtocolError, encode, pack
 from threadshift.links.outbox import Outbox
 from threadshift.links.redial import ReconnectBackoff
-from threadshift.links.sockets import READ, connect, time_since_poll, write_out
+from threadshift.links.sockets import READ_SIZE, connect, time_since_poll, write_out
 
 READ_PORTION = 16 << 10        # bytes, some hundred answers; then other greenlets have their turn
 MAX_SILENT_KEEPALIVES = 3      # the link counts as broken after so many keepalive intervals without a frame
-COPIES_BY_NAME = {copy.value: copy for copy in Copy}
+COPY_BY_NAME = {copy.value: copy for copy in Copy}
 LOAD_OUTCOMES = {"stands": Outcome.COMPLETED, "full": Outcome.FULL, "error": Outcome.ERROR}
 
 
@@ -192,7 +192,7 @@
                 self.exchange_hellos(decoder)
                 writer = gevent.spawn(self.write)
                 self.read(decoder)
-                if decoder.has_partial_frame:
+                if decoder.is_mid_frame:
                     problem = "closed by the worker inside a frame"
             except (OSError, ProtocolError) as failed:
                 problem = str(failed) or type(failed).__name__
@@ -220,7 +220,7 @@
         while not first_frames:
             self.sock.settimeout(max(1, deadline - time.monotonic_ns()) / SECOND)
             try:
-                data = self.sock.recv(READ)
+                data = self.sock.recv(READ_SIZE)
             except TimeoutError:
                 raise OSError("no hello in time") from None
             if not data:
@@ -325,7 +325,7 @@
         else:
             pending, number = receiver
             load_failed = bool(frame.get("load_failed"))
-            copy = Copy.LOAD_FAILED if load_failed else COPIES_BY_NAME.get(frame.get("copy", ""), Copy.UNKNOWN)
+            copy = Copy.LOAD_FAILED if load_failed else COPY_BY_NAME.get(frame.get("copy", ""), Copy.UNKNOWN)
             outcome = {"result": Outcome.COMPLETED, "error": Outcome.ERROR, "full": Outcome.FULL}.get(
                 kind, Outcome.MISS)
             error = frame.get("function_error")
--- a/threadshift/peers/link.py
+++ b/threadshift/peers/link.py
@@ -20,7 +20,7 @@
 from threadshift.links.codec import VERSION, Frame, FrameDecoder, ProtocolError, encode
 from threadshift.links.outbox import Outbox
 from threadshift.links.redial import ReconnectBackoff
-from threadshift.links.sockets import READ, accept_connections, connect, listener, write_out
+from threadshift.links.sockets import READ_SIZE, accept_connections, connect, listener, write_out
 from threadshift.peers.words import checked
 
 BUFFER = 8 << 20           # bytes waiting for one peer: two snapshots
@@ -109,7 +109,7 @@
     def read(self, sock: socket.socket, frames: FrameDecoder) -> None:
         """The peer's hello, then replies."""
         sock.settimeout(CONNECT / SECOND)
-        while data := sock.recv(READ):
+        while data := sock.recv(READ_SIZE):
             for frame in frames.feed(data):
                 kind = frame["kind"]
                 if kind == "refused":
@@ -179,7 +179,7 @@
         name, frames, life = "", FrameDecoder(LONGEST), 0
         try:
             sock.settimeout(QUIET / SECOND)
-            while data := sock.recv(READ):
+            while data := sock.recv(READ_SIZE):
                 for frame in frames.feed(data):
                     if not name:
                         name, life = self.greet(sock, frame)
--- a/threadshift/standins/common.py
+++ b/threadshift/standins/common.py
@@ -19,7 +19,7 @@
 from threadshift.conf.values import Address
 from threadshift.interface import SECOND
 from threadshift.links.codec import Frame, FrameDecoder, ProtocolError, encode
-from threadshift.links.sockets import READ, listener
+from threadshift.links.sockets import READ_SIZE, listener
 
 LONGEST_FRAME = 16 << 20   # bytes
 WAITING = 4096             # frames a peer may leave unread before its connection is closed
@@ -119,7 +119,7 @@
         writer = gevent.spawn(peer.write)
         self.peers.add(peer)
         try:
-            while data := sock.recv(READ):
+            while data := sock.recv(READ_SIZE):
                 for frame in frames.feed(data):
                     self.hear(peer, frame)
                 while cut := self.cut_off(peer):
--- a/threadshift/standins/relay.py
+++ b/threadshift/standins/relay.py
@@ -10,7 +10,7 @@
 
 from threadshift.conf.values import Address
 from threadshift.interface import SECOND
-from threadshift.links.sockets import READ, connect, listener
+from threadshift.links.sockets import READ_SIZE, connect, listener
 from threadshift.standins.common import Faults, Record
 
 STEP = 0.005               # s between two looks at a fault in force
@@ -81,7 +81,7 @@
 
     def pump(self, one: socket.socket, other: socket.socket, way: str) -> None:
         try:
-            while data := one.recv(READ):
+            while data := one.recv(READ_SIZE):
                 if self.faults.amount("delay"):
                     gevent.sleep(self.faults.amount("delay") / 1000)
                 if rate := self.faults.amount("rate"):
--- a/threadshift/standins/router.py
+++ b/threadshift/standins/router.py
@@ -22,7 +22,7 @@
 from threadshift.bgp.speaker import PeerAddress, Speaker
 from threadshift.conf.values import Address
 from threadshift.interface import MS, SECOND
-from threadshift.links.sockets import READ, connect, listener
+from threadshift.links.sockets import READ_SIZE, connect, listener
 from threadshift.standins.common import Faults, Record
 
 LOOK = 10 * MS             # how often routes are looked at
@@ -160,7 +160,7 @@
     @staticmethod
     def pump(source: socket.socket, sink: socket.socket) -> None:
         try:
-            while data := source.recv(READ):
+            while data := source.recv(READ_SIZE):
                 sink.sendall(data)
             sink.shutdown(socket.SHUT_WR)
         except OSError:
--- a/threadshift/standins/worker.py
+++ b/threadshift/standins/worker.py
@@ -24,7 +24,7 @@
 from threadshift.eviction.policies import Facts, digest
 from threadshift.interface import MS, SECOND
 from threadshift.links.codec import VERSION, Frame, FrameDecoder, ProtocolError, encode
-from threadshift.links.sockets import READ, connect
+from threadshift.links.sockets import READ_SIZE, connect
 from threadshift.standins.common import LONGEST_FRAME, Peer, Record, Server
 
 MARK = re.compile(rb'"mark":"([^"]{1,64})"')
@@ -301,7 +301,7 @@
                          + encode("fetch", id=1, function=function))
             sock.settimeout(10)
             frames = FrameDecoder(LONGEST_FRAME)
-            while data := sock.recv(READ):
+            while data := sock.recv(READ_SIZE):
                 for frame in frames.feed(data):
                     if frame["kind"] != "pack":
                         return f"store: {frame.get('reason', frame['kind'])}"
