--- a/threadshift/discovery/registry.py
+++ b/threadshift/discovery/registry.py
@@ -156,7 +156,8 @@
         Returns whether it was taken over."""
         if started <= worker.wall_started_at + (self.same_start_tolerance if worker.wall_started_at else 0):
             return False
-        worker.wall_started_at, worker.started_at, worker.drains = started, max(1, now - max(0, wall - started)), False
+        worker.wall_started_at, worker.started_at, worker.drains = (
+            started, max(1, now - max(0, wall - started)), False)
         return True
 
     def forget(self, now: int, linked: Container[str]) -> None:
