--- a/threadshift/discovery/sources.py
+++ b/threadshift/discovery/sources.py
@@ -103,7 +103,7 @@
     "zone": values.name, "cell": int, "size": values.number, "state": WorkerState}
 
 
-def worker_line(line: Directive) -> WorkerEntry:
+def parse_worker_line(line: Directive) -> WorkerEntry:
     """Reads a line such as 'worker w1 127.0.0.1:9001 zone hall-a size 1.5 state draining'."""
     if line.name != "worker":
         raise line.wrong(f"unknown directive '{line.name}'{nearest(line.name, ['worker'])}")
@@ -145,7 +145,7 @@
             return
         self.last_version = version
         try:
-            entries = [worker_line(line) for line in load(self.path)]
+            entries = [parse_worker_line(line) for line in load(self.path)]
         except Mistake as problem:
             self.listener.note("roster-unreadable", problem=str(problem))
             return
--- a/threadshift/gateway/base_front_end.py
+++ b/threadshift/gateway/base_front_end.py
@@ -81,13 +81,13 @@
         link = self.links.get(worker)
         return link is not None and link.withdraw(pending, number)
 
-    def order_load(self, worker: str, order: PendingWorkerQuery) -> Outcome | None:
+    def order_load(self, worker: str, query: PendingWorkerQuery) -> Outcome | None:
         link = self.links.get(worker)
-        return Outcome.UNREACHABLE if link is None else link.order_load(order)
+        return Outcome.UNREACHABLE if link is None else link.order_load(query)
 
-    def probe(self, worker: str, question: PendingWorkerQuery) -> Outcome | None:
+    def probe(self, worker: str, query: PendingWorkerQuery) -> Outcome | None:
         link = self.links.get(worker)
-        return Outcome.UNREACHABLE if link is None else link.probe(question)
+        return Outcome.UNREACHABLE if link is None else link.probe(query)
 
     def has_unread_update(self) -> bool:
         """Whether news of the roster has arrived and is not read yet."""
--- a/threadshift/links/sockets.py
+++ b/threadshift/links/sockets.py
@@ -14,7 +14,7 @@
 from threadshift.interface import MS, SECOND
 from threadshift.links.outbox import Outbox
 
-READ_SIZE = 64 << 10            # bytes a read; many usual frames or requests fit
+READ_SIZE = 64 << 10       # bytes a read; many usual frames or requests fit
 BACKLOG = 1024             # connections that the kernel queues until they are accepted
 ACCEPT_PAUSE = 100 * MS    # after an accept that failed because no file descriptor was free
 
