--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -251,20 +251,21 @@
         """The sends were meant for a warm worker. All at once they would exceed the budget of a cold one (rule 4),
         and a draining one must not get them (rule 3)."""
         running = []
-        for news in (dict(started=2_000 * SECOND), dict(started=SECOND, draining=True)):
-            lives, later = [], []
+        for second_hello in (dict(started=2_000 * SECOND), dict(started=SECOND, draining=True)):
+            connections, later_kinds = [], []
 
-            def script(worker, sock, frames, news=news, lives=lives, later=later):
-                lives.append(sock)
-                if len(lives) > 1:
+            def script(worker, sock, frames, second_hello=second_hello, connections=connections,
+                       later_kinds=later_kinds):
+                connections.append(sock)
+                if len(connections) > 1:
                     until(lambda: running[0].front.links["w0"].outbox.unwritten)
-                    sock.sendall(encode("hello", version=VERSION, name="w0", **news))
+                    sock.sendall(encode("hello", version=VERSION, name="w0", **second_hello))
                 else:
                     sock.sendall(encode("hello", version=VERSION, name="w0", started=SECOND))
                 for frame in frames:
-                    if frame["kind"] == "invoke" and len(lives) == 1:
+                    if frame["kind"] == "invoke" and len(connections) == 1:
                         return
-                    later.append(frame["kind"])
+                    later_kinds.append(frame["kind"])
             live = Live(workers=0, bounds="connect 3s")
             running[:] = [live]
             worker = Scripted("w0", script, hello=False)
@@ -273,13 +274,13 @@
             with live:
                 until(lambda live=live: live.front.links and live.front.links["w0"].up)
                 live.call("submit-x", time_left="300")
-                until(lambda lives=lives: len(lives) > 1)
+                until(lambda connections=connections: len(connections) > 1)
                 reply = live.call("submit-y", time_left="900")
                 outcomes = [sent["outcome"] for sent in live.log.of("final")[-1]["sends"]]
             # They end as never run and are decided anew: within the budget of a cold worker, none for a draining one.
             self.assertEqual(outcomes[0], "unreachable")
-            self.assertEqual(later.count("invoke"), len(outcomes) - 1)
-            self.assertEqual(reply.headers["final"], "rejected" if "draining" in news else "aborted")
+            self.assertEqual(later_kinds.count("invoke"), len(outcomes) - 1)
+            self.assertEqual(reply.headers["final"], "rejected" if "draining" in second_hello else "aborted")
 
     def test_queued_sends_carry_the_time_left_when_they_are_written(self):
         begun, seen = [], []
--- a/threadshift/discovery/registry.py
+++ b/threadshift/discovery/registry.py
@@ -31,7 +31,7 @@
 class InvalidWorkerList(ThreadshiftError):
     """A roster entry or list that cannot be understood; says which part."""
 
-    help = "see what writes the list; the last good one stands meanwhile"
+    help = "check what writes the list; the last valid one stays in force meanwhile"
 
 
 @dataclass(slots=True)
--- a/threadshift/links/codec.py
+++ b/threadshift/links/codec.py
@@ -23,7 +23,7 @@
 class ProtocolError(ThreadshiftError):
     """Input that breaks the protocol; `str()` says how."""
 
-    help = "none: the connection is dialled anew; look at the peer named if it goes on"
+    help = "none: the connection is dialled anew; check the named peer if this persists"
 
 
 # The fields that a frame of each kind must have, with their types. It may have others.
--- a/threadshift/links/redial.py
+++ b/threadshift/links/redial.py
@@ -19,10 +19,11 @@
 class ReconnectBackoff:
     """The pauses between connection attempts to one address. chance() returns a float from 0 to 1."""
 
-    def __init__(self, chance: Callable[[], float], most: int = MAX_PAUSE):
-        self.chance, self.most, self.pause, self.up_since = chance, most, 0, 0
+    def __init__(self, chance: Callable[[], float], max_pause: int = MAX_PAUSE):
+        self.chance, self.max_pause, self.pause, self.up_since = chance, max_pause, 0, 0
 
     def on_connected(self, now: int) -> None:
+        """A connection was made."""
         self.up_since = now
 
     def on_disconnected(self, now: int) -> int:
@@ -30,5 +31,5 @@
         if self.up_since and now - self.up_since >= STABLE_AFTER:
             self.pause = 0
         self.up_since = 0
-        self.pause = min(self.most, max(MIN_PAUSE, 2 * self.pause))
+        self.pause = min(self.max_pause, max(MIN_PAUSE, 2 * self.pause))
         return now + int(self.pause * (0.75 + 0.5 * self.chance()))
