--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -150,7 +150,7 @@
         if self.up and self.outbox.put(None, encode("ping", **self.extra_fields())):
             self.has_output.set()
 
-    def take_back(self) -> None:
+    def withdraw_unsent(self) -> None:
         """Ends as UNREACHABLE all sends and queries of which nothing was written. Called when nothing more may go to
         this worker, so that what a full socket delayed is not sent once the drain grace is over."""
         now = time.monotonic_ns()
@@ -240,7 +240,7 @@
         if hello.get("draining") or self.worker_started_at and started > self.worker_started_at:
             # What waited for this connection was meant for the worker before its restart, which was warm. Now it is
             # cold, or it drains.
-            self.take_back()
+            self.withdraw_unsent()
         self.worker_started_at = started or self.worker_started_at
         self.last_frame_at = time.monotonic_ns()
         self.up = True
