--- a/benchmarks/flat_workers.py
+++ b/benchmarks/flat_workers.py
@@ -6,8 +6,8 @@
 from gevent import socket
 
 from threadshift.conf.values import Address
-from threadshift.links.codec import VERSION, Frames, encode
-from threadshift.links.sockets import READ, listener
+from threadshift.links.codec import VERSION, FrameDecoder, encode
+from threadshift.links.sockets import READ_SIZE, listener
 
 
 def serve(name, sock, wait):
@@ -18,8 +18,8 @@
 
 
 def converse(name, sock, wait):
-    frames = Frames(1 << 22)
-    while data := sock.recv(READ):
+    frames = FrameDecoder(1 << 22)
+    while data := sock.recv(READ_SIZE):
         out = []
         for frame in frames.feed(data):
             if frame["kind"] == "hello":
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -13,8 +13,8 @@
 from threadshift.conf.values import Address, address
 from threadshift.invoke.http import Connection, TimeoutMonitor
 from threadshift.invoke.requests import Response
-from threadshift.links.codec import VERSION, Frames, encode
-from threadshift.links.sockets import READ, connect, listener
+from threadshift.links.codec import VERSION, FrameDecoder, encode
+from threadshift.links.sockets import READ_SIZE, connect, listener
 
 
 class Relay:
@@ -52,8 +52,8 @@
             sock.sendall(data)
 
     def read(self, sock):
-        frames = Frames(1 << 22)
-        while data := sock.recv(READ):
+        frames = FrameDecoder(1 << 22)
+        while data := sock.recv(READ_SIZE):
             for frame in frames.feed(data):
                 if frame["kind"] == "result":
                     self.waiting.pop(frame["id"]).respond(
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -23,7 +23,7 @@
 from tests.live import free_port, until
 from tests.platform import (
     SETTINGS, Client, Coordinator, Platform, Worker, begin, configuration, event, instance, params, request, serve)
-from tests.test_engine import ask, engine
+from tests.test_engine import make_call, make_engine
 from threadshift.conf.values import Address
 from threadshift.coordinator import freshness
 from threadshift.fastcgi import connection_eviction
@@ -31,7 +31,7 @@
 from threadshift.frames import link, pool
 from threadshift.frames.codec import FROM_WORKER, INVOKE, OK, encode
 from threadshift.interface import MS, SECOND, Effect, Outcome
-from threadshift.links.sockets import Outgoing
+from threadshift.links.sockets import BufferedSender
 from threadshift.node import shutdown
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -200,8 +200,8 @@
     def test_unsent_send_is_withdrawn_once_its_client_is_gone(self):
         # Without permission to cancel, the send was once written as soon as its connection came up.
         for may_cancel in (True, False):
-            it, fleet = engine(workers=1, may_cancel=may_cancel)
-            pending = it.admit(0, "a", ask(Effect.ONCE_ONLY))
+            it, fleet = make_engine(workers=1, may_cancel=may_cancel)
+            pending = it.admit(0, "a", make_call(Effect.ONCE_ONLY))
             fleet.waiting.add(("w0", "a"))
             pending.on_client_gone(MS)
             self.assertEqual([entry[0] for entry in fleet.log][-1], "cancel" if may_cancel else "withdrawn")
@@ -239,9 +239,9 @@
             self.assertEqual([frame.id.hex() for frame in it.workers[0].frames_with(INVOKE)], [B])
 
     def test_unread_close_stops_the_next_send(self):
-        it, fleet = engine(workers=2, at_once=[Outcome.FULL])
-        fleet.at_once.clear()
-        pending = it.admit(0, "a", ask())
+        it, fleet = make_engine(workers=2, immediate_outcomes=[Outcome.FULL])
+        fleet.immediate_outcomes.clear()
+        pending = it.admit(0, "a", make_call())
         fleet.gone_unread.add("a")
         pending.on_send_ended(MS, 0, Outcome.FULL)
         self.assertEqual((len(fleet.sends()), pending.client_gone, it.owed, it.requests), (1, True, 0, {}))
@@ -307,7 +307,7 @@
                 filled += ours.send(b"-" * 4096, 0, 0.0)
         except BlockingIOError:
             pass
-        it = Outgoing(ours, 1 << 20, SECOND)
+        it = BufferedSender(ours, 1 << 20, SECOND)
         self.assertTrue(it.outbox.put("a", b"a" * 100) and it.outbox.put("b", b"b" * 100))
         it.write()
         gevent.idle()
@@ -317,13 +317,13 @@
         while len(got) < filled + 100:
             got += peer.recv(65536)
         it.writer and it.writer.join(1)
-        self.assertEqual((got[filled:], it.outbox.size, set(it.outbox.left)), (b"b" * 100, 0, {"b"}))
+        self.assertEqual((got[filled:], it.outbox.size, set(it.outbox.first_written_at)), (b"b" * 100, 0, {"b"}))
         ours.close()
         peer.close()
 
     def test_repeat_that_waits_past_the_deduplication_window_is_withdrawn(self):
-        it, fleet = engine(workers=2)             # the deduplication window of the tests' types is 2 s
-        pending = it.admit(0, "a", ask(Effect.DEDUPLICATED, left=4 * SECOND))
+        it, fleet = make_engine(workers=2)             # the deduplication window of the tests' types is 2 s
+        pending = it.admit(0, "a", make_call(Effect.DEDUPLICATED, left=4 * SECOND))
         fleet.waiting |= {("w0", "a"), ("w1", "a")}
         pending.on_send_ended(1900 * MS, 0, Outcome.RESET)
         self.assertEqual(len(fleet.sends()), 2)
--- a/threadshift/coordinator/stream.py
+++ b/threadshift/coordinator/stream.py
@@ -17,7 +17,7 @@
 from threadshift.coordinator.freshness import MAX_RETRY_PAUSE, Freshness
 from threadshift.interface import MS, SECOND
 from threadshift.links.redial import ReconnectBackoff
-from threadshift.links.sockets import READ, connect, shows
+from threadshift.links.sockets import READ_SIZE, connect, has_events
 from threadshift.log import exception_fields
 
 PATH = "/v2/stream"
@@ -100,7 +100,7 @@
 
     def has_unread_data(self) -> bool:
         """Whether data of the coordinator has arrived and has not been read yet."""
-        return self.sock is not None and shows(self.sock, select.POLLIN)
+        return self.sock is not None and has_events(self.sock, select.POLLIN)
 
     def move(self, address: Address) -> None:
         """Continues the stream at another address at once, from the last event on."""
@@ -154,7 +154,7 @@
     def read(self, sock: socket.socket, response: Response) -> None:
         """Applies the events of one connection until it ends. Raises OSError, InvalidEvent, MissingEvents."""
         parser = EventParser()
-        while not response.message_complete and (data := sock.recv(READ)):
+        while not response.message_complete and (data := sock.recv(READ_SIZE)):
             body = response.feed(data)
             if response.headers_complete:
                 self.freshness.on_bytes(time.monotonic_ns())
@@ -175,6 +175,6 @@
         if self.freshness.current:
             return
         gevent.sleep(CATCH_UP_WAIT / SECOND)
-        if not shows(sock, select.POLLIN):
+        if not has_events(sock, select.POLLIN):
             self.note("coordinator-current", last_event=self.sequence.last, failures=self.freshness.failures)
             self.freshness.on_caught_up()
--- a/threadshift/fastcgi/connection.py
+++ b/threadshift/fastcgi/connection.py
@@ -19,7 +19,7 @@
 from threadshift.fastcgi.requests import MAX_BODY, MAX_PARAMS, InvalidRequest
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.refusal_counters import RefusalCounters
-from threadshift.links.sockets import Outgoing, shows
+from threadshift.links.sockets import BufferedSender, has_events
 
 READ_SIZE = 16 << 10           # bytes a read: several usual requests, and little memory for each connection
 WRITE_TIMEOUT = 2 * SECOND     # without progress, until a client that reads no responses is disconnected
@@ -58,7 +58,7 @@
         self.connection.respond(self, content, status)
 
 
-class Connection(Outgoing):
+class Connection(BufferedSender):
     """One client connection."""
 
     def __init__(self, sock: socket.socket, listener: Listener, unread: int):
@@ -227,7 +227,7 @@
 
         Returns whether it is closed. Nothing is read after this: a request read from a connection that we have closed
         could not be answered. Without the check, 53 requests were lost on one day."""
-        if not self.ended and not shows(self.sock, select.POLLIN):
+        if not self.ended and not has_events(self.sock, select.POLLIN):
             self.ended = True
             self.shut()
         return self.ended
--- a/threadshift/fastcgi/listener.py
+++ b/threadshift/fastcgi/listener.py
@@ -24,7 +24,7 @@
 from threadshift.invoke.admission import Admission
 from threadshift.invoke.poll_monitor import STALL_THRESHOLD, PollMonitor
 from threadshift.invoke.refusal_counters import RefusalCounters
-from threadshift.links.sockets import BACKLOG, arriving, shows
+from threadshift.links.sockets import BACKLOG, accept_connections, has_events
 from threadshift.log import exception_fields
 
 LIMIT_CHECK_INTERVAL = 100 * MS    # between two checks of the connections' time limits, which are seconds
@@ -40,7 +40,8 @@
 
 def describe_sends(pending: PendingRequest) -> list[str]:
     """Returns the sends of a request for its line in the log: worker, ms after the admission, outcome."""
-    return [f"{sent.worker} +{(sent.at - pending.admitted_at) // MS} {sent.outcome.value if sent.outcome else 'open'}"
+    return [f"{sent.worker} +{(sent.sent_at - pending.admitted_at) // MS} "
+            f"{sent.outcome.value if sent.outcome else 'open'}"
             for sent in pending.sends]
 
 
@@ -63,7 +64,7 @@
 
     def accept(self, sock: socket.socket) -> None:
         """Accepts connections until the socket is closed."""
-        for client in arriving(sock, self.note):
+        for client in accept_connections(sock, self.note):
             self.wait_for_room()
             if len(self.connections) >= self.max_connections():
                 self.refusal_counters.record(time.monotonic_ns(), TOO_MANY_CONNECTIONS)
@@ -159,7 +160,7 @@
 
     def has_unread_input(self, request: Request) -> bool:
         """Whether input, or the end of the connection, is unread on the connection of an open request."""
-        return self.is_open(request) and shows(request.connection.sock, select.POLLIN | select.POLLRDHUP)
+        return self.is_open(request) and has_events(request.connection.sock, select.POLLIN | select.POLLRDHUP)
 
     def refuse_late(self, request: Request, parsed: requests.ParsedRequest) -> None:
         self.refuse(request, LATE, parsed.id)
@@ -201,7 +202,7 @@
 
     def has_unread_disconnect(self, pending: PendingRequest) -> bool:
         connection = pending.client.connection
-        return connection.sock.fileno() < 0 or shows(connection.sock, select.POLLRDHUP)
+        return connection.sock.fileno() < 0 or has_events(connection.sock, select.POLLRDHUP)
 
     def on_answered(self, pending: PendingRequest) -> None:
         answer = pending.answer
@@ -241,7 +242,7 @@
         until = time.monotonic_ns() + FLUSH_TIME
         gevent.sleep(CLOSE_POLL_INTERVAL / SECOND)
         while time.monotonic_ns() < until and any(
-                each.busy or shows(each.sock, select.POLLIN) for each in self.connections):
+                each.busy or has_events(each.sock, select.POLLIN) for each in self.connections):
             gevent.sleep(CLOSE_POLL_INTERVAL / SECOND)
         for each in list(self.connections):
             each.shut()
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -22,7 +22,7 @@
     ProtocolError, encode)
 from threadshift.interface import MS, SECOND, Copy, Outcome
 from threadshift.links.redial import ReconnectBackoff
-from threadshift.links.sockets import Outgoing, connect, shows, since_ready
+from threadshift.links.sockets import BufferedSender, connect, has_events, time_since_poll
 from threadshift.log import exception_fields
 
 READ_SIZE = 16 << 10       # bytes per read: enough for many usual answers, and little memory per connection
@@ -85,7 +85,7 @@
     return invoke_frame(id_, pending.call, pending.time_left(time.monotonic_ns()))
 
 
-class Connection(Outgoing):
+class Connection(BufferedSender):
     """One connection to a worker."""
 
     def __init__(self, sock: socket.socket, settings: LinkSettings):
@@ -204,9 +204,9 @@
         """Whether the worker has closed an idle connection, read or not, or is about to: nothing is written on it."""
         if pool.is_idle_timeout_near(time.monotonic_ns(), connection.last_received_at, self.settings.idle_timeout):
             return True
-        return shows(connection.sock, select.POLLRDHUP)
+        return has_events(connection.sock, select.POLLRDHUP)
 
-    def cancel(self, pending: Any, number: int, tell: bool) -> Outcome:
+    def cancel(self, pending: Any, number: int, notify_worker: bool) -> Outcome:
         """Stops waiting for a send; returns NEVER_SENT if nothing of it was written.
 
         The worker gets a cancel frame in any case, or it would go on working."""
@@ -215,7 +215,7 @@
         connection, id_ = self.routes.pop((pending.id, number), (None, b""))
         if connection is None or connection.in_flight.pop(id_, None) is None:
             return Outcome.CANCELLED
-        sent_at = connection.outbox.left.pop(id_, 0)
+        sent_at = connection.outbox.first_written_at.pop(id_, 0)
         if connection.outbox.put(None, encode(CANCEL, id_)):
             connection.write()
         connection.suspected = connection.suspected or pool.is_suspected(connection.last_received_at, sent_at)
@@ -377,14 +377,14 @@
                 raise ProtocolError(f"n={copies[:20]} is not a number of copies")
         del connection.in_flight[frame.id]
         connection.has_answered = True
-        sent_at = connection.outbox.left.pop(frame.id, now)
+        sent_at = connection.outbox.first_written_at.pop(frame.id, now)
         if isinstance(receiver, tuple):
             pending, number = receiver
             self.routes.pop((pending.id, number), None)
             # The delay in this process is not counted as the worker's: when this process is at its own limit, every
             # worker would look slow.
             pending.on_send_ended(now, number, SEND_OUTCOMES[frame.code], body=frame.body, copy=copy, report=load,
-                                  waited=max(0, now - since_ready() - sent_at))
+                                  waited=max(0, now - time_since_poll() - sent_at))
         elif receiver.function:
             receiver.on_answered(now, LOAD_OUTCOMES[frame.code], copies=int(copies))
         else:
--- a/threadshift/gateway/base_front_end.py
+++ b/threadshift/gateway/base_front_end.py
@@ -32,7 +32,7 @@
     @property
     def busy(self) -> bool: ...
     def invoke(self, pending: PendingRequest, number: int, left: int) -> Outcome | None: ...
-    def cancel(self, pending: PendingRequest, number: int, tell: bool) -> Outcome: ...
+    def cancel(self, pending: PendingRequest, number: int, notify_worker: bool) -> Outcome: ...
     def withdraw(self, pending: PendingRequest, number: int) -> bool: ...
     def order_load(self, asked: PendingWorkerQuery) -> Outcome | None: ...
     def probe(self, asked: PendingWorkerQuery) -> Outcome | None: ...
@@ -73,21 +73,21 @@
             return Outcome.NEVER_SENT         # the process stood still since this was decided
         return Outcome.UNREACHABLE if link is None else link.invoke(pending, number, left)
 
-    def cancel(self, worker: str, pending: PendingRequest, number: int, tell: bool) -> Outcome:
+    def cancel(self, worker: str, pending: PendingRequest, number: int, notify_worker: bool) -> Outcome:
         link = self.links.get(worker)
-        return Outcome.CANCELLED if link is None else link.cancel(pending, number, tell)
+        return Outcome.CANCELLED if link is None else link.cancel(pending, number, notify_worker)
 
     def withdraw(self, worker: str, pending: PendingRequest, number: int) -> bool:
         link = self.links.get(worker)
         return link is not None and link.withdraw(pending, number)
 
-    def order_load(self, worker: str, order: PendingWorkerQuery) -> Outcome | None:
+    def order_load(self, worker: str, query: PendingWorkerQuery) -> Outcome | None:
         link = self.links.get(worker)
-        return Outcome.UNREACHABLE if link is None else link.order_load(order)
+        return Outcome.UNREACHABLE if link is None else link.order_load(query)
 
-    def probe(self, worker: str, question: PendingWorkerQuery) -> Outcome | None:
+    def probe(self, worker: str, query: PendingWorkerQuery) -> Outcome | None:
         link = self.links.get(worker)
-        return Outcome.UNREACHABLE if link is None else link.probe(question)
+        return Outcome.UNREACHABLE if link is None else link.probe(query)
 
     def has_unread_update(self) -> bool:
         """Whether news of the roster has arrived and is not read yet."""
@@ -144,11 +144,11 @@
 
     # What the roster tells.
 
-    def listed(self, entries: Collection[WorkerEntry], full: bool) -> None:
+    def on_list(self, entries: Collection[WorkerEntry], full: bool) -> None:
         """News that counts as told as it is read."""
         self.apply_list(WorkerList(list(entries), full), time.monotonic_ns())
 
-    def apply_list(self, workers: WorkerList, told_since: int) -> None:
+    def apply_list(self, workers: WorkerList, notified_since: int) -> None:
         """All that was told at once of workers in use is known before any link is made or ended: what a link's end
         lets be sent again must not go to a worker that the same news says drains.
 
@@ -157,7 +157,7 @@
         now = self.list_applied_at = time.monotonic_ns()
         self.roster_lost = False
         before = self.registry.empty_since
-        listings = self.registry.apply(now, time.time_ns(), workers, told_since)
+        listings = self.registry.apply(now, time.time_ns(), workers, notified_since)
         if self.registry.empty_since is not None and before is None:
             self.note("roster-empty", level="warning", held_ms=self.registry.grace // 2 // MS)
         listings = self.postpone_new(listings)
@@ -166,7 +166,7 @@
             link.stop()
         self.take_back(listings)
         self.note("list-applied", listed=len(workers.entries), full=workers.full, changed=len(listings),
-                  joining=len(self.joining), told_ms=(now - told_since) // MS if told_since else None,
+                  joining=len(self.joining), told_ms=(now - notified_since) // MS if notified_since else None,
                   took_ms=(time.monotonic_ns() - now) // MS)
 
     def postpone_new(self, listings: list[WorkerListing]) -> list[WorkerListing]:
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -38,7 +38,7 @@
 from threadshift.invoke.shares import weights
 from threadshift.links.codec import Frame
 from threadshift.links.link import Link
-from threadshift.links.sockets import arriving, listener
+from threadshift.links.sockets import accept_connections, listener
 from threadshift.log import Log, exception_fields
 from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
 from threadshift.discovery.sources import FeedSource, WatchedFile
@@ -103,7 +103,7 @@
                 it.start()
                 self.replicated_services = it
                 for link in self.links.values():
-                    link.speaks = it.eviction_service
+                    link.extension = it.eviction_service
                 self.note("joined-in", version=self.version)
                 return
             except ThreadshiftError as problem:
@@ -134,24 +134,24 @@
 
     # What links and the roster tell.
 
-    def hello(self, worker: str, hello: Frame) -> str:
+    def on_hello(self, worker: str, hello: Frame) -> str:
         """A worker's hello; what is wrong with it, if anything."""
         if hello["name"] != worker:
             return f"this is {worker}'s address, and you are {hello['name'][:64]!r}"
         started = hello.get("started", 0)
         if not isinstance(started, int) or started < 0:
             return "'started' is not a time"
-        self.change(self.registry.hello(time.monotonic_ns(), time.time_ns(), worker, started))
+        self.change(self.registry.on_hello(time.monotonic_ns(), time.time_ns(), worker, started))
         self.note("link-up", worker=worker, level="debug")
         if hello.get("draining"):
-            self.draining(worker)
+            self.on_draining(worker)
         return ""
 
     def has_unread_update(self) -> bool:
-        return self.feed is not None and self.feed.unread()
+        return self.feed is not None and self.feed.has_unread_data()
 
-    def draining(self, worker: str) -> None:
-        listings = self.registry.draining(worker)
+    def on_draining(self, worker: str) -> None:
+        listings = self.registry.on_draining(worker)
         if listings:
             self.note("worker-drains", worker=worker)
         self.change(listings)
@@ -208,7 +208,7 @@
         self.ending = True
 
     def accept(self, sock: socket.socket) -> None:
-        for client in arriving(sock, self.note):
+        for client in accept_connections(sock, self.note):
             self.arrivals.record(time.monotonic_ns())
             if len(self.connections) >= self.told.bounds.connections:
                 # Who holds connections and asks nothing makes room for who asks.
@@ -228,7 +228,7 @@
 
     def accept_admin(self, sock: socket.socket, admin: Admin) -> None:
         """Operators' connections: with a bound of their own, so that a flood of clients does not lock them out."""
-        for client in arriving(sock, self.note):
+        for client in accept_connections(sock, self.note):
             if len(self.operators) < OPERATORS:
                 self.operators.spawn(self.converse, client, admin)
             else:
--- a/threadshift/peers/link.py
+++ b/threadshift/peers/link.py
@@ -17,10 +17,10 @@
 
 from threadshift.conf.peering import Peer, Peering
 from threadshift.interface import MS, SECOND
-from threadshift.links.codec import VERSION, Frame, Frames, ProtocolError, encode
+from threadshift.links.codec import VERSION, Frame, FrameDecoder, ProtocolError, encode
 from threadshift.links.outbox import Outbox
 from threadshift.links.redial import ReconnectBackoff
-from threadshift.links.sockets import READ, arriving, connect, listener, write_out
+from threadshift.links.sockets import READ_SIZE, accept_connections, connect, listener, write_out
 from threadshift.peers.words import checked
 
 BUFFER = 8 << 20           # bytes waiting for one peer: two snapshots
@@ -88,7 +88,7 @@
                 sock = connect(self.peer.address, CONNECT)
                 sock.sendall(encode("hello", version=VERSION, name=self.hello["name"], to=self.peer.name,
                                     life=self.hello["life"], voters=self.hello["voters"]))
-                frames = Frames(LONGEST)
+                frames = FrameDecoder(LONGEST)
                 writer = gevent.spawn(self.write, sock)
                 self.read(sock, frames)
                 said = "closed by the peer"
@@ -106,10 +106,10 @@
             self.problem = said
             gevent.sleep(max(0, self.backoff.on_disconnected(time.monotonic_ns()) - time.monotonic_ns()) / SECOND)
 
-    def read(self, sock: socket.socket, frames: Frames) -> None:
+    def read(self, sock: socket.socket, frames: FrameDecoder) -> None:
         """The peer's hello, then replies."""
         sock.settimeout(CONNECT / SECOND)
-        while data := sock.recv(READ):
+        while data := sock.recv(READ_SIZE):
             for frame in frames.feed(data):
                 kind = frame["kind"]
                 if kind == "refused":
@@ -169,17 +169,17 @@
 
     def accept(self) -> None:
         assert self.sock is not None
-        for sock in arriving(self.sock, self.owner.note):
+        for sock in accept_connections(self.sock, self.owner.note):
             if len(self.greenlets) > 4 * len(self.peers) + 16:
                 sock.close()
                 continue
             self.spawn(self.converse, sock)
 
     def converse(self, sock: socket.socket) -> None:
-        name, frames, life = "", Frames(LONGEST), 0
+        name, frames, life = "", FrameDecoder(LONGEST), 0
         try:
             sock.settimeout(QUIET / SECOND)
-            while data := sock.recv(READ):
+            while data := sock.recv(READ_SIZE):
                 for frame in frames.feed(data):
                     if not name:
                         name, life = self.greet(sock, frame)
