--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -305,10 +305,10 @@
                 ivk = answer.headers["activation"]
                 until(lambda: batching.pending)
                 disk.order("full")
-                until(lambda: batching.failed)
+                until(lambda: batching.last_failure)
                 self.assertEqual(client.request("GET", f"/v1/calls/{ivk}").status, 202)
                 until(lambda: client.request("GET", f"/v1/calls/{ivk}").status == 200)
-                self.assertEqual(batching.shelf.calls[ivk].answer["final"], "completed")
+                self.assertEqual(batching.store.calls[ivk].answer["final"], "completed")
 
 
 class ForgetsThatItWentOut(Front):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -276,7 +276,7 @@
             self.assertIn("could not start it", told["why"])
             fails = it.tree("fails", [("invoke/api.py", "        call = requests.parse_call(", """
         if time.time_ns() // 1000 % 3 == 0:
-            raise self.turned_away(503, 'planted', 'one call in three', tenant)
+            raise self.refusal(503, 'planted', 'one call in three', tenant)
         call = requests.parse_call(""")])
             self.order(it, "f3", "/v1/rollouts", {"tree": str(fails), "hold-s": 6, "stages": [0, 1]})
             told, most = self.follow(it, ["f3", "f0"], ("done", "back"), 90)
--- a/threadshift/gateway/batch_service.py
+++ b/threadshift/gateway/batch_service.py
@@ -1,7 +1,9 @@
-"""The batches of one front end: its queue and its shelf between the invoke API, the engine and the record.
+"""The batches of one front end: connects its queue and its store with the invoke API, the engine and the record.
 
-Nothing here decides. Whatever has to be kept before an act goes through one writer, which writes all that waits at
-once and then does what waited for it, in order; it writes on a thread, so that no call waits for an fsync."""
+This module takes no decisions. Whatever has to be stored before an action goes through one writer, which writes all
+waiting records at once and then runs the actions that waited for them, in order. It writes on a thread, so that no
+call waits for an fsync.
+"""
 from __future__ import annotations
 
 import json
@@ -22,7 +24,7 @@
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
-from threadshift.invoke.api import Invoke
+from threadshift.invoke.api import InvokeApi
 from threadshift.invoke.deferred import DeferredCall, InMemoryStore
 from threadshift.invoke.http import Exchange
 from threadshift.invoke.requests import Problem, Response
@@ -30,31 +32,31 @@
 from threadshift.peers.carrier import Carrier, NotHeard
 from threadshift.peers.carrier import now as clock
 
-PART = 4                   # of the activations that may be under way, one part is for batches: others find the rest
-TELL = 700 * MS            # within which peers tell their counts, or are named as not heard
-ENTER = 5 * SECOND         # until an entry must have been told back: two elections
-# after a start, calls wait so long for the record's word before they go on with what is known
-HEAR_FIRST = 10 * SECOND
-AGAIN = 500 * MS           # until an answer that could not be kept is tried again
-SWEEP = 5 * SECOND         # between two looks for answers kept long enough
-LATE = 5 * SECOND          # a cancel heard so long after it was asked for is told as heard late
-WORDS = 16                 # orders of clients on batches under way at a time
-STOPPED = ("waiting", "out", "parked", "done")
+CAPACITY_DIVISOR = 4                 # batches may use one in four of the activations; other calls find the rest
+PEER_TIMEOUT = 700 * MS              # a peer that has not reported its counts by then is named as not heard
+PROPOSE_TIMEOUT = 5 * SECOND         # for an entry of the record to be applied here: as long as two elections
+# After a start, calls wait this long for news from the record before they go on with what is known.
+RECORD_WAIT = 10 * SECOND
+ANSWER_RETRY_DELAY = 500 * MS        # until an answer that could not be stored is written again
+SWEEP_INTERVAL = 5 * SECOND          # between two checks for answers that were kept for long enough
+LATE_CANCEL = 5 * SECOND             # a cancel that arrives this long after it was requested is logged as late
+MAX_REQUESTS = 16                    # of clients on batches, handled at a time
+COUNT_NAMES = ("waiting", "out", "parked", "done")
 
 
 class Unkept(ThreadshiftError):
-    """A call that could not be kept, and so was not accepted."""
+    """A call that could not be stored, and so was not accepted."""
 
     help = "free disk space or mend the disk under 'peers folder', then restart the front end"
 
 
 class Front(Protocol):
-    """What of a front end is used here and in replicated_services.py."""
+    """The front end, as far as this module and replicated_services.py use it."""
 
     name: str
-    told: Installation
+    config: Installation
     chance: Callable[[], float]
-    api: Invoke
+    api: InvokeApi
     engine: RequestEngine
     deferred_calls: InMemoryStore
     links: dict[str, Any]
@@ -64,365 +66,379 @@
 
 
 class BatchService:
-    def __init__(self, front: Front, carrier: Carrier, cancels: Cancels, folder: Path, undo: int,
+    """Accepts, sends out and answers the calls of batches, and handles requests on batches."""
+
+    def __init__(self, front: Front, carrier: Carrier, cancels: Cancels, folder: Path, undo_window: int,
                  disk: Any = None):
-        """Raises what opening the shelf raises."""
-        self.front, self.carrier, self.cancels, self.undo = front, carrier, cancels, undo
-        self.shelf = Shelf(folder / f"{front.name}.calls", disk)
-        self.queue = Queue(max(1, front.told.bounds.activations // PART))
+        """Raises what opening the store raises."""
+        self.front, self.carrier, self.cancels, self.undo_window = front, carrier, cancels, undo_window
+        self.store = Shelf(folder / f"{front.name}.calls", disk)
+        self.queue = Queue(max(1, front.config.bounds.activations // CAPACITY_DIVISOR))
         self.calls: dict[str, tuple[Waiting, Call, DeferredCall]] = {}
         self.pending: dict[str, PendingRequest] = {}
         self.writes: list[tuple[list[dict[str, Any]], Callable[[bool], None]]] = []
         self.wake = Event()
-        self.failed = ""
-        self.started, self.swept, self.under_way = time.monotonic_ns(), 0, 0
-        self.order = self.shelf.orders
+        self.last_failure = ""
+        self.started_at, self.swept_at, self.requests_under_way = time.monotonic_ns(), 0, 0
+        self.last_order = self.store.orders
         self.greenlet: gevent.Greenlet | None = None
         self.recover()
 
     def start(self) -> None:
-        self.greenlet = gevent.spawn(self.run)
+        self.greenlet = gevent.spawn(self.write_loop)
 
     def stop(self) -> None:
         if self.greenlet is not None:
             self.greenlet.kill()
-        self.shelf.close()
+        self.store.close()
 
-    # What is kept.
+    # Storage.
 
-    def keep(self, records: list[dict[str, Any]], then: Callable[[bool], None]) -> None:
-        """Does `then` once the records are kept, or could not be: with False. In the order of the calls."""
+    def persist(self, records: list[dict[str, Any]], then: Callable[[bool], None]) -> None:
+        """Writes the records, then calls `then` with whether they were stored. Keeps the order of the calls."""
         self.writes.append((records, then))
         self.wake.set()
 
-    def run(self) -> None:
+    def write_loop(self) -> None:
+        """Writes what is waiting, and then calls the functions that waited for it."""
         while True:
             self.wake.wait()
             self.wake.clear()
             while self.writes:
                 waiting, self.writes = self.writes, []
                 records = [each for some, _ in waiting for each in some]
-                good = self.write(records)
+                is_stored = self.write(records)
                 for _, then in waiting:
                     try:
-                        then(good)
-                    except Exception as fault:      # ours: one call's, and the others' acts still follow
+                        then(is_stored)
+                    except Exception as fault:      # a bug in the handling of one call; the others go on
                         self.front.note("fault", level="error", **exception_fields(fault))
 
     def write(self, records: list[dict[str, Any]]) -> bool:
+        """Writes records on a thread; whether they were stored. Logs each new failure once."""
         pool = gevent.get_hub().threadpool
-        problem = pool.apply(failure, (self.shelf.write, records))
-        if problem is None and (anew := self.shelf.wrote(records)):
-            problem = pool.apply(failure, (self.shelf.journal.renew, *anew))
+        problem = pool.apply(exception_of, (self.store.write, records))
+        if problem is None and (renewal := self.store.wrote(records)):
+            problem = pool.apply(exception_of, (self.store.journal.renew, *renewal))
         if problem is not None:
-            if str(problem) != self.failed:
-                self.failed = str(problem)
+            if str(problem) != self.last_failure:
+                self.last_failure = str(problem)
                 self.front.note("calls-not-kept", level="error", **problem.as_fields())
             return False
-        self.failed = ""
+        self.last_failure = ""
         return True
 
     def recover(self) -> None:
-        """What an earlier life left."""
+        """Takes over the calls that an earlier process of this front end left."""
         now, wall = time.monotonic_ns(), time.time_ns()
-        for kept in sorted(self.shelf.calls.values(), key=lambda each: each.order):
-            deferral = self.front.deferred_calls.add(kept.ivk, kept.tenant)
+        for kept in sorted(self.store.calls.values(), key=lambda each: each.order):
+            deferred_call = self.front.deferred_calls.add(kept.ivk, kept.tenant)
             if kept.answer is not None:
-                self.front.deferred_calls.finish(now, deferral, answer_of(kept.answer))
+                self.front.deferred_calls.finish(now, deferred_call, stored_answer(kept.answer))
                 continue
-            it = Waiting(kept.ivk, kept.tenant, kept.batch, kept.order, now + kept.remaining(wall), kept.call["type"],
-                         kept.tries + kept.out, parked=kept.parked)
-            self.calls[kept.ivk] = it, call_of(kept), deferral
-            self.queue.add(it)
+            entry = Waiting(kept.ivk, kept.tenant, kept.batch, kept.order, now + kept.remaining(wall),
+                            kept.call["type"], kept.tries + kept.out, parked=kept.parked)
+            self.calls[kept.ivk] = entry, stored_call(kept), deferred_call
+            self.queue.add(entry)
             if kept.may_have_run:
-                self.queue.end(it)
-                self.final(it, Answer(FinalKind.ABORTED, "front-end-died", may_have_run=True))
-        if self.shelf.calls:
+                self.queue.end(entry)
+                self.finish(entry, Answer(FinalKind.ABORTED, "front-end-died", may_have_run=True))
+        if self.store.calls:
             self.front.note("calls-recovered", calls=len(self.calls), in_doubt=len(self.writes))
 
     # Calls.
 
     def accept(self, exchange: Exchange, call: Call, batch: str) -> None:
-        """A deferred call of a batch: kept, then told as accepted."""
-        if self.failed:
-            raise Problem(503, "cannot-be-kept", "the disk that keeps batches fails")
-        now, ivk = time.monotonic_ns(), self.front.api.number()
-        self.order += 1
-        it = Waiting(ivk, call.tenant, batch, self.order, now + call.left, call.type)
-        deferral = self.front.deferred_calls.add(ivk, call.tenant)
-        effect = next(each.effect for each in self.front.told.deployment.types if each.name == call.type)
+        """Stores a deferred call of a batch, then answers that it is accepted."""
+        if self.last_failure:
+            raise Problem(503, "cannot-be-kept", "the disk on which batches are stored fails")
+        now, activation_id = time.monotonic_ns(), self.front.api.new_id()
+        self.last_order += 1
+        entry = Waiting(activation_id, call.tenant, batch, self.last_order, now + call.left, call.type)
+        deferred_call = self.front.deferred_calls.add(activation_id, call.tenant)
+        effect = next(each.effect for each in self.front.config.deployment.types if each.name == call.type)
         stopped = self.queue.stopped.get((call.tenant, batch))
-        taken = record("take", ivk=ivk, tenant=call.tenant, batch=batch, order=it.order, at=time.time_ns(),
-                       left=call.left, effect=effect.value, parked=stopped.id if stopped else "",
-                       call=call._asdict())
+        taken = record("take", ivk=activation_id, tenant=call.tenant, batch=batch, order=entry.order,
+                       at=time.time_ns(), left=call.left, effect=effect.value,
+                       parked=stopped.id if stopped else "", call=call._asdict())
 
-        def kept(good: bool) -> None:
-            if not good:
+        def on_written(is_stored: bool) -> None:
+            if not is_stored:
                 self.front.deferred_calls.finish(
-                    time.monotonic_ns(), deferral, Answer(FinalKind.REJECTED, "not-kept"))
-                self.front.deferred_calls.forget(deferral)
+                    time.monotonic_ns(), deferred_call, Answer(FinalKind.REJECTED, "not-kept"))
+                self.front.deferred_calls.forget(deferred_call)
                 exchange.respond(requests.problem_response(Problem(503, "cannot-be-kept", Unkept.help)))
                 return
-            self.calls[ivk] = it, call, deferral
-            self.queue.add(it)
-            exchange.respond(requests.accepted_response(ivk, self.front.api.base))
+            self.calls[activation_id] = entry, call, deferred_call
+            self.queue.add(entry)
+            exchange.respond(requests.accepted_response(activation_id, self.front.api.base_url))
 
-        self.keep([taken], kept)
+        self.persist([taken], on_written)
 
     def tick(self, now: int) -> None:
-        for it in self.queue.ended(now):
-            self.final(it, Answer(FinalKind.REJECTED, "cancelled") if it.parked
+        for entry in self.queue.ended(now):
+            self.finish(entry, Answer(FinalKind.REJECTED, "cancelled") if entry.parked
                        else Answer(FinalKind.REJECTED, "time-up"))
         if not self.front.api.closing and (
-                self.carrier.member.age(clock()) is not None or now - self.started >= HEAR_FIRST):
+                self.carrier.member.age(clock()) is not None or now - self.started_at >= RECORD_WAIT):
             out = []
-            for it in self.queue.next(now):
-                if not self.front.api.capacity.has_room(it.tenant):
-                    self.queue.taken_back(it)
+            for entry in self.queue.next(now):
+                if not self.front.api.capacity.has_room(entry.tenant):
+                    self.queue.taken_back(entry)
                     break
-                self.front.api.capacity.acquire(it.tenant)
-                out.append(it)
+                self.front.api.capacity.acquire(entry.tenant)
+                out.append(entry)
             if out:
-                self.keep([record("out", ivk=each.ivk) for each in out], lambda good: self.release(out, good))
-        if now - self.swept >= SWEEP:
-            self.swept = now
-            self.sweep()
-
-    def release(self, out: list[Waiting], good: bool) -> None:
-        """Hands calls to the decisions; those that a cancel took back meanwhile stay."""
+                self.persist([record("out", ivk=each.ivk) for each in out],
+                             lambda is_stored: self.dispatch(out, is_stored))
+        if now - self.swept_at >= SWEEP_INTERVAL:
+            self.swept_at = now
+            self.forget_old_answers()
+
+    def dispatch(self, out: list[Waiting], is_stored: bool) -> None:
+        """Passes calls to the engine, except those that a cancel withdrew meanwhile."""
         self.front.read_updates()
         now = time.monotonic_ns()
-        for it in out:
-            if it.over or not it.out or not good:
-                self.front.api.capacity.release(it.tenant)
-                if not it.over:
-                    self.queue.taken_back(it)
-                    self.back(it)
+        for entry in out:
+            if entry.over or not entry.out or not is_stored:
+                self.front.api.capacity.release(entry.tenant)
+                if not entry.over:
+                    self.queue.taken_back(entry)
+                    self.requeue(entry)
                 continue
-            _, call, _ = self.calls[it.ivk]
-            name = f"{it.ivk}~{it.tries}" if it.tries else it.ivk
-            # taken may be answered before take() returns
-            self.pending.pop(it.ivk, None)
-            pending = self.front.engine.admit(now, name, call._replace(left=it.ends - now, again=False), it)
-            if it.out and not pending.is_settled:
-                self.pending[it.ivk] = pending
+            _, call, _ = self.calls[entry.ivk]
+            name = f"{entry.ivk}~{entry.tries}" if entry.tries else entry.ivk
+            # The call may be answered before admit() returns.
+            self.pending.pop(entry.ivk, None)
+            pending = self.front.engine.admit(now, name, call._replace(left=entry.ends - now, again=False), entry)
+            if entry.out and not pending.is_settled:
+                self.pending[entry.ivk] = pending
 
     def owns(self, pending: PendingRequest) -> bool:
         return isinstance(pending.client, Waiting)
 
-    def answered(self, pending: PendingRequest) -> None:
-        """The decisions' final answer to a try."""
-        it, answer = pending.client, pending.answer
+    def on_answered(self, pending: PendingRequest) -> None:
+        """The final answer of the engine to one try of a call."""
+        entry, answer = pending.client, pending.answer
         assert answer is not None
-        self.pending.pop(it.ivk, None)
+        self.pending.pop(entry.ivk, None)
         now = time.monotonic_ns()
-        if self.queue.returned(it, now, answer.final is FinalKind.COMPLETED, answer.final is FinalKind.REJECTED,
+        if self.queue.returned(entry, now, answer.final is FinalKind.COMPLETED, answer.final is FinalKind.REJECTED,
                                answer.reason, answer.retry_after, now - pending.admitted_at):
-            self.final(it, answer)
+            self.finish(entry, answer)
         else:
-            self.back(it)
+            self.requeue(entry)
+
+    def requeue(self, entry: Waiting) -> None:
+        """Lets a call wait again. If this cannot be stored, the call counts as possibly run, which is safe."""
+        self.persist([record("back", ivk=entry.ivk, tries=entry.tries, parked=entry.parked)], lambda is_stored: None)
 
-    def back(self, it: Waiting) -> None:
-        """It waits again. Should this not be kept, it is taken as in doubt: that errs on the safe side."""
-        self.keep([record("back", ivk=it.ivk, tries=it.tries, parked=it.parked)], lambda good: None)
+    def finish(self, entry: Waiting, answer: Answer) -> None:
+        """Stores the final answer of a call, then gives it to its client."""
+        _, _, deferred_call = self.calls.pop(entry.ivk)
+        self.persist_answer(entry, answer, deferred_call)
 
-    def final(self, it: Waiting, answer: Answer) -> None:
-        """One final answer, kept before it is told."""
-        _, _, deferral = self.calls.pop(it.ivk)
-        self.keep_final(it, answer, deferral)
+    def persist_answer(self, entry: Waiting, answer: Answer, deferred_call: DeferredCall) -> None:
+        """Stores an answer and then gives it to the client. Retries while the disk fails and the call has time left.
 
-    def keep_final(self, it: Waiting, answer: Answer, deferral: DeferredCall) -> None:
-        """Tries again where the disk fails, as long as its own time lasts: told and not kept, it could be told as
-        something else after a crash."""
-        told = record("end", ivk=it.ivk, at=time.time_ns(), answer={
+        An answer that was given but not stored could be followed by a different one after a crash."""
+        end = record("end", ivk=entry.ivk, at=time.time_ns(), answer={
             "final": answer.final.value, "reason": answer.reason, "body": answer.body, "error": answer.error,
             "may_have_run": answer.may_have_run})
 
-        def kept(good: bool) -> None:
-            if not good and time.monotonic_ns() + AGAIN < it.ends:
-                gevent.spawn_later(AGAIN / SECOND, self.keep_final, it, answer, deferral)
+        def on_written(is_stored: bool) -> None:
+            if not is_stored and time.monotonic_ns() + ANSWER_RETRY_DELAY < entry.ends:
+                gevent.spawn_later(ANSWER_RETRY_DELAY / SECOND, self.persist_answer, entry, answer, deferred_call)
                 return
-            for exchange in self.front.deferred_calls.finish(time.monotonic_ns(), deferral, answer):
-                exchange.respond(requests.final_response(answer, it.ivk))
+            for exchange in self.front.deferred_calls.finish(time.monotonic_ns(), deferred_call, answer):
+                exchange.respond(requests.final_response(answer, entry.ivk))
 
-        self.keep([told], kept)
+        self.persist([end], on_written)
 
-    def sweep(self) -> None:
-        """Answers kept long enough are let go."""
-        before = time.time_ns() - self.front.told.bounds.keep_results
-        old = [each.ivk for each in self.shelf.calls.values() if each.answer is not None and each.answered < before]
+    def forget_old_answers(self) -> None:
+        """Removes answers that were kept for long enough."""
+        before = time.time_ns() - self.front.config.bounds.keep_results
+        old = [each.ivk for each in self.store.calls.values() if each.answer is not None and each.answered < before]
         if old:
-            self.keep([record("forget", ivk=each) for each in old], lambda good: None)
+            self.persist([record("forget", ivk=each) for each in old], lambda is_stored: None)
 
-    def drop(self, ivk: str) -> Answer | None:
-        """One call cancelled by itself: its final answer, None where it may have begun. Raises KeyError."""
-        it, _, _ = self.calls[ivk]
-        if it.out and not self.take_back(it):
+    def cancel_call(self, activation_id: str) -> Answer | None:
+        """Cancels one call: its final answer, or None if it may have begun. Raises KeyError."""
+        entry, _, _ = self.calls[activation_id]
+        if entry.out and not self.withdraw(entry):
             return None
-        self.queue.end(it)
+        self.queue.end(entry)
         answer = Answer(FinalKind.REJECTED, "cancelled")
-        self.final(it, answer)
+        self.finish(entry, answer)
         return answer
 
-    def take_back(self, it: Waiting) -> bool:
-        """Takes a call back from the decisions, where it provably never began."""
-        pending = self.pending.get(it.ivk)
+    def withdraw(self, entry: Waiting) -> bool:
+        """Withdraws a call from the engine if it certainly never began; returns whether it was withdrawn."""
+        pending = self.pending.get(entry.ivk)
         if pending is not None:
             if any(sent.outcome not in NEVER_RAN for sent in pending.sends):
                 return False
-            self.pending.pop(it.ivk)
+            self.pending.pop(entry.ivk)
             pending.on_client_gone(time.monotonic_ns())
-            self.front.api.capacity.release(it.tenant)
-        self.queue.taken_back(it)
+            self.front.api.capacity.release(entry.tenant)
+        self.queue.taken_back(entry)
         return True
 
-    # What the record says.
+    # Changes of the record.
 
-    def told(self, cancels: list[Cancel]) -> None:
-        """Whatever it says of these cancels now; any number of times."""
+    def on_cancels_changed(self, cancels: list[Cancel]) -> None:
+        """Acts on the current state of these cancels; may be called any number of times for the same state."""
         for cancel in cancels:
             before = set(self.queue.under.get(cancel.id, ()))
-            out, restored, over = self.queue.heard(cancel)
-            taken = [each for each in out if self.take_back(each)]
+            out, restored, closed = self.queue.heard(cancel)
+            withdrawn = [each for each in out if self.withdraw(each)]
             if cancel.state == OPEN:
                 new = [ivk for ivk in self.queue.under.get(cancel.id, ()) if ivk not in before]
                 late = time.time_ns() - cancel.at
                 if new or out:
-                    self.keep([record("stop", cancel=cancel.id, ivks=new)], lambda good: None)
-                    self.keep([record("back", ivk=each.ivk, tries=each.tries, parked=each.parked) for each in taken],
-                              lambda good: None)
+                    self.persist([record("stop", cancel=cancel.id, ivks=new)], lambda is_stored: None)
+                    self.persist([record("back", ivk=each.ivk, tries=each.tries, parked=each.parked)
+                                  for each in withdrawn], lambda is_stored: None)
                     self.front.note("batch-stopped", cancel=cancel.id, batch=cancel.batch, parked=len(new),
-                                    out=len(out) - len(taken), heard_late_ms=late // MS if late > LATE else 0)
+                                    out=len(out) - len(withdrawn),
+                                    heard_late_ms=late // MS if late > LATE_CANCEL else 0)
             elif restored:
-                self.keep([record("free", cancel=cancel.id)], lambda good: None)
+                self.persist([record("free", cancel=cancel.id)], lambda is_stored: None)
                 self.front.note("batch-restored", cancel=cancel.id, batch=cancel.batch, calls=len(restored))
-            for each in over:
-                self.final(each, Answer(FinalKind.REJECTED, "cancelled"))
-            if over:
-                self.front.note("batch-closed", cancel=cancel.id, batch=cancel.batch, calls=len(over))
-
-    # What clients ask of batches.
-
-    def counts(self, name: str, say: dict[str, Any]) -> dict[str, Any]:
-        """A peer's question: how a batch stands here, and what of the tenant waits in all."""
-        it = self.queue.counts(str(say["tenant"]), str(say["batch"]), time.monotonic_ns())
-        return {**{each: getattr(it, each) for each in STOPPED}, "nearest": it.nearest,
-                "of-tenant": self.queue.waiting_of(str(say["tenant"]))}
-
-    def everywhere(self, tenant: str, batch: str) -> tuple[Counts, int, list[str]]:
-        """How a batch stands at all who are heard, what of its tenant waits, and who was not heard."""
-        say = {"tenant": tenant, "batch": batch}
-        found = self.carrier.ask_all("batch", say, TELL)
-        told = [each for each in found.values() if each is not None and "nearest" in each]
-        all_ = Counts(**{name: sum(each[name] for each in told) for name in STOPPED})
-        all_.nearest = min((each["nearest"] for each in told if each["nearest"]), default=0)
+            for each in closed:
+                self.finish(each, Answer(FinalKind.REJECTED, "cancelled"))
+            if closed:
+                self.front.note("batch-closed", cancel=cancel.id, batch=cancel.batch, calls=len(closed))
+
+    # Requests of clients on batches.
+
+    def local_counts(self, peer: str, request: dict[str, Any]) -> dict[str, Any]:
+        """Answers a peer: the counts of a batch here, and how many calls of the tenant wait in all."""
+        counts = self.queue.counts(str(request["tenant"]), str(request["batch"]), time.monotonic_ns())
+        return {**{each: getattr(counts, each) for each in COUNT_NAMES}, "nearest": counts.nearest,
+                "of-tenant": self.queue.waiting_of(str(request["tenant"]))}
+
+    def total_counts(self, tenant: str, batch: str) -> tuple[Counts, int, list[str]]:
+        """Asks all front ends. Returns the counts of a batch, the number of calls of its tenant that wait, and
+        the names of the front ends that did not answer."""
+        request = {"tenant": tenant, "batch": batch}
+        found = self.carrier.ask_all("batch", request, PEER_TIMEOUT)
+        reports = [each for each in found.values() if each is not None and "nearest" in each]
+        total = Counts(**{name: sum(each[name] for each in reports) for name in COUNT_NAMES})
+        total.nearest = min((each["nearest"] for each in reports if each["nearest"]), default=0)
         silent = sorted(name for name, each in found.items() if each is None or "nearest" not in each)
-        return all_, sum(each["of-tenant"] for each in told), silent
+        return total, sum(each["of-tenant"] for each in reports), silent
 
-    def handle(self, exchange: Exchange, act: Callable[[], dict[str, Any]]) -> None:
-        """Does what a client asks of batches, on a greenlet of its own: it may take some seconds."""
-        if self.under_way >= WORDS:
-            raise Problem(503, "too-many-orders", f"{WORDS} orders on batches are under way here",
+    def handle(self, exchange: Exchange, action: Callable[[], dict[str, Any]]) -> None:
+        """Handles a request on a greenlet of its own, as it may take some seconds. Raises Problem."""
+        if self.requests_under_way >= MAX_REQUESTS:
+            raise Problem(503, "too-many-orders", f"{MAX_REQUESTS} requests on batches are under way here",
                           headers=requests.retry_headers(SECOND))
-        self.under_way += 1
+        self.requests_under_way += 1
 
         def run() -> None:
             try:
-                exchange.respond(Response(200, [("Content-Type", "application/json")], json.dumps(act()).encode()))
-            except Problem as it:
-                exchange.respond(requests.problem_response(it))
-            except NotHeard as it:
-                exchange.respond(requests.problem_response(Problem(503, "record-not-heard", f"{it}; {it.help}",
-                                                          headers=requests.retry_headers(SECOND))))
-            except ThreadshiftError as it:
-                status = 404 if isinstance(it, NoSuchCancel) else 409
-                exchange.respond(requests.problem_response(Problem(status, kind_of(it), f"{it}; {it.help}")))
+                exchange.respond(Response(200, [("Content-Type", "application/json")], json.dumps(action()).encode()))
+            except Problem as problem:
+                exchange.respond(requests.problem_response(problem))
+            except NotHeard as problem:
+                exchange.respond(requests.problem_response(Problem(
+                    503, "record-not-heard", f"{problem}; {problem.help}", headers=requests.retry_headers(SECOND))))
+            except ThreadshiftError as problem:
+                status = 404 if isinstance(problem, NoSuchCancel) else 409
+                exchange.respond(requests.problem_response(
+                    Problem(status, problem_kind(problem), f"{problem}; {problem.help}")))
             finally:
-                self.under_way -= 1
+                self.requests_under_way -= 1
 
         gevent.spawn(run)
 
     def show(self, tenant: str, batch: str) -> dict[str, Any]:
-        counts, _, silent = self.everywhere(tenant, batch)
+        counts, _, silent = self.total_counts(tenant, batch)
         open_ = self.cancels.open.get((tenant, batch))
-        return {"batch": batch, **told_counts(counts), "not-heard": silent,
-                "cancel": self.tell(self.cancels.all[open_]) if open_ else None}
+        return {"batch": batch, **count_fields(counts), "not-heard": silent,
+                "cancel": self.cancel_fields(self.cancels.all[open_]) if open_ else None}
 
     def cancel(self, tenant: str, batch: str) -> dict[str, Any]:
         """Raises Problem, NotHeard."""
-        before, waits, silent = self.everywhere(tenant, batch)
+        before, waiting_of_tenant, silent = self.total_counts(tenant, batch)
         if not (before.waiting or before.out or before.parked or silent):
-            raise Problem(404, "no-such-batch", f"nothing of batch {batch!r} waits or is out at any front end"
-                                                + (f"; {before.done} calls of it are done" if before.done else ""))
-        id_ = self.carrier.new_id("cancel")
-        part = before.waiting / waits if waits else 0.0
-        done = self.carrier.propose({"do": "batch.cancel", "id": id_, "tenant": tenant, "batch": batch, "part": part,
-                                     "window": self.undo, "at": time.time_ns()}, ENTER)
-        it = done or self.cancels.all[id_]
-        counts, _, silent = self.everywhere(tenant, batch)
-        return {**self.tell(it), "already": it.id != id_, "stopped": told_counts(counts), "not-heard": silent}
-
-    def restore(self, tenant: str, id_: str) -> dict[str, Any]:
+            raise Problem(404, "no-such-batch", f"no call of batch {batch!r} waits or is under way at any front end"
+                                                + (f"; {before.done} of its calls are done" if before.done else ""))
+        cancel_id = self.carrier.new_id("cancel")
+        part = before.waiting / waiting_of_tenant if waiting_of_tenant else 0.0
+        done = self.carrier.propose({
+            "do": "batch.cancel", "id": cancel_id, "tenant": tenant, "batch": batch, "part": part,
+            "window": self.undo_window, "at": time.time_ns()}, PROPOSE_TIMEOUT)
+        cancel = done or self.cancels.all[cancel_id]
+        counts, _, silent = self.total_counts(tenant, batch)
+        return {**self.cancel_fields(cancel), "already": cancel.id != cancel_id,
+                "stopped": count_fields(counts), "not-heard": silent}
+
+    def restore(self, tenant: str, cancel_id: str) -> dict[str, Any]:
         """Raises NoSuchCancel, CancelOver, NotHeard."""
-        it = self.known(tenant, id_)
-        if it.state == OPEN:
-            self.carrier.propose({"do": "batch.restore", "id": f"restore-{id_}", "cancel": id_}, ENTER)
-        if it.state == CLOSED:
-            raise CancelOver(f"cancel {id_} is closed: what it stopped was answered as cancelled")
-        counts, _, silent = self.everywhere(tenant, it.batch)
-        return {**self.tell(it), **told_counts(counts), "not-heard": silent}
-
-    def known(self, tenant: str, id_: str) -> Cancel:
-        """A cancel, also one that another front end has told of and that has not come here yet. Raises NoSuchCancel,
-        NotHeard."""
+        cancel = self.find_cancel(tenant, cancel_id)
+        if cancel.state == OPEN:
+            self.carrier.propose({"do": "batch.restore", "id": f"restore-{cancel_id}", "cancel": cancel_id},
+                                 PROPOSE_TIMEOUT)
+        if cancel.state == CLOSED:
+            raise CancelOver(f"cancel {cancel_id} is closed: the calls that it stopped were answered as cancelled")
+        counts, _, silent = self.total_counts(tenant, cancel.batch)
+        return {**self.cancel_fields(cancel), **count_fields(counts), "not-heard": silent}
+
+    def find_cancel(self, tenant: str, cancel_id: str) -> Cancel:
+        """Finds a cancel, also one that was made at another front end and has not been applied here yet.
+
+        Raises NoSuchCancel, NotHeard."""
         try:
-            return self.cancels.find(id_, tenant)
+            return self.cancels.find(cancel_id, tenant)
         except NoSuchCancel:
-            self.carrier.catch_up(ENTER)
-            return self.cancels.find(id_, tenant)
+            self.carrier.catch_up(PROPOSE_TIMEOUT)
+            return self.cancels.find(cancel_id, tenant)
 
-    def tell(self, it: Cancel) -> dict[str, Any]:
-        left = it.window - (time.time_ns() - it.at)
-        return {"cancel": it.id, "batch": it.batch, "state": it.state, "accident": it.accident,
-                "undo-ms": max(0, left) // MS if it.state == OPEN else 0}
+    def cancel_fields(self, cancel: Cancel) -> dict[str, Any]:
+        left = cancel.window - (time.time_ns() - cancel.at)
+        return {"cancel": cancel.id, "batch": cancel.batch, "state": cancel.state, "accident": cancel.accident,
+                "undo-ms": max(0, left) // MS if cancel.state == OPEN else 0}
 
     def status(self) -> dict[str, Any]:
         return {"calls": len(self.calls), "out": self.queue.out, "room": round(self.queue.room, 1),
                 "parked": sum(map(len, self.queue.under.values())), "open-cancels": len(self.cancels.open),
-                "writes-waiting": len(self.writes), "problem": self.failed}
+                "writes-waiting": len(self.writes), "problem": self.last_failure}
 
-    def state_of(self, ivk: str) -> dict[str, Any] | None:
-        """What is told of a call that has no final answer yet, None where it is no batch's."""
-        if ivk not in self.calls:
+    def state_of(self, activation_id: str) -> dict[str, Any] | None:
+        """What a client is told of a call without a final answer; None if the call belongs to no batch."""
+        if activation_id not in self.calls:
             return None
-        it = self.calls[ivk][0]
-        more: dict[str, Any] = {"tries": it.tries, "left-ms": max(0, it.ends - time.monotonic_ns()) // MS}
-        if it.parked and it.parked in self.cancels.all:
-            more["cancel"] = self.tell(self.cancels.all[it.parked])
-        return {"batch": it.batch, "state": it.state, **more}
+        entry = self.calls[activation_id][0]
+        more: dict[str, Any] = {"tries": entry.tries, "left-ms": max(0, entry.ends - time.monotonic_ns()) // MS}
+        if entry.parked and entry.parked in self.cancels.all:
+            more["cancel"] = self.cancel_fields(self.cancels.all[entry.parked])
+        return {"batch": entry.batch, "state": entry.state, **more}
 
 
-def failure(act: Callable[..., None], *words: Any) -> ThreadshiftError | None:
-    """What act() raised, if anything: handed back, as the pool of threads would print it with its lines."""
+def exception_of(function: Callable[..., None], *arguments: Any) -> ThreadshiftError | None:
+    """The error that the function raised, if any; returned, as the thread pool would print its traceback."""
     try:
-        act(*words)
+        function(*arguments)
     except ThreadshiftError as problem:
         return problem
     return None
 
 
-def told_counts(it: Counts) -> dict[str, Any]:
-    return {**{name: getattr(it, name) for name in STOPPED}, "nearest-end-ms": it.nearest // MS}
+def count_fields(counts: Counts) -> dict[str, Any]:
+    return {**{name: getattr(counts, name) for name in COUNT_NAMES}, "nearest-end-ms": counts.nearest // MS}
 
 
-def kind_of(it: ThreadshiftError) -> str:
+def problem_kind(error: ThreadshiftError) -> str:
     """'NoSuchCancel' as 'no-such-cancel'."""
-    return "".join(f"-{letter.lower()}" if letter.isupper() else letter for letter in type(it).__name__).strip("-")
+    return "".join(f"-{letter.lower()}" if letter.isupper() else letter for letter in type(error).__name__).strip("-")
 
 
-def call_of(kept: Kept) -> Call:
+def stored_call(kept: Kept) -> Call:
     return Call(**{name: value for name, value in kept.call.items() if name in Call._fields})
 
 
-def answer_of(told: dict[str, Any]) -> Answer:
-    return Answer(FinalKind(told["final"]), told["reason"], told["body"], told["error"], 0, told["may_have_run"])
+def stored_answer(fields: dict[str, Any]) -> Answer:
+    return Answer(FinalKind(fields["final"]), fields["reason"], fields["body"], fields["error"], 0,
+                  fields["may_have_run"])
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -32,7 +32,7 @@
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.admission import Admission
 from threadshift.invoke import requests
-from threadshift.invoke.api import PAUSE_OF, Invoke, busy
+from threadshift.invoke.api import RETRY_DELAYS, InvokeApi, rejection
 from threadshift.invoke.deferred import InMemoryStore
 from threadshift.invoke.http import Application, Connection, TimeoutMonitor, serialize
 from threadshift.invoke.shares import weights
@@ -49,8 +49,8 @@
 ROOM_WAIT = 2 * MS         # for connections that make room to end: two rounds of the loop
 OPERATORS = 32             # connections at the operators' listener; clients cannot take these, nor one operator all
 FULL = [serialize(requests.problem_response(
-    busy(503, "too-many-connections", "the limit of connections is reached", pause)), keep_alive=False)
-        for pause in PAUSE_OF]
+    rejection(503, "too-many-connections", "the limit of connections is reached", pause)), keep_alive=False)
+        for pause in RETRY_DELAYS]
 
 
 class FrontEnd(BaseFrontEnd):
@@ -61,7 +61,7 @@
         """`version` is what of the installation's rollouts it runs; ready() is called once it serves."""
         super().__init__(WorkerRegistry(told.deployment.drain_grace), log)
         now = time.monotonic_ns()
-        self.told, self.index = told, index
+        self.config, self.index = told, index
         self.name = told.front_end(index)
         chance = random.Random(seed if seed is not None else random.SystemRandom().getrandbits(63))
         self.chance = chance.random
@@ -71,7 +71,7 @@
         self.deferred_calls = InMemoryStore(bounds.deferred, bounds.results, bounds.keep_results, weight)
         self.admission = Admission(min(each.target_latency for each in told.deployment.types), weight)
         self.timeout_monitor = TimeoutMonitor()
-        self.api = Invoke(told, self.name, f"http://{self.own}" if self.own else "", self.deferred_calls,
+        self.api = InvokeApi(told, self.name, f"http://{self.own}" if self.own else "", self.deferred_calls,
                           self.admission, log, self.status, weight)
         self.poll_monitor, self.api.read_updates = self.api.poll_monitor, self.read_updates
         dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
@@ -85,7 +85,7 @@
         self.feed: FeedSource | None = None     # where the list of workers comes over the network
         self.ending = False
         self.recent = RecentCalls({each.name: each.utility for each in told.deployment.types})
-        self.api.recent = self.recent
+        self.api.call_recorder = self.recent
         self.arrivals = ConnectionRate()
         self.service_announcer = ServiceAnnouncer(self) if told.announcing else None
         self.replicated_services: Any = None        # what it holds in common with others, once that could be opened
@@ -96,7 +96,7 @@
         """Opens what is held in common with others. Until that is possible this front end serves without: the one
         that it replaces may still hold the files, or they are not to be read."""
         from threadshift.gateway.replicated_services import ReplicatedServices     # only where peers are configured
-        said, peering = "", self.told.peering
+        said, peering = "", self.config.peering
         while self.replicated_services is None and peering is not None and not self.ending:
             try:
                 it = ReplicatedServices(self, peering, self.version, self.disk)
@@ -117,7 +117,7 @@
 
     def listening(self, address: Address, shared: bool) -> socket.socket:
         """A listener. Where this front end replaces another, its address may be free only in a moment."""
-        until = time.monotonic_ns() + (self.told.bounds.drain if self.told.peering is not None else 0)
+        until = time.monotonic_ns() + (self.config.bounds.drain if self.config.peering is not None else 0)
         while True:
             try:
                 return listener(address, shared)
@@ -157,7 +157,8 @@
         self.change(listings)
 
     def link(self, it: WorkerEntry) -> Link:
-        return Link(it.worker, it.address, self.told.bounds, self.name, self.told.deployment.zone, self, self.chance,
+        return Link(it.worker, it.address, self.config.bounds, self.name, self.config.deployment.zone, self,
+                    self.chance,
                     self.replicated_services.eviction_service if self.replicated_services is not None else None)
 
     def note(self, event: str, **fields: Any) -> None:
@@ -169,37 +170,37 @@
 
     def run(self) -> None:
         """Serves until end() was called and what is held has its answers."""
-        shared = self.told.front_ends > 1 or self.told.peering is not None
+        shared = self.config.front_ends > 1 or self.config.peering is not None
         self.api.poll_monitor.start()
-        for address in self.told.listen:
+        for address in self.config.listen:
             sock = listener(address, shared)
             self.listeners.append(sock)
             self.greenlets.spawn(self.accept, sock)
-        if self.own and self.told.peering is not None:
+        if self.own and self.config.peering is not None:
             self.greenlets.spawn(self.serve_at, self.own, self.accept)
         elif self.own:
             sock = listener(self.own, shared=False)
             self.listeners.append(sock)
             self.greenlets.spawn(self.accept, sock)
-        if isinstance(self.told.roster_at, Address):
-            self.feed = FeedSource(self.told.roster_at, self.name, self.told.bounds, self, self.chance)
+        if isinstance(self.config.roster_at, Address):
+            self.feed = FeedSource(self.config.roster_at, self.name, self.config.bounds, self, self.chance)
             self.greenlets.spawn(self.feed.run)
         else:
-            self.greenlets.spawn(WatchedFile(str(self.told.roster_at), self).run)
-        if self.told.admin is not None:
-            at = self.told.admin
+            self.greenlets.spawn(WatchedFile(str(self.config.roster_at), self).run)
+        if self.config.admin is not None:
+            at = self.config.admin
             at = at if at.path else Address(at.host, at.port + self.index)
             admin = Admin(self)
-            if self.told.peering is not None:
+            if self.config.peering is not None:
                 self.greenlets.spawn(self.serve_at, at, lambda sock: self.accept_admin(sock, admin))
             else:
                 self.greenlets.spawn(self.accept_admin, listener(at, shared=False), admin)
         if self.service_announcer is not None:
             self.service_announcer.start()
-        if self.told.peering is not None:
+        if self.config.peering is not None:
             self.greenlets.spawn(self.join_in)
         self.ready()
-        self.note("started", listen=[str(each) for each in self.told.listen], pid=os.getpid())
+        self.note("started", listen=[str(each) for each in self.config.listen], pid=os.getpid())
         self.keep_time(lambda: self.ending)
         self.drain()
 
@@ -210,11 +211,11 @@
     def accept(self, sock: socket.socket) -> None:
         for client in arriving(sock, self.note):
             self.arrivals.record(time.monotonic_ns())
-            if len(self.connections) >= self.told.bounds.connections:
+            if len(self.connections) >= self.config.bounds.connections:
                 # Who holds connections and asks nothing makes room for who asks.
                 self.timeout_monitor.make_room(time.monotonic_ns())
                 gevent.sleep(ROOM_WAIT / SECOND)
-            if len(self.connections) >= self.told.bounds.connections:
+            if len(self.connections) >= self.config.bounds.connections:
                 self.api.refusal_counters.record(time.monotonic_ns(), "too-many-connections")
                 with suppress(OSError):
                     client.settimeout(0)
@@ -237,7 +238,7 @@
     def converse(self, client: socket.socket, application: Application, unread: int = 0) -> None:
         """One client's connection. What fails in it is a fault of ours, logged, and ends it alone."""
         try:
-            Connection(client, application, self.told.bounds, self.timeout_monitor, unread).serve()
+            Connection(client, application, self.config.bounds, self.timeout_monitor, unread).serve()
         except Exception as fault:
             cause = fault.__context__ or fault      # a parser wraps what its callbacks raise
             self.note("fault", level="error", **exception_fields(cause))
@@ -246,7 +247,7 @@
         """The one timer: every tick, what is due; how late it comes tells how busy or stalled the process is.
 
         A fault in what it calls is ours, and ends the process loudly: half a front end is worse than none."""
-        for now, late in ticks(self.told.deployment.tick, over):
+        for now, late in ticks(self.config.deployment.tick, over):
             now = self.on_tick(now, late)
             self.timeout_monitor.tick(now)
             self.api.tick(now)
@@ -267,9 +268,9 @@
             sock.close()
         if self.replicated_services is not None:
             self.replicated_services.leave()
-        until = time.monotonic_ns() + self.told.bounds.drain
+        until = time.monotonic_ns() + self.config.bounds.drain
         self.keep_time(lambda: not self.engine.owed or time.monotonic_ns() >= until)
-        gevent.sleep(2 * self.told.deployment.tick / SECOND)     # the last answers leave their connections
+        gevent.sleep(2 * self.config.deployment.tick / SECOND)     # the last answers leave their connections
         if self.replicated_services is not None:
             gevent.sleep(self.replicated_services.leaving / SECOND)
             self.replicated_services.stop()
@@ -288,14 +289,14 @@
     def reload(self) -> None:
         """Reads the file again; takes over what may change while running, and says what may not."""
         try:
-            new = installation.read(self.told.file)
+            new = installation.read(self.config.file)
         except Mistake as problem:
             self.note("reload-refused", level="error", problem=str(problem))
             return
-        taken, kept = installation.changed(self.told, new)
-        self.told = installation.reloaded(self.told, new)
-        self.api.reload(self.told)
-        bounds = self.told.bounds
+        taken, kept = installation.changed(self.config, new)
+        self.config = installation.reloaded(self.config, new)
+        self.api.reload(self.config)
+        bounds = self.config.bounds
         self.deferred_calls.pending.limit, self.deferred_calls.answer_bytes.limit, self.deferred_calls.keep_time = (
             bounds.deferred, bounds.results, bounds.keep_results)
         self.note("reloaded", taken=taken, needs_restart=kept)
@@ -316,7 +317,7 @@
                          "dropped": self.deferred_calls.dropped},
             "announcements": self.service_announcer.status(now) if self.service_announcer is not None else None,
             "together": self.replicated_services.status() if self.replicated_services is not None else None,
-            "roster": {"kind": self.told.roster_kind,
+            "roster": {"kind": self.config.roster_kind,
                        "age-s": (round((now - self.list_applied_at) / SECOND, 3) if self.list_applied_at
                                  else None)},
             "workers": {name: {
--- a/threadshift/gateway/replicated_services.py
+++ b/threadshift/gateway/replicated_services.py
@@ -38,7 +38,7 @@
         self.carrier.answers["policies"] = self.eviction_service.policies
         front.deferred_calls.eviction_order = self.eviction_service.evictor.order
         self.rollout_service = RolloutService(front, told, self.carrier, self.rollouts, self.eviction_service,
-                                             version, front.api.recent)
+                                             version, front.api.call_recorder)
         self.carrier.answers["report"] = self.rollout_service.report
         self.carrier.duties.append(self.rollout_service.duties)
         self.carrier.began.append(self.rollout_service.conductor.new_holder)
@@ -47,7 +47,7 @@
         except BaseException:
             self.carrier.stop()
             raise
-        self.carrier.answers["batch"] = self.batch_service.counts
+        self.carrier.answers["batch"] = self.batch_service.local_counts
         self.carrier.duties.append(self.cancels.due)
         self.carrier.began.append(self.cancels.new_holder)
 
@@ -59,7 +59,7 @@
             self.stop()
             raise
         self.batch_service.start()
-        self.front.api.batch_service, self.front.api.recent = self.batch_service, self.rollout_service
+        self.front.api.batch_service, self.front.api.call_recorder = self.batch_service, self.rollout_service
 
     def tick(self, at: int) -> None:
         self.batch_service.tick(at)
@@ -77,7 +77,7 @@
     def told(self, told: Told, changed: bool) -> None:
         """An entry was applied, or all of them at once."""
         if told.state is not None:
-            self.batch_service.told(list(self.cancels.all.values()))
+            self.batch_service.on_cancels_changed(list(self.cancels.all.values()))
             self.eviction_service.told(self.forces.now)
             self.rollout_service.told()
         elif changed and str(told.entry.body.get("do")).startswith("rollout."):
@@ -90,7 +90,7 @@
         elif changed and str(told.entry.body.get("do")).startswith("batch."):
             body = told.entry.body
             id_ = body.get("cancel") or body["id"]
-            self.batch_service.told([self.cancels.all[id_]] if id_ in self.cancels.all else [])
+            self.batch_service.on_cancels_changed([self.cancels.all[id_]] if id_ in self.cancels.all else [])
 
     def order(self, method: str, path: str, told: dict[str, Any]) -> dict[str, Any]:
         """An operator's order. May take some seconds; raises errors.Problem, ValueError, KeyError."""
--- a/threadshift/gateway/rollout_service.py
+++ b/threadshift/gateway/rollout_service.py
@@ -25,7 +25,7 @@
 from threadshift.gateway.eviction_service import EvictionService
 from threadshift.gateway.version_files import VersionFiles
 from threadshift.interface import MS, SECOND
-from threadshift.invoke.api import Counts
+from threadshift.invoke.api import CallRecorder
 from threadshift.peers.carrier import Carrier, now
 from threadshift.rollout.conduct import Conductor, Report
 from threadshift.rollout.judge import BUCKETS, Sums, bucket
@@ -50,9 +50,9 @@
 
 class RolloutService:
     def __init__(self, front: Front, told: Peering, carrier: Carrier, rollouts: Rollouts,
-                 eviction_service: EvictionService, version: str, counts: Counts):
+                 eviction_service: EvictionService, version: str, call_recorder: CallRecorder):
         self.front, self.told_peers, self.carrier, self.rollouts = front, told, carrier, rollouts
-        self.eviction_service, self.version, self.counts = eviction_service, version, counts
+        self.eviction_service, self.version, self.call_recorder = eviction_service, version, call_recorder
         self.versions = VersionFiles(told.folder, front.name)
         self.conductor = Conductor(rollouts, told.peers)
         self.due: list[dict[str, Any]] = []
@@ -68,14 +68,14 @@
         told = self.versions.read("installed")
         if not self.version:
             with suppress(OSError):
-                self.versions.write("installed", {"conf": os.path.abspath(self.front.told.file)})
-            return self.front.told.file
-        return str(told.get("conf", self.front.told.file))
+                self.versions.write("installed", {"conf": os.path.abspath(self.front.config.file)})
+            return self.front.config.file
+        return str(told.get("conf", self.front.config.file))
 
     # Calls, as they end: passed on to who counted them before.
 
     def record(self, now: int, pending: PendingRequest) -> None:
-        self.counts.record(now, pending)
+        self.call_recorder.record(now, pending)
         if pending.answer is None:
             return
         sums = self.sums.setdefault(pending.call.type, [0, 0, 0, 0, 0, [0] * BUCKETS])
--- a/threadshift/gateway/service_announcer.py
+++ b/threadshift/gateway/service_announcer.py
@@ -23,7 +23,7 @@
 class Announced(Protocol):
     """The front end whose service is announced, as far as its signs go."""
 
-    told: Any
+    config: Any
     engine: Any
     links: dict[str, Any]
     listeners: list[Any]
@@ -41,7 +41,7 @@
     """The announcements of one front end."""
 
     def __init__(self, front: Announced):
-        told = front.told.announcing
+        told = front.config.announcing
         assert told is not None
         self.front, self.told = front, told
         now = time.monotonic_ns()
