--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -351,7 +351,7 @@
         with Platform([serve]) as it:
             it.coordinator.is_silent = True
             until(lambda: len(it.coordinator.last_event_ids) > 1)
-            self.assertTrue(it.node.roster_lost)
+            self.assertTrue(it.node.is_discovery_lost)
 
     def test_another_configuration_moves_the_stream_and_a_bad_one_does_not(self):
         with Platform([serve]) as it, tempfile.NamedTemporaryFile("w") as file:
--- a/tests/test_thousands_of_workers.py
+++ b/tests/test_thousands_of_workers.py
@@ -176,7 +176,8 @@
         new = range(self.WORKERS, self.WORKERS + 2 * JOIN_BATCH)
         self.node.on_list_update(parse_update(event(2, *map(self.entry, new))))
         gone = f"s-{new[-1]}"
-        self.node.change([self.node.registry.ends(gone, WorkerState.GONE)])    # as where a list lacks it at last
+        # as where a list lacks it at last
+        self.node.apply_changes([self.node.registry.ends(gone, WorkerState.GONE)])
         until(lambda: not self.node.joining)
         self.assertNotIn(gone, {worker.name for worker in self.node.engine.dispatcher.ready_workers})
 
--- a/threadshift/cli/serve.py
+++ b/threadshift/cli/serve.py
@@ -28,7 +28,7 @@
     from threadshift.gateway.supervisor import Supervisor
     from threadshift.log import Log
     it = told(file)
-    Supervisor.hold_signals()
+    Supervisor.block_signals()
     log = Log(it.log_form, it.log_level, it.bounds.log_lines, front_end="supervisor")
     try:
         sys.exit(Supervisor(it, log).run())
--- a/threadshift/gateway/base_front_end.py
+++ b/threadshift/gateway/base_front_end.py
@@ -1,6 +1,7 @@
-"""The workers of one front end: who they are, a link to each, the engine's port to them, and the timer's beat.
+"""What all front ends have in common: the workers, a link to each, the engine's port to workers, and the timer.
 
-Nothing here decides. Links belong to worker ids, never to addresses. A subclass makes links of its own protocol.
+This module takes no decisions. Links belong to worker ids, never to addresses. A subclass makes links of its own
+protocol.
 """
 from __future__ import annotations
 
@@ -12,20 +13,20 @@
 import gevent
 
 from threadshift.conf.values import Address
-from threadshift.engine.engine import PendingWorkerQuery, PendingRequest, RequestEngine
-from threadshift.interface import MS, SECOND, WorkerListing, Outcome, WorkerState
+from threadshift.discovery.registry import WorkerEntry, WorkerList, WorkerRegistry
+from threadshift.engine.engine import PendingRequest, PendingWorkerQuery, RequestEngine
+from threadshift.interface import MS, SECOND, Outcome, WorkerListing, WorkerState
 from threadshift.invoke.admission import READING_INTERVAL, Admission
 from threadshift.invoke.poll_monitor import CATCH_UP_TIME, STALL_THRESHOLD, PollMonitor
 from threadshift.log import Log
-from threadshift.discovery.registry import WorkerEntry, WorkerList, WorkerRegistry
 
-
-JOIN_BATCH = 32            # new workers taken in at a time: some ms of work, also on a part of a core
-READ_ROUND, READ_ROUNDS = MS, 10    # waits for arrived news to be read, and how many; a flood of it never ends
+JOIN_BATCH = 32            # new workers added at a time: some ms of work, also on a part of a core
+UPDATE_READ_WAIT = MS      # for an update of the worker list that has arrived to be read ...
+MAX_UPDATE_READS = 10      # ... and how often to wait, as a flood of updates never ends
 
 
 class AnyLink(Protocol):
-    """What a link of any protocol does."""
+    """A link to a worker, of any protocol."""
 
     address: Address
 
@@ -34,14 +35,14 @@
     def invoke(self, pending: PendingRequest, number: int, left: int) -> Outcome | None: ...
     def cancel(self, pending: PendingRequest, number: int, tell: bool) -> Outcome: ...
     def withdraw(self, pending: PendingRequest, number: int) -> bool: ...
-    def order_load(self, asked: PendingWorkerQuery) -> Outcome | None: ...
-    def probe(self, asked: PendingWorkerQuery) -> Outcome | None: ...
+    def order_load(self, query: PendingWorkerQuery) -> Outcome | None: ...
+    def probe(self, query: PendingWorkerQuery) -> Outcome | None: ...
     def take_back(self) -> None: ...
     def stop(self) -> None: ...
 
 
 class BaseFrontEnd:
-    """Carries the engine's steps to links, and word of workers to the engine."""
+    """Passes the engine's steps to links, and changes of workers to the engine."""
 
     engine: RequestEngine
     poll_monitor: PollMonitor
@@ -50,15 +51,15 @@
     def __init__(self, registry: WorkerRegistry, log: Log) -> None:
         self.log, self.registry = log, registry
         self.links: dict[str, Any] = {}
-        self.joining: dict[str, None] = {}      # workers listed as ready that are still to be taken in
-        self.last_stall_at = 0           # when it was last seen that the process had stood still
+        self.joining: dict[str, None] = {}      # workers listed as ready that are still to be added
+        self.last_stall_at = 0                  # when a stall of the process was last detected
         self.stalls = self.longest_stall = 0
         self.lag_read_at = self.gone_workers_checked_at = 0
         self.list_applied_at = 0
-        self.roster_lost = False         # the feed is lost or the file unreadable: the last list stands
+        self.is_discovery_lost = False          # the feed is lost or the file unreadable; the last list remains valid
 
-    def link(self, it: WorkerEntry) -> AnyLink:
-        """A new link to a worker."""
+    def link(self, entry: WorkerEntry) -> AnyLink:
+        """Makes a link to a worker."""
         raise NotImplementedError
 
     def note(self, event: str, **fields: Any) -> None:
@@ -70,7 +71,7 @@
         link = self.links.get(worker)
         left = pending.time_left(time.monotonic_ns())
         if left <= 0:
-            return Outcome.NEVER_SENT         # the process stood still since this was decided
+            return Outcome.NEVER_SENT         # the process stalled since the engine decided on this
         return Outcome.UNREACHABLE if link is None else link.invoke(pending, number, left)
 
     def cancel(self, worker: str, pending: PendingRequest, number: int, tell: bool) -> Outcome:
@@ -81,33 +82,34 @@
         link = self.links.get(worker)
         return link is not None and link.withdraw(pending, number)
 
-    def order_load(self, worker: str, order: PendingWorkerQuery) -> Outcome | None:
+    def order_load(self, worker: str, query: PendingWorkerQuery) -> Outcome | None:
         link = self.links.get(worker)
-        return Outcome.UNREACHABLE if link is None else link.order_load(order)
+        return Outcome.UNREACHABLE if link is None else link.order_load(query)
 
-    def probe(self, worker: str, question: PendingWorkerQuery) -> Outcome | None:
+    def probe(self, worker: str, query: PendingWorkerQuery) -> Outcome | None:
         link = self.links.get(worker)
-        return Outcome.UNREACHABLE if link is None else link.probe(question)
+        return Outcome.UNREACHABLE if link is None else link.probe(query)
 
     def has_unread_update(self) -> bool:
-        """Whether news of the roster has arrived and is not read yet."""
+        """Whether an update of the worker list has arrived that is not read yet."""
         return False
 
     def read_updates(self) -> None:
-        """Lets the roster's news that has arrived be read before anything is sent on: it counts as told already.
+        """Lets updates of the worker list that have arrived be read before anything is sent: they count as known.
 
-        The socket itself is asked, however short the stall: no time of ours tells what lies there."""
-        for _ in range(READ_ROUNDS):
+        The socket itself is checked, however short the stall was: no time that we measure tells what has arrived."""
+        for _ in range(MAX_UPDATE_READS):
             if not self.has_unread_update():
                 return
-            gevent.sleep(READ_ROUND / SECOND)
+            gevent.sleep(UPDATE_READ_WAIT / SECOND)
 
     def catch_up_after_stall(self) -> None:
-        """Called before anything that may lead to a send: an answer, a break, a connection that came up.
+        """Called before anything that may lead to a send: an answer, a broken connection, a new connection.
 
-        After a stall, what workers said themselves and that clients are gone is read first, too: it may lie beside
-        what came now. (Found by a hunt: an answer read first brought a load order to a worker long told of as
-        draining.) A loop at its limit looks like one that stalled, and loses a fifth of its time by this at most."""
+        After a stall, messages of workers and disconnects of clients are read first, too, as they may have arrived
+        together with the event that is handled now. Without this, an answer that was read first caused a load order
+        to a worker whose drain had been announced long before. An overloaded event loop looks like a stalled one, and
+        loses at most a fifth of its time by this wait."""
         now = time.monotonic_ns()
         if self.poll_monitor.unread_time(now) >= min(STALL_THRESHOLD, max(CATCH_UP_TIME, self.registry.grace // 2)):
             self.last_stall_at = now
@@ -116,24 +118,24 @@
         self.read_updates()
 
     def on_tick(self, now: int, late: int) -> int:
-        """What one tick of the timer brings, whatever the protocols; the time after it, as it may wait a moment."""
+        """Does what is due at a tick, for any protocol. Returns the time afterwards, as it may have waited."""
         if late >= STALL_THRESHOLD:
             self.stalls += 1
             self.longest_stall = max(self.longest_stall, late)
             self.note("stalled", level="warning", late_ms=late // MS, owed=self.engine.owed)
-            # Time alone may send again: not before the roster's word that came meanwhile is read.
+            # Timeouts may cause sends; updates of the worker list that arrived meanwhile must be read before.
             gevent.sleep(CATCH_UP_TIME / SECOND)
             now = time.monotonic_ns()
-        due = self.engine.due() <= now
-        if due and self.has_unread_update():
+        is_due = self.engine.due() <= now
+        if is_due and self.has_unread_update():
             self.read_updates()
             now = time.monotonic_ns()
         if now - self.lag_read_at >= READING_INTERVAL:
             self.lag_read_at = now
             self.admission.record_lag(now, late)
-        if due:
+        if is_due:
             self.engine.tick(now)
-        self.change(self.registry.tick(now))
+        self.apply_changes(self.registry.tick(now))
         if self.joining:
             self.join_workers()
         if now - self.gone_workers_checked_at >= SECOND:
@@ -142,84 +144,86 @@
             self.log.tick(now)
         return now
 
-    # What the roster tells.
+    # Updates of workers.
 
     def listed(self, entries: Collection[WorkerEntry], full: bool) -> None:
-        """News that counts as told as it is read."""
+        """Applies an update of the worker list, whose changes count as known from now on."""
         self.apply_list(WorkerList(list(entries), full), time.monotonic_ns())
 
     def apply_list(self, workers: WorkerList, told_since: int) -> None:
-        """All that was told at once of workers in use is known before any link is made or ended: what a link's end
-        lets be sent again must not go to a worker that the same news says drains.
+        """Applies an update of the worker list that counts as known since `told_since`.
+
+        All changes of workers in use are applied before any link is made or ended: a send that is repeated because a
+        link ended must not go to a worker that drains according to the same update.
 
-        New workers beyond a few are taken in by the timer, a batch at a time: each costs its points on the ring, and
+        New workers beyond a few are added by the timer, a batch at a time: each needs its points on the ring, and
         with thousands of them at once requests would wait unread for seconds."""
         now = self.list_applied_at = time.monotonic_ns()
-        self.roster_lost = False
-        before = self.registry.empty_since
+        self.is_discovery_lost = False
+        empty_before = self.registry.empty_since
         listings = self.registry.apply(now, time.time_ns(), workers, told_since)
-        if self.registry.empty_since is not None and before is None:
+        if self.registry.empty_since is not None and empty_before is None:
             self.note("roster-empty", level="warning", held_ms=self.registry.grace // 2 // MS)
         listings = self.postpone_new(listings)
         self.apply_listings(listings)
         for link in self.relink(each for each in workers.entries if each.worker not in self.joining):
             link.stop()
-        self.take_back(listings)
+        self.withdraw_from_unavailable(listings)
         self.note("list-applied", listed=len(workers.entries), full=workers.full, changed=len(listings),
                   joining=len(self.joining), told_ms=(now - told_since) // MS if told_since else None,
                   took_ms=(time.monotonic_ns() - now) // MS)
 
     def postpone_new(self, listings: list[WorkerListing]) -> list[WorkerListing]:
-        """Puts off new workers where they are many; the listings that are left."""
+        """Postpones new workers if they are many; returns the other listings."""
         new = [each.worker for each in listings if each.state is WorkerState.READY and each.worker not in self.links]
         if len(new) <= JOIN_BATCH:
             for each in listings:
                 self.joining.pop(each.worker, None)
             return listings
         self.joining.update(dict.fromkeys(new))
-        left = [each for each in listings if each.state is not WorkerState.READY or each.worker in self.links]
-        for each in left:
+        remaining = [each for each in listings if each.state is not WorkerState.READY or each.worker in self.links]
+        for each in remaining:
             self.joining.pop(each.worker, None)
-        return left
+        return remaining
 
-    def join_workers(self, most: int = JOIN_BATCH) -> None:
-        """Takes in the next new workers."""
-        names = list(islice(self.joining, most))
+    def join_workers(self, limit: int = JOIN_BATCH) -> None:
+        """Adds the next new workers."""
+        names = list(islice(self.joining, limit))
         for name in names:
             del self.joining[name]
-        joined = [one for name in names if (one := self.registry.known.get(name)) is not None]
-        self.apply_listings([self.registry.listing(one) for one in joined])
-        self.relink(one.entry for one in joined)
+        joined = [each for name in names if (each := self.registry.known.get(name)) is not None]
+        self.apply_listings([self.registry.listing(each) for each in joined])
+        self.relink(each.entry for each in joined)
 
     def relink(self, entries: Iterable[WorkerEntry]) -> list[AnyLink]:
-        """A link to each listed worker, at the address that the roster has now; the links that these replace."""
+        """Makes a link to each listed worker at its current address. Returns the links that these replace."""
         replaced = []
-        for it in entries:
-            link = self.links.get(it.worker)
-            if link is not None and link.address != it.address:
-                replaced.append(self.links.pop(it.worker))
-            if it.worker not in self.links and it.state is not WorkerState.GONE:
-                self.links[it.worker] = self.link(it)
+        for entry in entries:
+            link = self.links.get(entry.worker)
+            if link is not None and link.address != entry.address:
+                replaced.append(self.links.pop(entry.worker))
+            if entry.worker not in self.links and entry.state is not WorkerState.GONE:
+                self.links[entry.worker] = self.link(entry)
         return replaced
 
-    def change(self, listings: list[WorkerListing]) -> None:
-        """Workers changed without a link to be made or replaced."""
+    def apply_changes(self, listings: list[WorkerListing]) -> None:
+        """Applies changes of workers that need no new link."""
         self.apply_listings(listings)
-        self.take_back(listings)
+        self.withdraw_from_unavailable(listings)
 
     def apply_listings(self, listings: list[WorkerListing]) -> None:
-        """Hands what changed to the decisions."""
+        """Passes changes of workers to the engine."""
         if listings:
             self.engine.update_workers(time.monotonic_ns(), listings, full=False)
 
-    def take_back(self, listings: list[WorkerListing]) -> None:
-        """Ends what waits to leave for workers to which nothing more may go."""
+    def withdraw_from_unavailable(self, listings: list[WorkerListing]) -> None:
+        """Withdraws what is still to be sent to workers to which nothing more may be sent."""
         for each in listings:
             if each.state is not WorkerState.READY and each.worker in self.links:
                 self.links[each.worker].take_back()
 
     def remove_gone_workers(self) -> None:
-        """Ends links to workers that are gone, once nothing waits for them."""
+        """Ends links to workers that are gone, once nothing waits for an answer from them."""
         for name in self.registry.gone:
             link = self.links.get(name)
             if link is not None and not link.busy:
--- a/threadshift/gateway/eviction_service.py
+++ b/threadshift/gateway/eviction_service.py
@@ -1,6 +1,8 @@
-"""Eviction, as one front end carries it: the policy in force to its workers, what they hold to each other,
-complaints to
-the record. Nothing here decides."""
+"""Eviction at one front end: passes the active policy to its workers, tells them which others hold the same
+functions, and enters complaints into the record.
+
+This module takes no decisions.
+"""
 from __future__ import annotations
 
 import time
@@ -15,14 +17,14 @@
 from threadshift.links.codec import Frame
 from threadshift.peers.carrier import Carrier, NotHeard
 
-EACH = SECOND              # between two words to each worker, where nothing else is said
-ENTER = 5 * SECOND         # until an entry must have been told back
-TELL = 700_000_000         # ns within which peers tell what they and their workers have
-MOST_HOLDERS = 8           # of one function, told to a worker: more than any keeps on purpose
+UPDATE_INTERVAL = SECOND             # between updates to each worker, where nothing else is sent
+PROPOSE_TIMEOUT = 5 * SECOND         # for an entry of the record to be applied here
+PEER_TIMEOUT = 700_000_000           # for peers to report the policies of their nodes
+MAX_HOLDERS = 8                      # of one function, named to a worker; no function is kept by more on purpose
 
 
-class Links(Protocol):
-    """The front end's workers."""
+class FrontEndLinks(Protocol):
+    """The front end, as far as its links to workers are used here."""
 
     links: dict[str, Any]
     name: str
@@ -31,102 +33,107 @@
 
 
 class EvictionService:
-    def __init__(self, front: Links, carrier: Carrier, forces: Forces):
+    """Keeps the workers of one front end informed of the active eviction policy."""
+
+    def __init__(self, front: FrontEndLinks, carrier: Carrier, forces: Forces):
         self.front, self.carrier, self.forces = front, carrier, forces
         self.evictor = Evictor(front.name)
-        self.has: dict[str, dict[str, str]] = {}         # worker: its policies, with their digests
-        self.epochs: dict[str, int] = {}                 # worker: the epoch that it goes by
-        self.copies: dict[str, tuple[int, list[str]]] = {}      # worker: (when told, what it holds)
-        self.lacks: dict[str, str] = {}                  # worker: why it does not go by the policy in force
-        self.where: dict[str, list[str]] = {}            # function: who holds it
-        self.complained: set[tuple[str, int]] = set()
-        self.spoke = 0
+        self.worker_policies: dict[str, dict[str, str]] = {}    # by worker: its policies and their digests
+        self.epochs: dict[str, int] = {}                        # by worker: the epoch that it applies
+        self.copies: dict[str, tuple[int, list[str]]] = {}      # by worker: (when reported, what it holds)
+        self.problems: dict[str, str] = {}                      # by worker: why it does not apply the active policy
+        self.holders: dict[str, list[str]] = {}                 # by function: the workers that hold it
+        self.complained: set[tuple[str, int]] = set()           # (node, epoch) whose complaint was entered
+        self.updated_at = 0
 
-    # Links ask and tell.
+    # Called by links.
 
     def more(self, worker: str) -> dict[str, Any]:
-        """What goes out with a hello or a ping."""
+        """The fields that are added to a hello or a ping."""
         _, names = self.copies.get(worker, (0, []))
-        holders = {name: [other for other in self.where[name] if other != worker][:MOST_HOLDERS]
-                   for name in names if len(self.where.get(name, ())) > 1}
+        holders = {name: [other for other in self.holders[name] if other != worker][:MAX_HOLDERS]
+                   for name in names if len(self.holders.get(name, ())) > 1}
         return {"eviction": self.forces.now.told(), "holders": holders}
 
-    def look(self, now: int) -> None:
-        """Who holds what, by what was told lately; once for all workers, as they are told together."""
-        self.where = {}
+    def update_holders(self, now: int) -> None:
+        """Computes from recent reports which workers hold which functions; once for all workers, as all are updated
+        at the same time."""
+        self.holders = {}
         for worker, (at, names) in sorted(self.copies.items()):
             if now - at <= FRESH:
                 for name in names:
-                    self.where.setdefault(name, []).append(worker)
+                    self.holders.setdefault(name, []).append(worker)
 
     def heard(self, worker: str, frame: Frame) -> None:
-        """A worker's hello or pong. What is not of the right type counts as not told."""
+        """Handles a worker's hello or pong. Fields that do not have the right type are ignored."""
         if isinstance(policies := frame.get("policies"), dict):
-            self.has[worker] = {str(name): str(text) for name, text in policies.items()}
+            self.worker_policies[worker] = {str(name): str(value) for name, value in policies.items()}
         if isinstance(epoch := frame.get("epoch"), int):
             self.epochs[worker] = epoch
         if isinstance(copies := frame.get("copies"), list):
             self.copies[worker] = time.monotonic_ns(), [each for each in copies if isinstance(each, str)]
         if isinstance(lacks := frame.get("lacks"), str):
-            if lacks and self.lacks.get(worker) != lacks:
+            if lacks and self.problems.get(worker) != lacks:
                 self.front.note("policy-lacking", level="warning", worker=worker, problem=lacks[:200],
                                 help=Lacking.help)
-            self.lacks[worker] = lacks
+            self.problems[worker] = lacks
         if isinstance(what := frame.get("complaint"), str) and what:
-            self.complain(worker, what)
+            self.report_complaint(worker, what)
 
-    def complain(self, node: str, what: str) -> None:
+    def report_complaint(self, node: str, what: str) -> None:
+        """Enters a node's complaint about the active policy into the record, once for each epoch."""
         epoch = self.forces.now.epoch
         if (node, epoch) in self.complained or self.epochs.get(node, epoch) != epoch:
             return
         self.complained.add((node, epoch))
         self.front.note("policy-complaint", level="warning", node=node, epoch=epoch, what=what[:200])
-        self.enter({"do": "evict.complaint", "id": f"complaint-{node}-{epoch}", "node": node, "epoch": epoch,
-                    "what": what[:200], "of": max(1, len(self.has) + len(self.carrier.links) + 1)})
+        self.propose({"do": "evict.complaint", "id": f"complaint-{node}-{epoch}", "node": node, "epoch": epoch,
+                      "what": what[:200], "of": max(1, len(self.worker_policies) + len(self.carrier.links) + 1)})
 
-    def enter(self, body: dict[str, Any]) -> None:
+    def propose(self, body: dict[str, Any]) -> None:
         def run() -> None:
             try:
-                self.carrier.propose(body, ENTER)
+                self.carrier.propose(body, PROPOSE_TIMEOUT)
             except NotHeard:
-                self.complained.discard((body["node"], body["epoch"]))      # again, with its next word
+                self.complained.discard((body["node"], body["epoch"]))      # it is entered again with its next report
         gevent.spawn(run)
 
-    # The front end's own.
+    # Called by the front end and the record.
 
-    def told(self, force: Force) -> None:
-        """The record put a policy in force: workers hear of it at once."""
+    def on_policy_changed(self, force: Force) -> None:
+        """Another policy became active: passes it to the workers at once."""
         if self.evictor.hear(force.told()):
             self.front.note("policy-in-force", epoch=force.epoch, policy=force.policy, why=force.why,
                             lacks=self.evictor.lacks)
-            self.speak()
+            self.update_workers()
 
     def tick(self, now: int) -> None:
-        if now - self.spoke >= EACH:
-            self.spoke = now
-            self.look(now)
-            self.speak()
+        if now - self.updated_at >= UPDATE_INTERVAL:
+            self.updated_at = now
+            self.update_holders(now)
+            self.update_workers()
             for worker in [each for each in self.copies if each not in self.front.links]:
-                for known in (self.has, self.epochs, self.copies, self.lacks):
+                for known in (self.worker_policies, self.epochs, self.copies, self.problems):
                     known.pop(worker, None)
             if self.evictor.complaint:
-                self.complain(self.front.name, self.evictor.complaint)
+                self.report_complaint(self.front.name, self.evictor.complaint)
 
-    def speak(self) -> None:
+    def update_workers(self) -> None:
         for link in self.front.links.values():
             link.tell()
 
     # Operators and peers.
 
-    def policies(self, name: str = "", say: dict[str, Any] | None = None) -> dict[str, Any]:
-        """A peer's question: what stands here and at the workers heard here."""
+    def local_policies(self, peer: str = "", request: dict[str, Any] | None = None) -> dict[str, Any]:
+        """Answers a peer: the policies and epochs of this front end and of its workers."""
         own = {each: digest(policy) for each, policy in self.evictor.policies.items()}
-        return {"nodes": {self.front.name: own, **self.has},
+        return {"nodes": {self.front.name: own, **self.worker_policies},
                 "epochs": {self.front.name: self.evictor.force.epoch, **self.epochs}}
 
-    def everywhere(self) -> tuple[dict[str, dict[str, str]], dict[str, int], list[str]]:
-        """All nodes heard with their policies, the epochs they go by, and front ends that were not heard."""
-        found = self.carrier.ask_all("policies", {}, TELL)
+    def gather_policies(self) -> tuple[dict[str, dict[str, str]], dict[str, int], list[str]]:
+        """Asks all front ends. Returns the policies of all nodes, the epochs that these apply, and the front ends
+        that did not answer."""
+        found = self.carrier.ask_all("policies", {}, PEER_TIMEOUT)
         nodes: dict[str, dict[str, str]] = {}
         epochs: dict[str, int] = {}
         for each in found.values():
@@ -135,30 +142,33 @@
                 epochs[node] = max(epoch, epochs.get(node, 0))
         return nodes, epochs, sorted(name for name, each in found.items() if each is None)
 
-    def set(self, policy: str, parameters: dict[str, int], why: str, silent_too: bool = False) -> dict[str, Any]:
-        """Puts a policy in force for all. Raises Lacking, NotHeard."""
-        body = self.checked(policy, parameters, silent_too)
-        self.carrier.propose({"do": "evict.set", "id": self.carrier.new_id("evict"), "why": why, **body}, ENTER)
+    def set_policy(self, policy: str, parameters: dict[str, int], why: str,
+                   silent_too: bool = False) -> dict[str, Any]:
+        """Makes a policy the active one on all nodes. Raises Lacking, NotHeard."""
+        body = self.checked_policy(policy, parameters, silent_too)
+        self.carrier.propose({"do": "evict.set", "id": self.carrier.new_id("evict"), "why": why, **body},
+                             PROPOSE_TIMEOUT)
         return self.show()
 
-    def checked(self, policy: str, parameters: dict[str, int], silent_too: bool = False) -> dict[str, Any]:
-        """A policy as an entry names it, where every node heard has it. Raises Lacking."""
-        it = self.evictor.policies.get(policy)
-        if it is None:
-            raise Lacking(f"no policy '{policy[:100]}'; there are {', '.join(sorted(self.evictor.policies))}")
-        wrong = sorted(set(parameters) - set(it.parameters))
-        if wrong:
-            raise Lacking(f"{policy} takes no '{wrong[0]}'; it takes {', '.join(it.parameters) or 'none'}")
-        text = digest(it)
-        nodes, _, silent = self.everywhere()
-        lacking = sorted(node for node, has in nodes.items() if has.get(policy) != text)
+    def checked_policy(self, policy: str, parameters: dict[str, int], silent_too: bool = False) -> dict[str, Any]:
+        """The fields of an entry that names a policy, after a check that every node has it. Raises Lacking."""
+        found = self.evictor.policies.get(policy)
+        if found is None:
+            raise Lacking(f"no policy '{policy[:100]}'; available are {', '.join(sorted(self.evictor.policies))}")
+        unknown = sorted(set(parameters) - set(found.parameters))
+        if unknown:
+            raise Lacking(f"{policy} has no parameter '{unknown[0]}'; it has {', '.join(found.parameters) or 'none'}")
+        expected = digest(found)
+        nodes, _, silent = self.gather_policies()
+        lacking = sorted(node for node, digests in nodes.items() if digests.get(policy) != expected)
         if lacking or silent and not silent_too:
-            raise Lacking(f"{policy} is not, or is another text, at {', '.join(lacking)}" if lacking else
-                          f"not heard, so not known to have it: {', '.join(silent)}")
-        return {"policy": policy, "digest": text, "parameters": parameters}
+            raise Lacking(f"{policy} is missing or differs at {', '.join(lacking)}" if lacking else
+                          f"did not answer, so may lack the policy: {', '.join(silent)}")
+        return {"policy": policy, "digest": expected, "parameters": parameters}
 
     def show(self) -> dict[str, Any]:
-        _, epochs, silent = self.everywhere()
-        it = self.forces.now
-        return {**it.told(), "why": it.why, "behind": sorted(n for n, epoch in epochs.items() if epoch < it.epoch),
+        _, epochs, silent = self.gather_policies()
+        active = self.forces.now
+        return {**active.told(), "why": active.why,
+                "behind": sorted(node for node, epoch in epochs.items() if epoch < active.epoch),
                 "nodes": len(epochs), "complaints": self.forces.complaints, "not-heard": silent}
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -1,6 +1,7 @@
-"""One front end process: listeners, links, roster and the one timer around an engine.
+"""One front end process: listeners, links, worker discovery and a timer around a request engine.
 
-Nothing here decides. run() returns once the front end was told to end and has drained, or its time for that is up.
+This module takes no decisions. run() returns once end() was called and the front end has drained, or the time for
+that is up.
 """
 from __future__ import annotations
 
@@ -22,6 +23,8 @@
 from threadshift.conf.installation import Installation
 from threadshift.conf.reading import Mistake
 from threadshift.conf.values import Address
+from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
+from threadshift.discovery.sources import FeedSource, WatchedFile
 from threadshift.engine import previous_process
 from threadshift.engine.engine import RequestEngine
 from threadshift.errors import ThreadshiftError
@@ -30,8 +33,8 @@
 from threadshift.gateway.recent_calls import ConnectionRate, RecentCalls
 from threadshift.gateway.service_announcer import ServiceAnnouncer
 from threadshift.interface import MS, SECOND
-from threadshift.invoke.admission import Admission
 from threadshift.invoke import requests
+from threadshift.invoke.admission import Admission
 from threadshift.invoke.api import RETRY_DELAYS, InvokeApi, rejection
 from threadshift.invoke.deferred import InMemoryStore
 from threadshift.invoke.http import Application, Connection, TimeoutMonitor, serialize
@@ -40,83 +43,86 @@
 from threadshift.links.link import Link
 from threadshift.links.sockets import arriving, listener
 from threadshift.log import Log, exception_fields
-from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
-from threadshift.discovery.sources import FeedSource, WatchedFile
 from threadshift.storage.journal import Taken
 from threadshift.timer import ticks
 
-JOIN = 50 * MS             # between two tries to open what the front end that is replaced still holds
-ROOM_WAIT = 2 * MS         # for connections that make room to end: two rounds of the loop
-OPERATORS = 32             # connections at the operators' listener; clients cannot take these, nor one operator all
-FULL = [serialize(requests.problem_response(
-    rejection(503, "too-many-connections", "the limit of connections is reached", pause)), keep_alive=False)
-        for pause in RETRY_DELAYS]
+TAKEOVER_RETRY_INTERVAL = 50 * MS    # between tries to open what the front end that is replaced still holds
+OPEN_RETRY_FACTOR = 20               # times that interval, after errors that do not come from a takeover
+EVICTION_WAIT = 2 * MS               # for connections that make room to end: two iterations of the event loop
+# Connections of operators have a limit of their own, so that clients cannot use them up; a single operator does not
+# need as many.
+MAX_ADMIN_CONNECTIONS = 32
+FULL_RESPONSES = [serialize(requests.problem_response(
+    rejection(503, "too-many-connections", "the limit of connections is reached", delay)), keep_alive=False)
+                  for delay in RETRY_DELAYS]
 
 
 class FrontEnd(BaseFrontEnd):
-    """Carries steps to links and answers to the engine; owns every greenlet of the process."""
+    """Connects the request engine with clients, workers and peers; owns every greenlet of the process."""
 
-    def __init__(self, told: Installation, index: int, log: Log, seed: int | None = None, disk: Any = None,
+    def __init__(self, config: Installation, index: int, log: Log, seed: int | None = None, disk: Any = None,
                  version: str = "", ready: Callable[[], None] = lambda: None):
-        """`version` is what of the installation's rollouts it runs; ready() is called once it serves."""
-        super().__init__(WorkerRegistry(told.deployment.drain_grace), log)
+        """`version` names the rollouts that it runs with; ready() is called once it serves."""
+        super().__init__(WorkerRegistry(config.deployment.drain_grace), log)
         now = time.monotonic_ns()
-        self.config, self.index = told, index
-        self.name = told.front_end(index)
-        chance = random.Random(seed if seed is not None else random.SystemRandom().getrandbits(63))
-        self.chance = chance.random
-        bounds = told.bounds
-        self.own = Address(told.listen[0].host, told.own_ports + index) if told.own_ports else None
-        weight = weights(told.deployment.tenants)
-        self.deferred_calls = InMemoryStore(bounds.deferred, bounds.results, bounds.keep_results, weight)
-        self.admission = Admission(min(each.target_latency for each in told.deployment.types), weight)
+        self.config, self.index = config, index
+        self.name = config.front_end(index)
+        generator = random.Random(seed if seed is not None else random.SystemRandom().getrandbits(63))
+        self.chance = generator.random
+        bounds = config.bounds
+        self.own_address = Address(config.listen[0].host, config.own_ports + index) if config.own_ports else None
+        tenant_weights = weights(config.deployment.tenants)
+        self.deferred_calls = InMemoryStore(bounds.deferred, bounds.results, bounds.keep_results, tenant_weights)
+        self.admission = Admission(min(each.target_latency for each in config.deployment.types), tenant_weights)
         self.timeout_monitor = TimeoutMonitor()
-        self.api = InvokeApi(told, self.name, f"http://{self.own}" if self.own else "", self.deferred_calls,
-                          self.admission, log, self.status, weight)
+        self.api = InvokeApi(config, self.name, f"http://{self.own_address}" if self.own_address else "",
+                             self.deferred_calls, self.admission, log, self.status, tenant_weights)
         self.poll_monitor, self.api.read_updates = self.api.poll_monitor, self.read_updates
-        dispatcher = Dispatcher(chance.getrandbits(63), told.deployment, now)
-        previous_process.count_free_orders_as_given(dispatcher, told.deployment, now)
+        dispatcher = Dispatcher(generator.getrandbits(63), config.deployment, now)
+        previous_process.count_free_orders_as_given(dispatcher, config.deployment, now)
         self.engine = self.api.engine = RequestEngine(dispatcher, self, self.api, bounds.load_order)
         self.listeners: list[socket.socket] = []
         self.connections = Group()
-        self.operators = Group()
-        self.full = cycle(FULL)
+        self.admin_connections = Group()
+        self.full_responses = cycle(FULL_RESPONSES)
         self.greenlets = Group()
-        self.feed: FeedSource | None = None     # where the list of workers comes over the network
+        self.feed: FeedSource | None = None     # if the worker list comes over the network
         self.ending = False
-        self.recent = RecentCalls({each.name: each.utility for each in told.deployment.types})
-        self.api.call_recorder = self.recent
-        self.arrivals = ConnectionRate()
-        self.service_announcer = ServiceAnnouncer(self) if told.announcing else None
-        self.replicated_services: Any = None        # what it holds in common with others, once that could be opened
+        self.recent_calls = RecentCalls({each.name: each.utility for each in config.deployment.types})
+        self.api.call_recorder = self.recent_calls
+        self.connection_rate = ConnectionRate()
+        self.service_announcer = ServiceAnnouncer(self) if config.announcing else None
+        self.replicated_services: Any = None    # once they could be opened
         self.disk, self.version, self.ready = disk, version, ready
-        self.started = now
+        self.started_at = now
 
-    def join_in(self) -> None:
-        """Opens what is held in common with others. Until that is possible this front end serves without: the one
-        that it replaces may still hold the files, or they are not to be read."""
-        from threadshift.gateway.replicated_services import ReplicatedServices     # only where peers are configured
-        said, peering = "", self.config.peering
+    def join_peers(self) -> None:
+        """Opens the replicated services. Until that is possible this front end serves without them: the front end
+        that it replaces may still hold the files, or the files cannot be read."""
+        # Imported only where peers are configured.
+        from threadshift.gateway.replicated_services import ReplicatedServices
+        logged_problem, peering = "", self.config.peering
         while self.replicated_services is None and peering is not None and not self.ending:
             try:
-                it = ReplicatedServices(self, peering, self.version, self.disk)
-                it.start()
-                self.replicated_services = it
+                services = ReplicatedServices(self, peering, self.version, self.disk)
+                services.start()
+                self.replicated_services = services
                 for link in self.links.values():
-                    link.speaks = it.eviction_service
+                    link.speaks = services.eviction_service
                 self.note("joined-in", version=self.version)
                 return
             except ThreadshiftError as problem:
-                waits, told = isinstance(problem, Taken), problem.as_fields()
+                is_held, fields = isinstance(problem, Taken), problem.as_fields()
             except OSError as problem:
-                waits, told = problem.errno == errno.EADDRINUSE, {"problem": str(problem)}
-            if not waits and said != told["problem"]:
-                said = told["problem"]
-                self.note("not-joined-in", level="error", **told)
-            gevent.sleep((JOIN if waits else 20 * JOIN) / SECOND)
+                is_held, fields = problem.errno == errno.EADDRINUSE, {"problem": str(problem)}
+            if not is_held and logged_problem != fields["problem"]:
+                logged_problem = fields["problem"]
+                self.note("not-joined-in", level="error", **fields)
+            gevent.sleep((TAKEOVER_RETRY_INTERVAL if is_held
+                          else OPEN_RETRY_FACTOR * TAKEOVER_RETRY_INTERVAL) / SECOND)
 
-    def listening(self, address: Address, shared: bool) -> socket.socket:
-        """A listener. Where this front end replaces another, its address may be free only in a moment."""
+    def open_listener(self, address: Address, shared: bool) -> socket.socket:
+        """Opens a listener. If this front end replaces another, its address may become free only after a while."""
         until = time.monotonic_ns() + (self.config.bounds.drain if self.config.peering is not None else 0)
         while True:
             try:
@@ -124,24 +130,25 @@
             except OSError as problem:
                 if problem.errno != errno.EADDRINUSE or time.monotonic_ns() >= until or self.ending:
                     raise
-            gevent.sleep(JOIN / SECOND)
+            gevent.sleep(TAKEOVER_RETRY_INTERVAL / SECOND)
 
-    def serve_at(self, address: Address, accept: Callable[[socket.socket], None]) -> None:
+    def serve_when_free(self, address: Address, accept: Callable[[socket.socket], None]) -> None:
+        """Serves at an address as soon as it is free; not at all if it does not become free in time."""
         with suppress(OSError):
-            sock = self.listening(address, shared=False)
+            sock = self.open_listener(address, shared=False)
             self.listeners.append(sock)
             accept(sock)
 
-    # What links and the roster tell.
+    # Called by links and the source of the worker list.
 
     def hello(self, worker: str, hello: Frame) -> str:
-        """A worker's hello; what is wrong with it, if anything."""
+        """Handles a worker's hello. Returns what is wrong with it; empty if nothing is."""
         if hello["name"] != worker:
-            return f"this is {worker}'s address, and you are {hello['name'][:64]!r}"
+            return f"this address belongs to worker {worker}, but {hello['name'][:64]!r} answered"
         started = hello.get("started", 0)
         if not isinstance(started, int) or started < 0:
             return "'started' is not a time"
-        self.change(self.registry.hello(time.monotonic_ns(), time.time_ns(), worker, started))
+        self.apply_changes(self.registry.hello(time.monotonic_ns(), time.time_ns(), worker, started))
         self.note("link-up", worker=worker, level="debug")
         if hello.get("draining"):
             self.draining(worker)
@@ -154,32 +161,32 @@
         listings = self.registry.draining(worker)
         if listings:
             self.note("worker-drains", worker=worker)
-        self.change(listings)
+        self.apply_changes(listings)
 
-    def link(self, it: WorkerEntry) -> Link:
-        return Link(it.worker, it.address, self.config.bounds, self.name, self.config.deployment.zone, self,
+    def link(self, entry: WorkerEntry) -> Link:
+        return Link(entry.worker, entry.address, self.config.bounds, self.name, self.config.deployment.zone, self,
                     self.chance,
                     self.replicated_services.eviction_service if self.replicated_services is not None else None)
 
     def note(self, event: str, **fields: Any) -> None:
         if event in ("roster-lost", "roster-unreadable"):
-            self.roster_lost = True
+            self.is_discovery_lost = True
         super().note(event, **fields)
 
     # Running.
 
     def run(self) -> None:
-        """Serves until end() was called and what is held has its answers."""
+        """Serves until end() was called and pending requests have their answers."""
         shared = self.config.front_ends > 1 or self.config.peering is not None
         self.api.poll_monitor.start()
         for address in self.config.listen:
             sock = listener(address, shared)
             self.listeners.append(sock)
             self.greenlets.spawn(self.accept, sock)
-        if self.own and self.config.peering is not None:
-            self.greenlets.spawn(self.serve_at, self.own, self.accept)
-        elif self.own:
-            sock = listener(self.own, shared=False)
+        if self.own_address and self.config.peering is not None:
+            self.greenlets.spawn(self.serve_when_free, self.own_address, self.accept)
+        elif self.own_address:
+            sock = listener(self.own_address, shared=False)
             self.listeners.append(sock)
             self.greenlets.spawn(self.accept, sock)
         if isinstance(self.config.roster_at, Address):
@@ -188,66 +195,68 @@
         else:
             self.greenlets.spawn(WatchedFile(str(self.config.roster_at), self).run)
         if self.config.admin is not None:
-            at = self.config.admin
-            at = at if at.path else Address(at.host, at.port + self.index)
+            address = self.config.admin
+            address = address if address.path else Address(address.host, address.port + self.index)
             admin = Admin(self)
             if self.config.peering is not None:
-                self.greenlets.spawn(self.serve_at, at, lambda sock: self.accept_admin(sock, admin))
+                self.greenlets.spawn(self.serve_when_free, address, lambda sock: self.accept_admin(sock, admin))
             else:
-                self.greenlets.spawn(self.accept_admin, listener(at, shared=False), admin)
+                self.greenlets.spawn(self.accept_admin, listener(address, shared=False), admin)
         if self.service_announcer is not None:
             self.service_announcer.start()
         if self.config.peering is not None:
-            self.greenlets.spawn(self.join_in)
+            self.greenlets.spawn(self.join_peers)
         self.ready()
         self.note("started", listen=[str(each) for each in self.config.listen], pid=os.getpid())
-        self.keep_time(lambda: self.ending)
+        self.run_timer(lambda: self.ending)
         self.drain()
 
     def end(self) -> None:
-        """Asks run() to drain and return; from any greenlet or signal."""
+        """Asks run() to drain and return. May be called from any greenlet or signal handler."""
         self.ending = True
 
     def accept(self, sock: socket.socket) -> None:
+        """Accepts the connections of clients."""
         for client in arriving(sock, self.note):
-            self.arrivals.record(time.monotonic_ns())
+            self.connection_rate.record(time.monotonic_ns())
             if len(self.connections) >= self.config.bounds.connections:
-                # Who holds connections and asks nothing makes room for who asks.
+                # Idle connections are ended to make room for new ones.
                 self.timeout_monitor.make_room(time.monotonic_ns())
-                gevent.sleep(ROOM_WAIT / SECOND)
+                gevent.sleep(EVICTION_WAIT / SECOND)
             if len(self.connections) >= self.config.bounds.connections:
                 self.api.refusal_counters.record(time.monotonic_ns(), "too-many-connections")
                 with suppress(OSError):
                     client.settimeout(0)
-                    client.send(next(self.full))
+                    client.send(next(self.full_responses))
                 client.close()
                 continue
             if not sock.family == socket.AF_UNIX:
                 client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.connections.spawn(self.converse, client, self.api,
+            self.connections.spawn(self.serve_connection, client, self.api,
                                    self.api.poll_monitor.unread_time(time.monotonic_ns()))
 
     def accept_admin(self, sock: socket.socket, admin: Admin) -> None:
-        """Operators' connections: with a bound of their own, so that a flood of clients does not lock them out."""
+        """Accepts operators' connections, with a limit of their own: a flood of clients must not lock them out."""
         for client in arriving(sock, self.note):
-            if len(self.operators) < OPERATORS:
-                self.operators.spawn(self.converse, client, admin)
+            if len(self.admin_connections) < MAX_ADMIN_CONNECTIONS:
+                self.admin_connections.spawn(self.serve_connection, client, admin)
             else:
                 client.close()
 
-    def converse(self, client: socket.socket, application: Application, unread: int = 0) -> None:
-        """One client's connection. What fails in it is a fault of ours, logged, and ends it alone."""
+    def serve_connection(self, client: socket.socket, application: Application,
+                         unread_time: int = 0) -> None:
+        """Serves one connection. An unexpected error in it is a bug: it is logged and ends only this connection."""
         try:
-            Connection(client, application, self.config.bounds, self.timeout_monitor, unread).serve()
+            Connection(client, application, self.config.bounds, self.timeout_monitor, unread_time).serve()
         except Exception as fault:
-            cause = fault.__context__ or fault      # a parser wraps what its callbacks raise
+            cause = fault.__context__ or fault      # the parser wraps errors of its callbacks
             self.note("fault", level="error", **exception_fields(cause))
 
-    def keep_time(self, over: Callable[[], bool]) -> None:
-        """The one timer: every tick, what is due; how late it comes tells how busy or stalled the process is.
+    def run_timer(self, is_over: Callable[[], bool]) -> None:
+        """Runs what is due at every tick, until is_over(). How late a tick comes shows how busy the process is.
 
-        A fault in what it calls is ours, and ends the process loudly: half a front end is worse than none."""
-        for now, late in ticks(self.config.deployment.tick, over):
+        An unexpected error ends the process: a front end that works only in part is worse than none."""
+        for now, late in ticks(self.config.deployment.tick, is_over):
             now = self.on_tick(now, late)
             self.timeout_monitor.tick(now)
             self.api.tick(now)
@@ -257,56 +266,56 @@
                 self.service_announcer.tick(now)
 
     def drain(self) -> None:
-        """No new calls; what is held gets its answers; then the end, within the stated time."""
+        """Accepts no new calls, waits for the answers of pending requests for a limited time, and ends."""
         self.note("draining", owed=self.engine.owed, connections=len(self.connections))
         if self.service_announcer is not None:
-            # Routes first: what still arrives by them is answered until routers have converged.
-            self.service_announcer.leave(time.monotonic_ns())
-            self.keep_time(self.service_announcer.left)
+            # Routes are withdrawn first: calls that still arrive by them are answered until routers have converged.
+            self.service_announcer.begin_drain(time.monotonic_ns())
+            self.run_timer(self.service_announcer.is_drained)
         self.api.closing = True
         for sock in self.listeners:
             sock.close()
         if self.replicated_services is not None:
             self.replicated_services.leave()
         until = time.monotonic_ns() + self.config.bounds.drain
-        self.keep_time(lambda: not self.engine.owed or time.monotonic_ns() >= until)
-        gevent.sleep(2 * self.config.deployment.tick / SECOND)     # the last answers leave their connections
+        self.run_timer(lambda: not self.engine.owed or time.monotonic_ns() >= until)
+        gevent.sleep(2 * self.config.deployment.tick / SECOND)     # for the last answers to be written
         if self.replicated_services is not None:
-            gevent.sleep(self.replicated_services.leaving / SECOND)
+            gevent.sleep(self.replicated_services.handover_time / SECOND)
             self.replicated_services.stop()
         if self.service_announcer is not None:
             self.service_announcer.speaker.stop("drained")
         for link in self.links.values():
             link.stop()
         self.connections.kill()
-        self.operators.kill()
+        self.admin_connections.kill()
         self.greenlets.kill()
         self.api.poll_monitor.stop()
         self.api.log_refusals(time.monotonic_ns(), flush=True)
         self.note("ended", owed=self.engine.owed, turned_away=self.api.refusal_counters.totals(),
-                  **{key.replace(" ", "_"): n for key, n in self.engine.counts.items()})
+                  **{key.replace(" ", "_"): number for key, number in self.engine.counts.items()})
 
     def reload(self) -> None:
-        """Reads the file again; takes over what may change while running, and says what may not."""
+        """Reads the configuration again. Applies what may change while running and logs what needs a restart."""
         try:
-            new = installation.read(self.config.file)
+            new_config = installation.read(self.config.file)
         except Mistake as problem:
             self.note("reload-refused", level="error", problem=str(problem))
             return
-        taken, kept = installation.changed(self.config, new)
-        self.config = installation.reloaded(self.config, new)
+        applied, unapplied = installation.changed(self.config, new_config)
+        self.config = installation.reloaded(self.config, new_config)
         self.api.reload(self.config)
         bounds = self.config.bounds
         self.deferred_calls.pending.limit, self.deferred_calls.answer_bytes.limit, self.deferred_calls.keep_time = (
             bounds.deferred, bounds.results, bounds.keep_results)
-        self.note("reloaded", taken=taken, needs_restart=kept)
+        self.note("reloaded", taken=applied, needs_restart=unapplied)
 
     def status(self) -> dict[str, Any]:
-        """What this front end knows of itself, for GET /v1/status."""
+        """The state of this front end, for GET /v1/status."""
         now = time.monotonic_ns()
-        believed = self.engine.dispatcher.workers
+        workers = self.engine.dispatcher.workers
         return {
-            "front-end": self.name, "pid": os.getpid(), "up-s": round((now - self.started) / SECOND, 3),
+            "front-end": self.name, "pid": os.getpid(), "up-s": round((now - self.started_at) / SECOND, 3),
             "closing": self.api.closing, "owed": self.engine.owed, "held": len(self.engine.requests),
             "connections": len(self.connections), "counts": dict(sorted(self.engine.counts.items())),
             "refused-at-door": self.admission.refused_count, "refused-part": round(self.admission.refused_share, 3),
@@ -321,12 +330,12 @@
                        "age-s": (round((now - self.list_applied_at) / SECOND, 3) if self.list_applied_at
                                  else None)},
             "workers": {name: {
-                "state": self.registry.state(one).value, "zone": one.entry.zone,
+                "state": self.registry.state(worker).value, "zone": worker.entry.zone,
                 "link": bool(name in self.links and self.links[name].up),
-                "in-flight": len(believed[name].sends) if name in believed else 0,
-                "suspended-ms": max(0, believed[name].suspended_until - now) // MS if name in believed else 0,
-                "pace": round(believed[name].relative_latency, 3) if name in believed else 0,
-                "copies-believed": sum(until > now for until in believed[name].warm_until.values())
-                if name in believed else 0,
-            } for name, one in sorted(self.registry.known.items())},
+                "in-flight": len(workers[name].sends) if name in workers else 0,
+                "suspended-ms": max(0, workers[name].suspended_until - now) // MS if name in workers else 0,
+                "pace": round(workers[name].relative_latency, 3) if name in workers else 0,
+                "copies-believed": sum(until > now for until in workers[name].warm_until.values())
+                if name in workers else 0,
+            } for name, worker in sorted(self.registry.known.items())},
         }
--- a/threadshift/gateway/replicated_services.py
+++ b/threadshift/gateway/replicated_services.py
@@ -1,5 +1,7 @@
-"""What one front end holds in common with its peers: the record, and what follows from it here. Nothing here
-decides."""
+"""The state that one front end replicates with its peers: the record, and the services that act on it.
+
+This module takes no decisions.
+"""
 from __future__ import annotations
 
 from contextlib import suppress
@@ -19,31 +21,31 @@
 from threadshift.peers.carrier import Carrier, NotHeard, now
 from threadshift.rollout.plan import Rollouts
 
-FORMS = 10 * SECOND        # between two looks whether the record knows what this program reads
-ENTER = 5 * SECOND
-LEAVE = 2                  # beats that a handing over of the right is given
+FORMS_CHECK_INTERVAL = 10 * SECOND   # between checks whether the record knows which entries this program reads
+PROPOSE_TIMEOUT = 5 * SECOND
+HANDOVER_BEATS = 2                   # heartbeats that a handover of the leadership is given
 
 
 class ReplicatedServices:
-    """Made with the front end, started with its listeners, ended last."""
+    """The record, and the services for batches, eviction policies and rollouts that act on it."""
 
-    def __init__(self, front: Front, told: Peering, version: str = "", disk: Any = None):
+    def __init__(self, front: Front, peering: Peering, version: str = "", disk: Any = None):
         """Raises what opening its files raises."""
-        self.front, self.told_peers = front, told
-        self.told_forms = 0
+        self.front, self.peering = front, peering
+        self.forms_checked_at = 0
         self.cancels, self.forces, self.rollouts = Cancels(), Forces(), Rollouts()
         machines: dict[str, Machine] = {"batches": self.cancels, "eviction": self.forces, "rollouts": self.rollouts}
-        self.carrier = Carrier(told, front.name, machines, self, front.chance, disk)
+        self.carrier = Carrier(peering, front.name, machines, self, front.chance, disk)
         self.eviction_service = EvictionService(front, self.carrier, self.forces)
-        self.carrier.answers["policies"] = self.eviction_service.policies
+        self.carrier.answers["policies"] = self.eviction_service.local_policies
         front.deferred_calls.eviction_order = self.eviction_service.evictor.order
-        self.rollout_service = RolloutService(front, told, self.carrier, self.rollouts, self.eviction_service,
+        self.rollout_service = RolloutService(front, peering, self.carrier, self.rollouts, self.eviction_service,
                                              version, front.api.call_recorder)
         self.carrier.answers["report"] = self.rollout_service.report
         self.carrier.duties.append(self.rollout_service.duties)
         self.carrier.began.append(self.rollout_service.conductor.new_holder)
         try:
-            self.batch_service = BatchService(front, self.carrier, self.cancels, told.folder, told.undo, disk)
+            self.batch_service = BatchService(front, self.carrier, self.cancels, peering.folder, peering.undo, disk)
         except BaseException:
             self.carrier.stop()
             raise
@@ -52,7 +54,7 @@
         self.carrier.began.append(self.cancels.new_holder)
 
     def start(self) -> None:
-        """Raises OSError; nothing is left open then."""
+        """Raises OSError, with nothing left open."""
         try:
             self.carrier.start()
         except OSError:
@@ -64,58 +66,60 @@
     def tick(self, at: int) -> None:
         self.batch_service.tick(at)
         self.eviction_service.tick(at)
-        if at - self.told_forms >= FORMS and self.carrier.member.age(now()) is not None:
-            self.told_forms = at
+        if at - self.forms_checked_at >= FORMS_CHECK_INTERVAL and self.carrier.member.age(now()) is not None:
+            self.forms_checked_at = at
             if self.carrier.book.reads.get(self.front.name) != self.carrier.book.forms:
-                gevent.spawn(self.tell_forms)
+                gevent.spawn(self.publish_forms)
 
-    def tell_forms(self) -> None:
-        """Which entries this program reads: a later form is written only once every voter reads it."""
+    def publish_forms(self) -> None:
+        """Records which forms of entries this program reads. A later form is used only once every voter reads it."""
         with suppress(NotHeard):
-            self.carrier.tell_forms(ENTER)
+            self.carrier.tell_forms(PROPOSE_TIMEOUT)
 
     def told(self, told: Told, changed: bool) -> None:
-        """An entry was applied, or all of them at once."""
+        """Called when an entry of the record was applied, or a snapshot of all of them."""
         if told.state is not None:
             self.batch_service.on_cancels_changed(list(self.cancels.all.values()))
-            self.eviction_service.told(self.forces.now)
-            self.rollout_service.told()
+            self.eviction_service.on_policy_changed(self.forces.now)
+            self.rollout_service.on_rollouts_changed()
         elif changed and str(told.entry.body.get("do")).startswith("rollout."):
-            self.rollout_service.told()
+            self.rollout_service.on_rollouts_changed()
         elif changed and str(told.entry.body.get("do")).startswith("evict."):
-            self.eviction_service.told(self.forces.now)
-            self.rollout_service.told()
+            self.eviction_service.on_policy_changed(self.forces.now)
+            self.rollout_service.on_rollouts_changed()
         elif changed and str(told.entry.body.get("do")).startswith("rollout."):
-            self.rollout_service.told()
+            self.rollout_service.on_rollouts_changed()
         elif changed and str(told.entry.body.get("do")).startswith("batch."):
             body = told.entry.body
-            id_ = body.get("cancel") or body["id"]
-            self.batch_service.on_cancels_changed([self.cancels.all[id_]] if id_ in self.cancels.all else [])
+            cancel_id = body.get("cancel") or body["id"]
+            self.batch_service.on_cancels_changed(
+                [self.cancels.all[cancel_id]] if cancel_id in self.cancels.all else [])
 
-    def order(self, method: str, path: str, told: dict[str, Any]) -> dict[str, Any]:
-        """An operator's order. May take some seconds; raises errors.Problem, ValueError, KeyError."""
+    def handle(self, method: str, path: str, body: dict[str, Any]) -> dict[str, Any]:
+        """Handles an operator's request. May take some seconds. Raises ThreadshiftError, ValueError, KeyError."""
         words = path.strip("/").split("/")[1:]
         if words == ["eviction"] and method == "GET":
             return self.eviction_service.show()
         if words == ["eviction"] and method == "POST":
-            return self.eviction_service.set(str(told["policy"]), {str(name): int(value) for name, value in
-                                                           told.get("parameters", {}).items()},
-                                     str(told.get("why", ""))[:1000], bool(told.get("silent-too")))
+            return self.eviction_service.set_policy(
+                str(body["policy"]),
+                {str(name): int(value) for name, value in body.get("parameters", {}).items()},
+                str(body.get("why", ""))[:1000], bool(body.get("silent-too")))
         if words[:1] == ["rollouts"] and method == "GET":
             return self.rollout_service.show("".join(words[1:2]))
         if words == ["rollouts"] and method == "POST":
-            return self.rollout_service.start(told, str(told.get("who", "an operator"))[:200])
+            return self.rollout_service.start(body, str(body.get("who", "an operator"))[:200])
         if words[:1] == ["rollouts"] and method == "POST" and words[-1] in ("pause", "resume", "abort"):
-            return self.rollout_service.move(words[-1], "".join(words[1:-1]), str(told.get("why", ""))[:1000])
+            return self.rollout_service.control(words[-1], "".join(words[1:-1]), str(body.get("why", ""))[:1000])
         raise ValueError(f"no {method} {path[:100]}")
 
     def note(self, event: str, **fields: Any) -> None:
         self.front.note(event, **fields)
 
     @property
-    def leaving(self) -> int:
-        """ns that handing over may take."""
-        return LEAVE * self.told_peers.timing.beat
+    def handover_time(self) -> int:
+        """The time, in ns, that a handover of the leadership may take."""
+        return HANDOVER_BEATS * self.peering.timing.beat
 
     def leave(self) -> None:
         self.carrier.leave()
--- a/threadshift/gateway/rollout_service.py
+++ b/threadshift/gateway/rollout_service.py
@@ -1,6 +1,8 @@
-"""Rollouts, as one front end carries them: what it should run by the record, what it tells of itself, and, where it
-holds
-the right, what the conductor says. Nothing here decides."""
+"""Rollouts at one front end: runs the version that the record assigns to it, reports on itself, and, while it is the
+leader, enters the decisions of the conductor.
+
+This module takes no decisions.
+"""
 from __future__ import annotations
 
 import hashlib
@@ -32,244 +34,259 @@
 from threadshift.rollout.plan import CHECKING, DONE, STAGES, NoRollout, Rollout, Rollouts, UnderWay
 from threadshift.rollout.swap import Wanted
 
-EACH = SECOND              # between two rounds of reports
-TELL = 800 * MS            # within which peers report
-ENTER = 5 * SECOND
-CHECK = 20                 # s that the check of a change may take
-DOOR = "(door)"            # the stratum of what is turned away before it is taken: no namespace type is named so
-FINALS = ("rejected-", "aborted-")     # kinds of the refusal counters that are final answers, counted by type
-BACK_PACE = SECOND         # between two front ends on the way back ...
-BACK_VOTER = 4 * SECOND    # ... and after a voter, so that the next one finds it back
+REPORT_INTERVAL = SECOND             # between two rounds of reports
+PEER_TIMEOUT = 800 * MS              # for peers to report
+PROPOSE_TIMEOUT = 5 * SECOND
+CHECK_TIMEOUT_S = 20
+REFUSED_STRATUM = "(door)"           # of calls refused before they were accepted; no namespace type has such a name
+FINAL_ANSWER_PREFIXES = ("rejected-", "aborted-")    # of refusal reasons that are final answers, counted by type
+# Between two front ends that go back to an earlier version; longer after a voter, so that the next one goes back only
+# when the voter has returned.
+ROLLBACK_INTERVAL = SECOND
+ROLLBACK_VOTER_INTERVAL = 4 * SECOND
 
 
 class BadChange(ThreadshiftError):
-    """A change that cannot be rolled out as it was told."""
+    """A change that cannot be rolled out as requested."""
 
     help = "see docs/operate/rollout.md for what a change may hold"
 
 
 class RolloutService:
-    def __init__(self, front: Front, told: Peering, carrier: Carrier, rollouts: Rollouts,
+    """Takes part in rollouts for one front end, and handles operators' requests on them."""
+
+    def __init__(self, front: Front, peering: Peering, carrier: Carrier, rollouts: Rollouts,
                  eviction_service: EvictionService, version: str, call_recorder: CallRecorder):
-        self.front, self.told_peers, self.carrier, self.rollouts = front, told, carrier, rollouts
+        self.front, self.peering, self.carrier, self.rollouts = front, peering, carrier, rollouts
         self.eviction_service, self.version, self.call_recorder = eviction_service, version, call_recorder
-        self.versions = VersionFiles(told.folder, front.name)
-        self.conductor = Conductor(rollouts, told.peers)
-        self.due: list[dict[str, Any]] = []
+        self.versions = VersionFiles(peering.folder, front.name)
+        self.conductor = Conductor(rollouts, peering.peers)
+        self.due_entries: list[dict[str, Any]] = []
         self.sums: dict[str, list[Any]] = {}
-        self.can: dict[str, str] = {}
-        self.started = time.monotonic_ns()
-        self.asked = -1                          # place of the version that was written down last
-        self.reporting = 0
-        self.installed = self.base_file()
-
-    def base_file(self) -> str:
-        """The file as installed, whatever version of it this process runs by."""
-        told = self.versions.read("installed")
+        self.problems: dict[str, str] = {}
+        self.started_at = time.monotonic_ns()
+        self.last_place = -1         # position in the record of the last version handled here
+        self.gathered_at = 0
+        self.installed_file = self.find_installed_file()
+
+    def find_installed_file(self) -> str:
+        """The configuration file as installed, whichever version of it this process runs with."""
+        fields = self.versions.read("installed")
         if not self.version:
             with suppress(OSError):
                 self.versions.write("installed", {"conf": os.path.abspath(self.front.config.file)})
             return self.front.config.file
-        return str(told.get("conf", self.front.config.file))
+        return str(fields.get("conf", self.front.config.file))
 
-    # Calls, as they end: passed on to who counted them before.
+    # Calls, as they end.
 
     def record(self, now: int, pending: PendingRequest) -> None:
+        """Counts a call that ended, after passing it on to the recorder that is in use without peers."""
         self.call_recorder.record(now, pending)
         if pending.answer is None:
             return
         sums = self.sums.setdefault(pending.call.type, [0, 0, 0, 0, 0, [0] * BUCKETS])
-        took = now - pending.admitted_at
+        duration = now - pending.admitted_at
         sums[0] += 1
         sums[1] += pending.answer.final is FinalKind.REJECTED
         sums[2] += pending.answer.final is FinalKind.ABORTED
         sums[3] += bool(pending.answer.error)
         if pending.answer.final is FinalKind.COMPLETED:
-            sums[4] += took > pending.activation.type_stats.target_latency
-            sums[5][bucket(took)] += 1
+            sums[4] += duration > pending.activation.type_stats.target_latency
+            sums[5][bucket(duration)] += 1
 
-    # What it tells of itself.
+    # Reports.
 
-    def report(self, name: str = "", say: dict[str, Any] | None = None) -> dict[str, Any]:
-        it = self.rollouts.under_way
-        heard = self.carrier.member.age(now()) is not None
+    def report(self, peer: str = "", request: dict[str, Any] | None = None) -> dict[str, Any]:
+        """Answers a peer: the version and the counts of this front end."""
+        rollout = self.rollouts.under_way
+        is_connected = self.carrier.member.age(now()) is not None
         sums = {type_: [*row[:5], list(row[5])] for type_, row in self.sums.items()}
-        turned = sum(count for kind, count in self.front.api.refusal_counters.totals().items()
-                     if not kind.startswith(FINALS))
-        sums[DOOR] = [turned + self.front.engine.counts["taken"], turned, 0, 0, 0, [0] * BUCKETS]
+        refused = sum(count for kind, count in self.front.api.refusal_counters.totals().items()
+                     if not kind.startswith(FINAL_ANSWER_PREFIXES))
+        sums[REFUSED_STRATUM] = [refused + self.front.engine.counts["taken"], refused, 0, 0, 0, [0] * BUCKETS]
         return {"version": self.version, "life": self.carrier.life, "failed": self.versions.read_failed(),
-                "up": time.monotonic_ns() - self.started if heard else 0,
-                "can": self.can.get(it.id, "?") if it is not None else "",
+                "up": time.monotonic_ns() - self.started_at if is_connected else 0,
+                "can": self.problems.get(rollout.id, "?") if rollout is not None else "",
                 "sums": sums,
                 "loads": self.front.engine.counts["orders"] + self.front.engine.counts["cold"]}
 
     @staticmethod
-    def read(told: dict[str, Any] | None) -> Report | None:
-        if not told or "version" not in told:
+    def parse_report(fields: dict[str, Any] | None) -> Report | None:
+        if not fields or "version" not in fields:
             return None
         sums = {type_: Sums(row[0], row[1], row[2], row[3], row[4], tuple(row[5]))
-                for type_, row in told["sums"].items()}
-        return Report(told["version"], told["life"], told["up"], told["can"], told["failed"], sums, told["loads"])
+                for type_, row in fields["sums"].items()}
+        return Report(fields["version"], fields["life"], fields["up"], fields["can"], fields["failed"], sums,
+                      fields["loads"])
 
-    # What the record says.
+    # Changes of the record.
 
-    def told(self) -> None:
-        it = self.rollouts.under_way
-        if it is not None and it.state == CHECKING and it.id not in self.can:
-            self.can[it.id] = "?"
-            gevent.spawn(self.check, it)
+    def on_rollouts_changed(self) -> None:
+        rollout = self.rollouts.under_way
+        if rollout is not None and rollout.state == CHECKING and rollout.id not in self.problems:
+            self.problems[rollout.id] = "?"
+            gevent.spawn(self.check_change, rollout)
         wanted = self.rollouts.version_of(self.front.name)
-        if wanted.place > self.asked:
-            self.asked = wanted.place
+        if wanted.place > self.last_place:
+            self.last_place = wanted.place
             if wanted.name != self.version:
-                gevent.spawn(self.change, wanted.place, wanted.ids)
+                gevent.spawn(self.change_version, wanted.place, wanted.ids)
 
-    def check(self, it: Rollout) -> None:
-        """Whether this front end could take a change: made on its own file, read by the program that it would run."""
+    def check_change(self, rollout: Rollout) -> None:
+        """Checks whether this front end could apply a change: makes it to its own file, which the program to run then
+        reads."""
         try:
-            ids = (*self.rollouts.done, it.id)
-            self.can[it.id] = self.prepared(ids)[1]
+            ids = (*self.rollouts.done, rollout.id)
+            self.problems[rollout.id] = self.prepare(ids)[1]
         except (ThreadshiftError, OSError) as problem:
-            self.can[it.id] = str(problem)[:300] or type(problem).__name__
+            self.problems[rollout.id] = str(problem)[:300] or type(problem).__name__
         except Mistake as problem:
-            self.can[it.id] = str(problem)[:300]
-        self.front.note("rollout-checked", rollout=it.id, can=not self.can[it.id], problem=self.can[it.id])
+            self.problems[rollout.id] = str(problem)[:300]
+        self.front.note("rollout-checked", rollout=rollout.id, can=not self.problems[rollout.id],
+                        problem=self.problems[rollout.id])
+
+    def prepare(self, ids: tuple[str, ...]) -> tuple[Wanted, str]:
+        """Returns what to run for these rollouts, and what is wrong with it; empty if nothing is.
 
-    def prepared(self, ids: tuple[str, ...]) -> tuple[Wanted, str]:
-        """What to run for these rollouts, and what is wrong with that. Raises Mistake, OSError, BadChange."""
+        Raises Mistake, OSError, BadChange."""
         version, tree = "+".join(ids), ""
         changes: list[patch.Change] = []
         for what in self.rollouts.changes(ids):
             changes += [(block, name, words) for block, name, words in what.get("settings", [])]
             if what.get("tree"):
                 tree = what["tree"]
-                if digest_of(Path(tree)) != what["digest"]:
-                    raise BadChange(f"the program is not the one that the rollout names: {what['digest'][:16]}", tree)
+                if tree_digest(Path(tree)) != what["digest"]:
+                    raise BadChange(f"the program's digest is not that of the rollout, {what['digest'][:16]}", tree)
         path = self.versions.configuration_path(version)
-        text = patch.text(patch.patched(load(self.installed), changes, self.installed))
-        self.versions.disk.put(path, f"# {version or 'as installed'}, made from {self.installed}\n{text}".encode())
+        text = patch.text(patch.patched(load(self.installed_file), changes, self.installed_file))
+        self.versions.disk.put(
+            path, f"# {version or 'as installed'}, made from {self.installed_file}\n{text}".encode())
         installation.read_text(text, str(path))
-        told = subprocess.run([*program(tree), "check", str(path)], capture_output=True, timeout=CHECK,
-                              env=environment(tree))
-        said = told.stderr.decode(errors="replace").strip()[-300:]
-        return Wanted(0, version, str(path), tree), "" if told.returncode == 0 else said or "its check failed"
-
-    def change(self, place: int, ids: tuple[str, ...]) -> None:
-        """Writes down what should run, and wakes the supervisor. On the way back each waits for its turn."""
-        gevent.sleep(self.turn() / SECOND)
+        process = subprocess.run([*program_command(tree), "check", str(path)], capture_output=True,
+                                 timeout=CHECK_TIMEOUT_S, env=program_environment(tree))
+        errors = process.stderr.decode(errors="replace").strip()[-300:]
+        return Wanted(0, version, str(path), tree), "" if process.returncode == 0 else errors or "its check failed"
+
+    def change_version(self, place: int, ids: tuple[str, ...]) -> None:
+        """Writes down which version should run, and wakes the supervisor. In a rollback, front ends take turns."""
+        gevent.sleep(self.rollback_delay() / SECOND)
         wanted = self.rollouts.version_of(self.front.name)
         if wanted.place != place or wanted.name == self.versions.read_failed() != "":
-            return                  # the record has moved on; or it failed here, and that is told with each report
+            return      # the record names another version by now, or this one failed here, which each report tells
         try:
-            it, problem = self.prepared(ids)
-        except (ThreadshiftError, Mistake, OSError) as trouble:
-            it, problem = Wanted(), str(trouble)
+            version, problem = self.prepare(ids)
+        except (ThreadshiftError, Mistake, OSError) as error:
+            version, problem = Wanted(), str(error)
         if problem:
             self.front.note("version-not-taken", level="error", version="+".join(ids), problem=problem,
                             help=BadChange.help)
             with suppress(OSError):
                 self.versions.write_failed("+".join(ids))
             return
-        self.front.note("version-wanted", version=it.version, place=place)
-        self.versions.write_wanted(it._replace(place=place))
+        self.front.note("version-wanted", version=version.version, place=place)
+        self.versions.write_wanted(version._replace(place=place))
         with suppress(OSError):
             os.kill(os.getppid(), signal.SIGUSR1)
 
-    def turn(self) -> int:
-        """ns until our turn on the way back."""
+    def rollback_delay(self) -> int:
+        """The time, in ns, until it is this front end's turn in a rollback; 0 if there is none."""
         last = max(self.rollouts.all.values(), key=lambda each: each.place, default=None)
         if last is None or self.front.name not in last.pacing:
             return 0
         before = last.pacing[:last.pacing.index(self.front.name)]
-        return sum(BACK_VOTER if name in self.told_peers.voters else BACK_PACE for name in before)
+        return sum(ROLLBACK_VOTER_INTERVAL if name in self.peering.voters else ROLLBACK_INTERVAL for name in before)
 
-    # Where it holds the right.
+    # As the leader.
 
     def duties(self, at: int) -> list[dict[str, Any]]:
-        """What the conductor says, by the reports of the last second; called at each tick of the holder."""
-        if self.rollouts.under_way is not None and at - self.reporting >= EACH:
-            self.reporting = at
+        """The entries that the conductor decided on from the latest reports. Called at each tick of the leader."""
+        if self.rollouts.under_way is not None and at - self.gathered_at >= REPORT_INTERVAL:
+            self.gathered_at = at
             gevent.spawn(self.gather)
-        told, self.due = self.due, []
-        for it in self.rollouts.all.values():
-            if it.state == DONE and it.what.get("eviction") and f"evict-{it.id}" not in self.carrier.book.ids:
-                told.append({"do": "evict.set", "id": f"evict-{it.id}", "why": f"rollout {it.id}",
-                             **it.what["eviction"]})
-        return told
+        entries, self.due_entries = self.due_entries, []
+        for rollout in self.rollouts.all.values():
+            if (rollout.state == DONE and rollout.what.get("eviction")
+                    and f"evict-{rollout.id}" not in self.carrier.book.ids):
+                entries.append({"do": "evict.set", "id": f"evict-{rollout.id}", "why": f"rollout {rollout.id}",
+                             **rollout.what["eviction"]})
+        return entries
 
     def gather(self) -> None:
-        found = self.carrier.ask_all("report", {}, TELL)
+        """Collects the reports of all front ends for the conductor."""
+        found = self.carrier.ask_all("report", {}, PEER_TIMEOUT)
         at = now()
         if self.carrier.member.holds(at):
-            self.conductor.fed(at, {name: self.read(told) for name, told in found.items()})
-            self.due = self.conductor.due(at)
+            self.conductor.fed(at, {name: self.parse_report(fields) for name, fields in found.items()})
+            self.due_entries = self.conductor.due(at)
 
     # Operators.
 
-    def start(self, told: dict[str, Any], who: str) -> dict[str, Any]:
-        """Raises UnderWay, BadChange, NotHeard, ValueError."""
-        if (it := self.rollouts.under_way) is not None:
-            raise UnderWay(f"rollout {it.id} is {it.state}")
+    def start(self, request: dict[str, Any], who: str) -> dict[str, Any]:
+        """Starts a rollout. Raises UnderWay, BadChange, NotHeard, ValueError."""
+        if (rollout := self.rollouts.under_way) is not None:
+            raise UnderWay(f"rollout {rollout.id} is {rollout.state}")
         what: dict[str, Any] = {}
-        if told.get("settings"):
+        if request.get("settings"):
             what["settings"] = [[str(block), str(name), [str(word) for word in words]]
-                                for block, name, words in told["settings"]]
-        if told.get("tree"):
-            what["tree"] = os.path.abspath(str(told["tree"]))
-            what["digest"] = digest_of(Path(what["tree"]))
-        if told.get("eviction"):
-            what["eviction"] = self.eviction_service.checked(str(told["eviction"]["policy"]), {
-                str(name): int(value) for name, value in told["eviction"].get("parameters", {}).items()})
+                                for block, name, words in request["settings"]]
+        if request.get("tree"):
+            what["tree"] = os.path.abspath(str(request["tree"]))
+            what["digest"] = tree_digest(Path(what["tree"]))
+        if request.get("eviction"):
+            what["eviction"] = self.eviction_service.checked_policy(str(request["eviction"]["policy"]), {
+                str(name): int(value) for name, value in request["eviction"].get("parameters", {}).items()})
         if not what:
-            raise BadChange("it changes nothing: settings, tree or eviction are wanted")
-        stages = [float(each) for each in told.get("stages", STAGES)]
+            raise BadChange("the request changes nothing: it must have settings, tree or eviction")
+        stages = [float(each) for each in request.get("stages", STAGES)]
         if not stages or stages != sorted(stages) or stages[-1] != 1.0 or stages[0] < 0:
-            raise BadChange("stages are shares that grow up to 1")
-        id_ = self.carrier.new_id("rollout")
-        self.carrier.propose({"do": "rollout.start", "id": id_, "what": what, "stages": stages, "who": who,
-                              "hold": int(float(told.get("hold-s", 60)) * SECOND)}, ENTER)
-        if id_ not in self.rollouts.all:
+            raise BadChange("stages must be shares in ascending order, with 1 as the last")
+        rollout_id = self.carrier.new_id("rollout")
+        self.carrier.propose({"do": "rollout.start", "id": rollout_id, "what": what, "stages": stages, "who": who,
+                              "hold": int(float(request.get("hold-s", 60)) * SECOND)}, PROPOSE_TIMEOUT)
+        if rollout_id not in self.rollouts.all:
             raise UnderWay("another rollout was begun first")
-        return self.show(id_)
-
-    def move(self, word: str, id_: str, why: str) -> dict[str, Any]:
-        """pause, resume or abort. Raises NoRollout, NotHeard."""
-        if (it := self.rollouts.under_way) is None or id_ and it.id != id_:
-            self.carrier.catch_up(ENTER)        # it may have been told elsewhere, and not have come here yet
-            it = self.rollouts.under_way
-        if it is None or id_ and it.id != id_:
-            raise NoRollout(f"no rollout {id_} goes on".replace("  ", " "))
-        do = {"pause": "rollout.pause", "resume": "rollout.resume", "abort": "rollout.back"}[word]
-        self.carrier.propose({"do": do, "id": self.carrier.new_id(word), "rollout": it.id, "why": why}, ENTER)
-        return self.show(it.id)
-
-    def show(self, id_: str = "") -> dict[str, Any]:
-        it = self.rollouts.all.get(id_) or next(reversed(self.rollouts.all.values()), None)
-        if it is None:
-            raise NoRollout("there was none yet")
-        found = self.carrier.ask_all("report", {}, TELL)
-        return {"rollout": it.id, "state": it.state, "stage": it.stage, "stages": it.stages, "taken": it.taken,
-                "why": it.why, "who": it.who,
+        return self.show(rollout_id)
+
+    def control(self, action: str, rollout_id: str, why: str) -> dict[str, Any]:
+        """Pauses, resumes or aborts a rollout. Raises NoRollout, NotHeard."""
+        if (rollout := self.rollouts.under_way) is None or rollout_id and rollout.id != rollout_id:
+            self.carrier.catch_up(PROPOSE_TIMEOUT)    # it may not have been applied here yet
+            rollout = self.rollouts.under_way
+        if rollout is None or rollout_id and rollout.id != rollout_id:
+            raise NoRollout(f"no rollout {rollout_id} is under way".replace("  ", " "))
+        do = {"pause": "rollout.pause", "resume": "rollout.resume", "abort": "rollout.back"}[action]
+        self.carrier.propose({"do": do, "id": self.carrier.new_id(action), "rollout": rollout.id, "why": why},
+                             PROPOSE_TIMEOUT)
+        return self.show(rollout.id)
+
+    def show(self, rollout_id: str = "") -> dict[str, Any]:
+        rollout = self.rollouts.all.get(rollout_id) or next(reversed(self.rollouts.all.values()), None)
+        if rollout is None:
+            raise NoRollout("there was no rollout yet")
+        found = self.carrier.ask_all("report", {}, PEER_TIMEOUT)
+        return {"rollout": rollout.id, "state": rollout.state, "stage": rollout.stage, "stages": rollout.stages,
+                "taken": rollout.taken, "why": rollout.why, "who": rollout.who,
                 "runs": {name: each["version"] if each else None for name, each in sorted(found.items())},
                 "can": {name: each["can"] for name, each in found.items() if each and each["can"]},
                 "failed": {name: each["failed"] for name, each in found.items() if each and each["failed"]}}
 
 
-def program(tree: str) -> list[str]:
-    """How a version is run: the safe path keeps the working folder out of what is imported."""
+def program_command(tree: str) -> list[str]:
+    """The command that runs a version. -P keeps the working folder out of the import path."""
     return [sys.executable, *(["-P"] if tree else []), "-m", "threadshift"]
 
 
-def environment(tree: str) -> dict[str, str]:
+def program_environment(tree: str) -> dict[str, str]:
     return {**os.environ, "PYTHONPATH": os.pathsep.join(filter(None, [tree, os.environ.get("PYTHONPATH")]))}
 
 
-def digest_of(tree: Path, read: Callable[[Path], bytes] = Path.read_bytes) -> str:
-    """Of all Python text below a folder, by name and content. Raises BadChange."""
-    found = hashlib.sha256()
+def tree_digest(tree: Path, read: Callable[[Path], bytes] = Path.read_bytes) -> str:
+    """The digest of all Python files below a folder, by name and content. Raises BadChange."""
+    digest = hashlib.sha256()
     files = sorted(tree.rglob("*.py"))
     if not files:
-        raise BadChange("no program lies there", str(tree))
+        raise BadChange("the folder holds no Python files", str(tree))
     for path in files:
-        found.update(f"{path.relative_to(tree)}\n".encode() + hashlib.sha256(read(path)).digest())
-    return found.hexdigest()
+        digest.update(f"{path.relative_to(tree)}\n".encode() + hashlib.sha256(read(path)).digest())
+    return digest.hexdigest()
--- a/threadshift/gateway/service_announcer.py
+++ b/threadshift/gateway/service_announcer.py
@@ -1,4 +1,5 @@
-"""What ties a front end to its speaker: gathers the signs, lets the announcer judge, hands routes to the speaker."""
+"""Announces the service of a front end over BGP: gathers its state, lets the announcer judge it, and passes the
+routes to the BGP speaker."""
 from __future__ import annotations
 
 import ipaddress
@@ -21,56 +22,58 @@
 
 
 class Announced(Protocol):
-    """The front end whose service is announced, as far as its signs go."""
+    """The front end whose service is announced, as far as its state is needed here."""
 
     config: Any
     engine: Any
     links: dict[str, Any]
     listeners: list[Any]
     admission: Any
-    arrivals: Any
-    recent: Any
+    connection_rate: Any
+    recent_calls: Any
     list_applied_at: int
-    roster_lost: bool
+    is_discovery_lost: bool
     chance: Callable[[], float]
 
     def note(self, event: str, **fields: Any) -> None: ...
 
 
 class ServiceAnnouncer:
-    """The announcements of one front end."""
+    """The announcements of one front end, and the BGP speaker that carries them."""
 
     def __init__(self, front: Announced):
-        told = front.config.announcing
-        assert told is not None
-        self.front, self.told = front, told
+        config = front.config.announcing
+        assert config is not None
+        self.front, self.config = front, config
         now = time.monotonic_ns()
         looks = {Standing[name.upper()]: Preference(look.med, look.prepend, look.local_pref, look.communities)
-                 for name, look in told.looks.items()}
-        self.drain = Drain(told.converge, told.fade)
+                 for name, look in config.looks.items()}
+        self.drain = Drain(config.converge, config.fade)
         self.announcer = Announcer(
-            told.asn, told.next_hops, [ServiceAddress(each.prefix, frozenset(each.types)) for each in told.addresses],
+            config.asn, config.next_hops,
+            [ServiceAddress(each.prefix, frozenset(each.types)) for each in config.addresses],
             self.drain, front.chance, now, looks)
-        # No graceful restart is offered: its helper would keep the routes of a front end that is dead.
-        can = Capabilities(frozenset(Family(1 if hop.version == 4 else 2) for hop in told.next_hops), told.asn, True)
+        # Graceful restart is not offered: a peer that supports it would keep the routes of a front end that is dead.
+        capabilities = Capabilities(
+            frozenset(Family(1 if hop.version == 4 else 2) for hop in config.next_hops), config.asn, True)
         self.speaker = Speaker(
-            Us(told.asn, told.router, told.hold, can),
+            Us(config.asn, config.router, config.hold, capabilities),
             [PeerAddress(Them(each.name, each.asn, each.passive), each.address, each.source, each.ttl_security)
-             for each in told.peers],
-            told.listen, self.wanted, front.note, front.chance)
-        self.next = 0
+             for each in config.peers],
+            config.listen, self.wanted, front.note, front.chance)
+        self.next_check = 0
 
     def start(self) -> None:
         """Raises OSError where the speaker cannot listen."""
         self.speaker.start()
 
     def tick(self, now: int) -> None:
-        if now < self.next:
+        if now < self.next_check:
             return
-        self.next = now + CHECK_INTERVAL
-        self.drain.tick(now, self.front.arrivals.per_second(now), self.front.arrivals.last,
+        self.next_check = now + CHECK_INTERVAL
+        self.drain.tick(now, self.front.connection_rate.per_second(now), self.front.connection_rate.last,
                         bool(self.speaker.established))
-        heard = self.speaker.heard.of if self.told.reflects else None
+        heard = self.speaker.heard.of if self.config.reflects else None
         changes = self.announcer.tick(now, self.signs(now), heard)
         for change in changes:
             self.front.note("announcement", level="warning" if change.verdict.standing > change.before else "info",
@@ -81,37 +84,37 @@
         self.speaker.tick(now)
 
     def signs(self, now: int) -> Signs:
-        """What this front end knows of itself."""
+        """The state of this front end on which its announcements depend."""
         front = self.front
-        fleet = fitness(front.engine.dispatcher, lambda name: name in front.links and front.links[name].up, now)
+        workers = fitness(front.engine.dispatcher, lambda name: name in front.links and front.links[name].up, now)
         return Signs(
             listening=all(sock.fileno() >= 0 for sock in front.listeners), lag=int(front.admission.smoothed_lag),
-            roster_age=now - front.list_applied_at if front.roster_lost else 0, **fleet._asdict(),
-            asked_per_s=front.recent.per_second(now), refused=front.admission.refused_share,
-            service=front.recent.service(now), drain=self.drain.standing)
+            roster_age=now - front.list_applied_at if front.is_discovery_lost else 0, **workers._asdict(),
+            asked_per_s=front.recent_calls.per_second(now), refused=front.admission.refused_share,
+            service=front.recent_calls.service(now), drain=self.drain.standing)
 
     def wanted(self, them: Them) -> dict[Prefix, Path]:
         return self.announcer.wanted(them.internal(self.speaker.us))
 
-    def leave(self, now: int) -> None:
-        self.drain.begin(now, self.front.arrivals.per_second(now))
+    def begin_drain(self, now: int) -> None:
+        self.drain.begin(now, self.front.connection_rate.per_second(now))
 
-    def left(self) -> bool:
+    def is_drained(self) -> bool:
         return self.drain.stage is Stage.DONE
 
-    def say(self, word: str, prefix: str | None) -> list[str]:
-        """The operator's word, for one address or all; which it holds for. Raises ValueError, KeyError."""
-        wanted: list[Prefix] = [each.prefix for each in self.told.addresses]
+    def apply_operator_order(self, order: str, prefix: str | None) -> list[str]:
+        """Applies an operator's order to one address, or to all, and returns these. Raises ValueError, KeyError."""
+        prefixes: list[Prefix] = [each.prefix for each in self.config.addresses]
         if prefix is not None:
-            one = ipaddress.ip_network(prefix)
-            if one not in wanted:
+            network = ipaddress.ip_network(prefix)
+            if network not in prefixes:
                 raise KeyError(prefix)
-            wanted = [one]
-        for each in wanted:
-            self.announcer.say(each, OPERATOR_ORDERS[word])
-        self.next = 0
+            prefixes = [network]
+        for each in prefixes:
+            self.announcer.say(each, OPERATOR_ORDERS[order])
+        self.next_check = 0
         self.tick(time.monotonic_ns())
-        return [str(each) for each in wanted]
+        return [str(each) for each in prefixes]
 
     def status(self, now: int) -> dict[str, Any]:
         return {
@@ -119,6 +122,6 @@
                 "standing": held.verdict.standing.name.lower(), "reason": held.verdict.reason,
                 "for-s": round((now - held.since) / 1e9, 1), "changes": held.changes, "flaps": held.flaps,
                 "operator": self.announcer.word[prefix].name.lower() if prefix in self.announcer.word else None,
-                "others": self.announcer.others(self.speaker.heard.of(prefix)) if self.told.reflects else None,
+                "others": self.announcer.others(self.speaker.heard.of(prefix)) if self.config.reflects else None,
             } for prefix, held in self.announcer.held.items()},
             "drain": self.drain.stage.value, "peers": self.speaker.status(now)}
--- a/threadshift/gateway/supervisor.py
+++ b/threadshift/gateway/supervisor.py
@@ -1,7 +1,8 @@
-"""The parent process: starts front ends, starts those that die again, swaps versions, and passes signals on.
+"""The parent process: starts front ends, restarts those that die, swaps their versions, and passes signals on.
 
-It serves nothing and shares nothing with its children but their standard input, whose end tells them that it is
-gone, and the files in which a front end of an installation writes down which version should run."""
+It serves no requests. All that it shares with its children is their standard input, whose end shows them that it is
+gone, and the files in which a front end with peers writes down which version should run.
+"""
 from __future__ import annotations
 
 import os
@@ -18,163 +19,172 @@
 from threadshift.log import Log
 
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGCHLD, signal.SIGUSR1}
-KILL_AFTER = 2 * SECOND    # ns over the stated drain time, then a child that has not ended is killed
-LONGEST_SLEEP = 60 * SECOND
-LOOK = 100 * MS            # while a version is swapped: its word that it is ready is looked for so often
+KILL_GRACE = 2 * SECOND              # after the configured drain time, before a child that has not ended is killed
+MAX_WAIT = 60 * SECOND
+REAP_WAIT_S = 0.05
+SWAP_CHECK_INTERVAL = 100 * MS       # between checks whether a new version is ready, while versions are swapped
 
 
 class Child:
-    """One front end: the process that serves, one that drains, and one that is to take over."""
+    """One front end: the process that serves, processes that drain, and one that is to take over."""
 
-    def __init__(self, told: Installation, index: int, log: Log):
-        self.told, self.index, self.log, self.restarts = told, index, log, RestartBackoff()
-        self.name = told.front_end(index)
+    def __init__(self, config: Installation, index: int, log: Log):
+        self.config, self.index, self.log, self.restart_backoff = config, index, log, RestartBackoff()
+        self.name = config.front_end(index)
         self.process: subprocess.Popen | None = None
-        self.coming: subprocess.Popen | None = None
-        self.ready = -1                      # where the coming one says that it is
-        self.old: list[tuple[subprocess.Popen, int]] = []      # those that drain, and when they are killed
-        self.due = 0
+        self.incoming: subprocess.Popen | None = None
+        self.ready_fd = -1                      # on which the incoming process reports that it is ready
+        self.draining: list[tuple[subprocess.Popen, int]] = []      # and when each is killed
+        self.restart_at = 0
         self.swap = None
-        if told.peering is not None:
-            # Imported only where front ends hold anything in common.
+        if config.peering is not None:
+            # Imported only where front ends have peers.
             from threadshift.gateway.version_files import VersionFiles
             from threadshift.rollout.swap import Swap, Wanted
-            self.versions = VersionFiles(told.peering.folder, self.name)
-            self.installed = Wanted(conf=told.file)
-            it = self.versions.read_wanted()
-            good = it is not None and it.version != self.versions.read_failed() and os.path.exists(it.conf)
-            self.swap = Swap(it if it is not None and good else self.installed)
-
-    def spawn(self, conf: str, version: str = "", tree: str = "", ready: int = -1) -> subprocess.Popen:
-        command = ["front-end", conf or self.told.file, "--index", str(self.index)]
+            self.versions = VersionFiles(config.peering.folder, self.name)
+            self.installed = Wanted(conf=config.file)
+            wanted = self.versions.read_wanted()
+            is_usable = (wanted is not None and wanted.version != self.versions.read_failed()
+                         and os.path.exists(wanted.conf))
+            self.swap = Swap(wanted if wanted is not None and is_usable else self.installed)
+
+    def spawn(self, conf: str, version: str = "", tree: str = "", ready_fd: int = -1) -> subprocess.Popen:
+        """Starts a process that runs this front end."""
+        command = ["front-end", conf or self.config.file, "--index", str(self.index)]
         if self.swap is None:
             return subprocess.Popen([sys.executable, "-m", "threadshift", *command], stdin=subprocess.PIPE)
-        from threadshift.gateway.rollout_service import environment, program
-        more = ["--version", version, *(["--ready-fd", str(ready)] if ready >= 0 else [])]
-        return subprocess.Popen([*program(tree), *command, *more], stdin=subprocess.PIPE, env=environment(tree),
-                                pass_fds=[ready] if ready >= 0 else [])
+        from threadshift.gateway.rollout_service import program_command, program_environment
+        more = ["--version", version, *(["--ready-fd", str(ready_fd)] if ready_fd >= 0 else [])]
+        return subprocess.Popen([*program_command(tree), *command, *more], stdin=subprocess.PIPE,
+                                env=program_environment(tree), pass_fds=[ready_fd] if ready_fd >= 0 else [])
 
     def start(self) -> None:
-        self.restarts.on_started(time.monotonic_ns())
+        self.restart_backoff.on_started(time.monotonic_ns())
         if self.swap is None:
-            self.process = self.spawn(self.told.file)
+            self.process = self.spawn(self.config.file)
         else:
-            it = self.swap.running
-            self.process = self.spawn(it.conf, it.version, it.tree)
+            running = self.swap.running
+            self.process = self.spawn(running.conf, running.version, running.tree)
 
     @property
     def processes(self) -> list[subprocess.Popen]:
-        return [each for each in (self.process, self.coming, *(one for one, _ in self.old)) if each is not None]
+        return [each for each in (self.process, self.incoming, *(process for process, _ in self.draining))
+                if each is not None]
 
-    def care(self, now: int, ending: bool) -> None:
-        """Notices a death; starts it again when it is due."""
+    def check(self, now: int, is_ending: bool) -> None:
+        """Notices when the process has died and restarts it when that is due; carries on a swap of versions."""
         if self.process is not None and self.process.poll() is not None:
             code = self.process.returncode
             self.process = None
-            if not ending:
-                self.due = self.restarts.on_died(now)
+            if not is_ending:
+                self.restart_at = self.restart_backoff.on_died(now)
                 self.log.note("front-end-died", level="error", index=self.index, code=code,
-                              again_ms=(self.due - now) // MS)
+                              again_ms=(self.restart_at - now) // MS)
                 if self.swap is not None:
                     version = self.swap.running.version
-                    self.carry(self.swap.died(now), now)
+                    self.execute(self.swap.died(now), now)
                     self.note_failed(version)
-        if self.swap is not None and not ending:
-            self.change(now)
-        for each in [each for each in self.old if each[0].poll() is not None]:
-            self.old.remove(each)
-        for process, due in self.old:
-            if now >= due:
+        if self.swap is not None and not is_ending:
+            self.check_version(now)
+        for each in [each for each in self.draining if each[0].poll() is not None]:
+            self.draining.remove(each)
+        for process, kill_at in self.draining:
+            if now >= kill_at:
                 process.kill()
-        if self.process is None and not ending and self.due <= now:
+        if self.process is None and not is_ending and self.restart_at <= now:
             self.start()
 
-    def change(self, now: int) -> None:
-        """One look at what should run, and at the child that is to."""
+    def check_version(self, now: int) -> None:
+        """Checks which version should run, and whether the incoming process is ready or has died."""
         swap = self.swap
         assert swap is not None
-        acts = swap.tick(now)
-        if (it := self.versions.read_wanted()) is not None:
-            acts += swap.wanted(now, it)
-        if self.coming is not None:
-            if self.coming.poll() is not None:
-                acts += swap.incoming_died()
-            elif select.select([self.ready], [], [], 0)[0]:
-                acts += swap.ready(now) if os.read(self.ready, 1) else []
-        self.carry(acts, now)
-
-    def carry(self, acts: list, now: int) -> None:
+        actions = swap.tick(now)
+        if (wanted := self.versions.read_wanted()) is not None:
+            actions += swap.wanted(now, wanted)
+        if self.incoming is not None:
+            if self.incoming.poll() is not None:
+                actions += swap.incoming_died()
+            elif select.select([self.ready_fd], [], [], 0)[0]:
+                actions += swap.ready(now) if os.read(self.ready_fd, 1) else []
+        self.execute(actions, now)
+
+    def execute(self, actions: list, now: int) -> None:
+        """Carries out the actions that the swap decided on."""
         from threadshift.rollout.swap import Act
         swap = self.swap
         assert swap is not None
-        for act in acts:
-            if act is Act.START and swap.incoming is not None:
-                it = swap.incoming
-                self.log.note("version-starts", index=self.index, version=it.version, place=it.place)
-                self.ready, theirs = os.pipe()
-                self.coming = self.spawn(it.conf, it.version, it.tree, theirs)
-                os.close(theirs)
-            elif act is Act.TAKE_OVER:
+        for action in actions:
+            if action is Act.START and swap.incoming is not None:
+                incoming = swap.incoming
+                self.log.note("version-starts", index=self.index, version=incoming.version, place=incoming.place)
+                self.ready_fd, child_fd = os.pipe()
+                self.incoming = self.spawn(incoming.conf, incoming.version, incoming.tree, child_fd)
+                os.close(child_fd)
+            elif action is Act.TAKE_OVER:
                 self.log.note("version-runs", index=self.index, version=swap.running.version)
                 if self.process is not None:
                     self.process.send_signal(signal.SIGTERM)
-                    self.old.append((self.process, now + self.told.bounds.drain + KILL_AFTER))
-                self.process, self.coming = self.coming, None
-                self.restarts.on_started(now)
-                os.close(self.ready)
-            elif act is Act.GIVE_UP and self.coming is not None:
-                self.coming.kill()
-                self.coming.wait()
-                self.coming = None
-                os.close(self.ready)
+                    self.draining.append((self.process, now + self.config.bounds.drain + KILL_GRACE))
+                self.process, self.incoming = self.incoming, None
+                self.restart_backoff.on_started(now)
+                os.close(self.ready_fd)
+            elif action is Act.GIVE_UP and self.incoming is not None:
+                self.incoming.kill()
+                self.incoming.wait()
+                self.incoming = None
+                os.close(self.ready_fd)
                 self.note_failed(swap.failed)
 
     def note_failed(self, version: str) -> None:
-        """Told where the front end finds it, so that it is told on with its reports."""
+        """Writes down that a version failed, for the front end to include it in its reports."""
         if self.swap is not None and version and self.swap.failed == version:
             self.log.note("version-failed", level="error", index=self.index, version=version,
-                          runs=self.swap.running.version, help="see the log of the child that did not come up")
+                          runs=self.swap.running.version, help="see the log of the process that did not start")
             with suppress(OSError):
                 self.versions.write_failed(version)
 
 
 class Supervisor:
-    def __init__(self, told: Installation, log: Log):
-        self.told, self.log = told, log
-        self.children = [Child(told, index, log) for index in range(told.front_ends)]
-        self.ending = 0            # when children that have not ended are killed, 0: not ending
+    """Runs one child for each front end until it is told to end."""
+
+    def __init__(self, config: Installation, log: Log):
+        self.config, self.log = config, log
+        self.children = [Child(config, index, log) for index in range(config.front_ends)]
+        self.kill_at = 0           # when children that have not ended are killed; 0: not ending
 
     @staticmethod
-    def hold_signals() -> None:
-        """Before any thread is started: one that takes signals, such as a log's, would be handed a SIGTERM that
-        comes while this one starts a child, and the process would end without a drain."""
+    def block_signals() -> None:
+        """Blocks signals; called before any thread is started. A thread that accepts signals, such as the log's,
+        could receive a SIGTERM while this one starts a child, and the process would end without a drain."""
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
     def run(self) -> int:
-        """Until told to end. Returns 0 when all ended by themselves, 1 when one had to be killed."""
-        killed = False
+        """Runs until told to end. Returns 0 if all children ended by themselves, 1 if one had to be killed."""
+        has_killed = False
         while True:
             now = time.monotonic_ns()
             for child in self.children:
-                child.care(now, bool(self.ending))
+                child.check(now, bool(self.kill_at))
             alive = [process for child in self.children for process in child.processes if process.poll() is None]
-            if self.ending and not alive:
-                return int(killed)
-            if self.ending and now >= self.ending:
-                killed = True
+            if self.kill_at and not alive:
+                return int(has_killed)
+            if self.kill_at and now >= self.kill_at:
+                has_killed = True
                 for process in alive:
                     process.kill()
-            dues = [self.ending] if self.ending else [child.due for child in self.children if not child.process]
-            dues += [now + LOOK for child in self.children if child.coming is not None or child.old]
-            wait = min([LONGEST_SLEEP, *(max(0, due - now) for due in dues)])
-            # A moment more: a killed child is reaped on the next look.
-            caught = signal.sigtimedwait(SIGNALS, wait / SECOND + (0.05 if killed else 0))
-            if caught is not None and caught.si_signo not in (signal.SIGCHLD, signal.SIGUSR1):
-                self.passed(signal.Signals(caught.si_signo), time.monotonic_ns())
-
-    def passed(self, number: signal.Signals, now: int) -> None:
-        if number != signal.SIGHUP and not self.ending:
-            self.ending = now + self.told.bounds.drain + KILL_AFTER
+            deadlines = [self.kill_at] if self.kill_at else [
+                child.restart_at for child in self.children if not child.process]
+            deadlines += [now + SWAP_CHECK_INTERVAL for child in self.children
+                          if child.incoming is not None or child.draining]
+            wait = min([MAX_WAIT, *(max(0, deadline - now) for deadline in deadlines)])
+            # A little longer after a kill, so that the killed child can be reaped in the next iteration.
+            received = signal.sigtimedwait(SIGNALS, wait / SECOND + (REAP_WAIT_S if has_killed else 0))
+            if received is not None and received.si_signo not in (signal.SIGCHLD, signal.SIGUSR1):
+                self.on_signal(signal.Signals(received.si_signo), time.monotonic_ns())
+
+    def on_signal(self, number: signal.Signals, now: int) -> None:
+        if number != signal.SIGHUP and not self.kill_at:
+            self.kill_at = now + self.config.bounds.drain + KILL_GRACE
         for child in self.children:
             for process in child.processes:
                 if process.poll() is None:
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -134,7 +134,7 @@
                         self.coordinator.freshness.notified_since(now, self.poll_monitor.unread_time(now)))
 
     def on_coordinator_lost(self) -> None:
-        self.roster_lost = True
+        self.is_discovery_lost = True
 
     def list_is_stale(self) -> bool:
         """Whether the list is still the one of the configuration, which is as old as the start of this process.
@@ -239,7 +239,7 @@
                 "up": sum(link.up for link in self.open_connections),
                 "worker_connections": self.worker_connections, "dialled_in_all": self.total_dials,
                 "ready": len(dispatcher.ready_workers), "suspended": sum(it.suspended_until > now for it in workers),
-                "functions": len(dispatcher.functions), "roster_lost": self.roster_lost,
+                "functions": len(dispatcher.functions), "roster_lost": self.is_discovery_lost,
                 "lag_ms": round(self.admission.smoothed_lag / MS, 1), "part": round(self.admission.refused_share, 3),
                 "stalls": self.stalls, "longest_stall_ms": self.longest_stall // MS,
                 "turned_away": self.listener.refusal_counters.totals(), "counts": dict(self.engine.counts)}
