--- a/threadshift/gateway/service_announcer.py
+++ b/threadshift/gateway/service_announcer.py
@@ -46,13 +46,13 @@
         assert config is not None
         self.front, self.config = front, config
         now = time.monotonic_ns()
-        looks = {Standing[name.upper()]: Preference(look.med, look.prepend, look.local_pref, look.communities)
-                 for name, look in config.looks.items()}
+        preferences = {Standing[name.upper()]: Preference(each.med, each.prepend, each.local_pref, each.communities)
+                       for name, each in config.looks.items()}
         self.drain = Drain(config.converge, config.fade)
         self.announcer = Announcer(
             config.asn, config.next_hops,
             [ServiceAddress(each.prefix, frozenset(each.types)) for each in config.addresses],
-            self.drain, front.chance, now, looks)
+            self.drain, front.chance, now, preferences)
         # Graceful restart is not offered: a peer that supports it would keep the routes of a front end that is dead.
         capabilities = Capabilities(
             frozenset(Family(1 if hop.version == 4 else 2) for hop in config.next_hops), config.asn, True)
@@ -64,7 +64,7 @@
         self.next_check = 0
 
     def start(self) -> None:
-        """Raises OSError where the speaker cannot listen."""
+        """Raises OSError if the speaker cannot listen."""
         self.speaker.start()
 
     def tick(self, now: int) -> None:
@@ -73,8 +73,8 @@
         self.next_check = now + CHECK_INTERVAL
         self.drain.tick(now, self.front.connection_rate.per_second(now), self.front.connection_rate.last,
                         bool(self.speaker.established))
-        heard = self.speaker.heard.of if self.config.reflects else None
-        changes = self.announcer.tick(now, self.signs(now), heard)
+        reflected = self.speaker.heard.of if self.config.reflects else None
+        changes = self.announcer.tick(now, self.signs(now), reflected)
         for change in changes:
             self.front.note("announcement", level="warning" if change.verdict.standing > change.before else "info",
                             prefix=str(change.prefix), before=change.before.name.lower(),
@@ -94,6 +94,7 @@
             service=front.recent_calls.service(now), drain=self.drain.standing)
 
     def wanted(self, them: Them) -> dict[Prefix, Path]:
+        """The routes to announce to a peer."""
         return self.announcer.wanted(them.internal(self.speaker.us))
 
     def begin_drain(self, now: int) -> None:
@@ -119,9 +120,10 @@
     def status(self, now: int) -> dict[str, Any]:
         return {
             "addresses": {str(prefix): {
-                "standing": held.verdict.standing.name.lower(), "reason": held.verdict.reason,
-                "for-s": round((now - held.since) / 1e9, 1), "changes": held.changes, "flaps": held.flaps,
+                "standing": announced.verdict.standing.name.lower(), "reason": announced.verdict.reason,
+                "for-s": round((now - announced.since) / 1e9, 1), "changes": announced.changes,
+                "flaps": announced.flaps,
                 "operator": self.announcer.word[prefix].name.lower() if prefix in self.announcer.word else None,
                 "others": self.announcer.others(self.speaker.heard.of(prefix)) if self.config.reflects else None,
-            } for prefix, held in self.announcer.held.items()},
+            } for prefix, announced in self.announcer.held.items()},
             "drain": self.drain.stage.value, "peers": self.speaker.status(now)}
