--- a/tests/live.py
+++ b/tests/live.py
@@ -1,4 +1,4 @@
-"""A gateway with its stand-ins in one process, on loopback ports of the system's choice."""
+"""A gateway and its stand-ins in one process, on free loopback ports."""
 from contextlib import closing
 
 import gevent
@@ -55,19 +55,19 @@
     return free_ports(1)[0]
 
 
-class Silent:
-    """A log that keeps its events for tests to look at."""
+class RecordingLog:
+    """A log that keeps its events so that tests can check them."""
 
     def __init__(self):
-        self.events, self.news = [], Event()
+        self.events, self.has_new = [], Event()
 
     def is_enabled(self, level):
         return True
 
     def note(self, event, level="info", **fields):
         self.events.append((event, fields))
-        self.news.set()
-        self.news.clear()
+        self.has_new.set()
+        self.has_new.clear()
 
     def tick(self, now):
         pass
@@ -79,19 +79,19 @@
         pass
 
 
-def until(true, seconds=5.0):
-    """Waits until true() holds; an assertion that it does in time."""
+def until(condition, seconds=5.0):
+    """Waits until condition() is true; fails if it does not become true in time."""
     with gevent.Timeout(seconds, AssertionError(f"not within {seconds} s")):
-        while not true():
+        while not condition():
             gevent.sleep(0.002)
 
 
 class Live:
-    """Started with `with`; everything it started is ended with it."""
+    """A context manager that runs a gateway, its workers and its other stand-ins, and ends all of them."""
 
     def __init__(self, workers=2, fleet="", bounds="", load_ms=20, work_ms=2, records=None, host="127.0.0.1",
                  extra="", **machine):
-        self.log, self.records = Silent(), records
+        self.log, self.records = RecordingLog(), records
         self.feed = RosterFeed(ANY, self.record("roster"))
         self.store = PackStore(ANY, 8, work_ms, 100, load_ms, Record(None))
         self.feed.start()
@@ -101,9 +101,9 @@
             self.worker(f"w{n}", **machine)
         self.port = free_port()
         self.host = host
-        self.told = read_text(CONF.format(host=host, port=self.port, feed=self.feed.address, fleet=fleet,
-                                          bounds=bounds, extra=extra))
-        self.front = FrontEnd(self.told, 0, self.log, seed=1)
+        self.config = read_text(CONF.format(host=host, port=self.port, feed=self.feed.address, fleet=fleet,
+                                            bounds=bounds, extra=extra))
+        self.front = FrontEnd(self.config, 0, self.log, seed=1)
         self.running = None
         self.extra = []
 
@@ -111,13 +111,13 @@
         return Record(f"{self.records}/{name}.jsonl" if self.records else None)
 
     def worker(self, name, **machine):
-        it = self.workers[name] = Worker(ANY, Machine(name, **machine), self.store.address, self.record(name))
-        it.start()
-        self.list(name, it.address)
-        return it
+        worker = self.workers[name] = Worker(ANY, Machine(name, **machine), self.store.address, self.record(name))
+        worker.start()
+        self.list(name, worker.address)
+        return worker
 
-    def list(self, name, at):
-        self.feed.obey(["worker", name, str(at)])
+    def list(self, name, worker_address):
+        self.feed.obey(["worker", name, str(worker_address)])
 
     def __enter__(self):
         self.running = gevent.spawn(self.front.run)
@@ -137,26 +137,26 @@
     def call(self, function, body=b"x", **headers):
         with closing(self.client()) as client:
             return client.request("POST", f"/v1/functions/{function}/calls",
-                              {name.replace("_", "-"): value for name, value in headers.items()}, body)
+                                  {name.replace("_", "-"): value for name, value in headers.items()}, body)
 
     def raw(self, data, close=False):
-        """What the gateway answers to these bytes, until it closes or falls silent."""
+        """Returns what the gateway answers to these bytes until it closes the connection or sends nothing more."""
         with socket.create_connection(("127.0.0.1", self.port)) as sock:
             sock.sendall(data)
             if close:
                 sock.shutdown(socket.SHUT_WR)
             sock.settimeout(1.5)
-            got = b""
+            received = b""
             try:
-                while more := sock.recv(65536):
-                    got += more
+                while chunk := sock.recv(65536):
+                    received += chunk
             except TimeoutError:
                 pass
-            return got
+            return received
 
 
 class Server:
-    """Accepts at a port of the system's choice; each connection is played by converse()."""
+    """Accepts connections on a free port; a subclass handles each of them in converse()."""
 
     def __init__(self, address=ANY):
         self.sock = listener(address, shared=False)
@@ -187,12 +187,12 @@
             sock.close()
 
 
-class Scripted(Server):
-    """A worker played by a test: says hello, then does with each connection what the script says."""
+class ScriptedWorker(Server):
+    """A worker whose behaviour a test defines: sends hello, then runs the script on each connection."""
 
     def __init__(self, name, script, hello=True):
         super().__init__()
-        self.name, self.script, self.hello, self.heard = name, script, hello, []
+        self.name, self.script, self.hello, self.received_kinds = name, script, hello, []
 
     def converse(self, sock):
         if self.hello:
@@ -200,10 +200,10 @@
         self.script(self, sock, self.frames(sock))
 
     def frames(self, sock):
-        cut = Frames(1 << 20)
+        decoder = Frames(1 << 20)
         while data := sock.recv(65536):
-            for frame in cut.feed(data):
-                self.heard.append(frame["kind"])
+            for frame in decoder.feed(data):
+                self.received_kinds.append(frame["kind"])
                 yield frame
 
 
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -5,7 +5,7 @@
 from gevent import socket
 from gevent.event import Event
 
-from tests.live import ANY, Server, Silent, free_port, until
+from tests.live import ANY, Server, RecordingLog, free_port, until
 from threadshift.conf.values import Address
 from threadshift.fastcgi import codec
 from threadshift.fastcgi.codec import ABORT, BEGIN, BEGUN, END, KEEP, PARAMS, RESPONDER, STDIN, STDOUT, record, stream
@@ -203,7 +203,7 @@
         if not answering:
             self.coordinator.answering.clear()
             changes["known"] = {"index": 1, "updates": list(self.coordinator.events)}
-        self.log = Silent()
+        self.log = RecordingLog()
         self.address = Address("127.0.0.1", free_port())
         self.config = parse_config(configuration(listen=str(self.address), coordinator=str(self.coordinator.address),
                                              **changes), {}, "test")
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -17,7 +17,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.live import ANY, Live, Silent, until
+from tests.live import ANY, Live, RecordingLog, until
 from tests.platform import (
     SETTINGS, Coordinator, Platform, Worker, configuration, event, instance, request, serve)
 from tests.processes import FrontEndProcess
@@ -407,7 +407,7 @@
         placed = front_end_config.parse_config(configuration(settings=settings, known={"index": 1, "updates": [
             event(1, instance("s-0", ANY), full=True)]}), {}, "test")
         self.assertEqual(placed.deployment.drain_grace, grace_ms * MS)
-        node = Node(placed, {}, Silent())
+        node = Node(placed, {}, RecordingLog())
         node.ready_deadline = time.monotonic_ns() + SECOND
         self.assertTrue(node.list_is_stale())
         self.assertFalse(node.ready())
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The daemon as users start it: real processes, killed, told to end, to reload, and kept from starting."""
+"""The daemon as users start it: real processes that are killed, ended, reloaded and kept from starting."""
 import json
 import os
 import re
@@ -26,14 +26,14 @@
 from threadshift.standins.worker import Machine, Worker
 
 
-def ask(port, path="/v1/functions/text-upper/calls", body=b"x", method="POST", **headers):
+def call(port, path="/v1/functions/text-upper/calls", body=b"x", method="POST", **headers):
     with closing(Client(Address("127.0.0.1", port))) as client:
         return client.request(method, path, {name.replace("_", "-"): value for name, value in headers.items()}, body)
 
 
-def answers(port):
+def is_serving(port):
     try:
-        return ask(port).status == 200
+        return call(port).status == 200
     except NoAnswer:
         return False
 
@@ -46,7 +46,7 @@
         cls.demo = Demo(Path(cls.folder.name), cls.port, 2, 3)
         cls.demo.__enter__()
         conf = Path(cls.folder.name) / "threadshift.conf"
-        cls.own = int(re.search(r"own-ports (\d+)", conf.read_text())[1])
+        cls.own_ports = int(re.search(r"own-ports (\d+)", conf.read_text())[1])
 
     @classmethod
     def tearDownClass(cls):
@@ -54,78 +54,78 @@
         cls.folder.cleanup()
 
     def pid(self, index):
-        return json.loads(ask(self.own + index, "/v1/status", method="GET").body)["pid"]
+        return json.loads(call(self.own_ports + index, "/v1/status", method="GET").body)["pid"]
 
     def log(self):
         return (Path(self.folder.name) / "front.err").read_text()
 
-    def test_front_ends_share_a_port_and_nothing_else(self):
-        fronts = {ask(self.port).headers["activation"].rsplit("-", 2)[0] for _ in range(60)}
+    def test_front_ends_share_a_port_and_have_ports_of_their_own(self):
+        fronts = {call(self.port).headers["activation"].rsplit("-", 2)[0] for _ in range(60)}
         self.assertEqual(fronts, {"front-0", "front-1", "front-2"})
         for _ in range(6):
-            first = ask(self.port, prefer="respond-async")
-            where = first.headers["location"]
-            port, path = re.fullmatch(r"http://127\.0\.0\.1:(\d+)(/.*)", where).groups()
-            reply = ask(int(port), path, b"", "GET", prefer="wait=5")
+            first = call(self.port, prefer="respond-async")
+            location = first.headers["location"]
+            port, path = re.fullmatch(r"http://127\.0\.0\.1:(\d+)(/.*)", location).groups()
+            reply = call(int(port), path, b"", "GET", prefer="wait=5")
             self.assertEqual((reply.status, reply.body), (200, b"X"))
 
-    def test_a_front_end_that_dies_is_started_again_while_others_serve(self):
-        dead = self.pid(1)
-        os.kill(dead, signal.SIGKILL)
-        until(lambda: answers(self.own + 1) and self.pid(1) != dead, 10)
+    def test_a_front_end_that_dies_is_restarted_while_others_serve(self):
+        killed = self.pid(1)
+        os.kill(killed, signal.SIGKILL)
+        until(lambda: is_serving(self.own_ports + 1) and self.pid(1) != killed, 10)
         self.assertIn("front-end-died", self.log())
-        self.assertTrue(all(answers(self.own + n) for n in range(3)))
+        self.assertTrue(all(is_serving(self.own_ports + n) for n in range(3)))
 
-    def test_a_reload_takes_over_bounds_and_refuses_a_bad_file(self):
+    def test_a_reload_applies_bounds_and_refuses_a_bad_file(self):
         conf = Path(self.folder.name) / "threadshift.conf"
-        good = conf.read_text()
+        valid = conf.read_text()
         supervisor = self.demo.rig.processes["front"]
-        self.assertEqual(ask(self.port, body=b"x" * 3000).status, 200)
-        conf.write_text(good + "bounds {\n    boddy 2K\n}\n")
+        self.assertEqual(call(self.port, body=b"x" * 3000).status, 200)
+        conf.write_text(valid + "bounds {\n    boddy 2K\n}\n")
         supervisor.signal(signal.SIGHUP)
         until(lambda: self.log().count("reload-refused") >= 3)
         self.assertIn("nearest known is 'body'", self.log())
-        conf.write_text(good + "bounds {\n    body 2K\n}\n")
+        conf.write_text(valid + "bounds {\n    body 2K\n}\n")
         supervisor.signal(signal.SIGHUP)
         until(lambda: len(re.findall(r"\breloaded\b", self.log())) >= 3)
-        self.assertEqual(ask(self.port, body=b"x" * 3000).status, 413)
-        conf.write_text(good)
+        self.assertEqual(call(self.port, body=b"x" * 3000).status, 413)
+        conf.write_text(valid)
         supervisor.signal(signal.SIGHUP)
         until(lambda: len(re.findall(r"\breloaded\b", self.log())) >= 6)
 
 
 class Ending(unittest.TestCase):
-    def test_a_drain_answers_what_is_held_and_takes_nothing_new(self):
+    def test_a_drain_answers_pending_calls_and_accepts_no_new_ones(self):
         with Live() as live:
             live.call("f")
-            busy = live.client()
-            busy.request("GET", "/v1/status")
-            held = gevent.spawn(live.call, "f", b"held", work_hint="400")
+            client = live.client()
+            client.request("GET", "/v1/status")
+            pending = gevent.spawn(live.call, "f", b"held", work_hint="400")
             until(lambda: live.front.engine.owed)
             began = time.monotonic()
             live.front.end()
             until(lambda: live.front.api.closing)
-            late = busy.request("POST", "/v1/functions/f/calls", {}, b"late")
+            late = client.request("POST", "/v1/functions/f/calls", {}, b"late")
             self.assertEqual((late.status, late.headers["final"], late.keep_alive), (503, "rejected", False))
             with self.assertRaises(NoAnswer):
                 live.call("f")
             live.running.join(5)
-            self.assertEqual((held.value.status, held.value.body), (200, b"held"))
+            self.assertEqual((pending.value.status, pending.value.body), (200, b"held"))
             self.assertLess(time.monotonic() - began, 2)
 
-    def test_a_drain_ends_in_the_stated_time_whatever_is_held(self):
+    def test_a_drain_ends_in_the_configured_time_whatever_is_pending(self):
         with Live(bounds="drain 300ms") as live:
             for worker in live.workers.values():
                 worker.obey(["hang", "9s"])
-            held = gevent.spawn(live.call, "submit-x")
+            pending = gevent.spawn(live.call, "submit-x")
             until(lambda: live.front.engine.owed)
             began = time.monotonic()
             live.front.end()
             live.running.join(5)
             self.assertLess(time.monotonic() - began, 1)
-            held.kill()
+            pending.kill()
 
-    def test_a_port_in_use_is_said_and_tried_again_with_growing_pauses(self):
+    def test_a_port_in_use_is_logged_and_tried_again_after_growing_delays(self):
         with tempfile.TemporaryDirectory() as folder, socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))
             taken.listen()
@@ -133,31 +133,32 @@
             conf.write_text(f"listen 127.0.0.1:{taken.getsockname()[1]}\nroster file none\n"
                             "type a {\ntarget-latency 1s\naction-timeout 1s\neffect repeatable\n}\n")
             with Rig(Path(folder)) as rig:
-                it = rig.start("front", "run", str(conf))
+                supervisor = rig.start("front", "run", str(conf))
                 errors = Path(folder) / "front.err"
                 until(lambda: errors.exists() and errors.read_text().count("front-end-died") >= 3, 15)
-                # A thread that takes SIGTERM would end the process without a drain (a test that failed now and then).
-                for status in Path(f"/proc/{it.process.pid}/task").glob("*/status"):
+                # A thread that accepts SIGTERM would end the process without a drain, now and then.
+                for status in Path(f"/proc/{supervisor.process.pid}/task").glob("*/status"):
                     blocked = int(re.search(r"SigBlk:\s*(\w+)", status.read_text())[1], 16)
-                    main = status.parent.name == str(it.process.pid)        # it waits for signals, unblocked
+                    # The main thread waits for signals, which are then not blocked.
+                    main = status.parent.name == str(supervisor.process.pid)
                     self.assertTrue(blocked >> signal.SIGTERM - 1 & 1 or main, status)
-                it.end()
-                self.assertEqual(it.process.returncode, 0)
-                pauses = [int(each) for each in re.findall(r'"again_ms": (\d+)', errors.read_text())]
-                self.assertEqual(pauses[:3], [0, FIRST_DELAY // MS, 2 * FIRST_DELAY // MS])
+                supervisor.end()
+                self.assertEqual(supervisor.process.returncode, 0)
+                delays = [int(each) for each in re.findall(r'"again_ms": (\d+)', errors.read_text())]
+                self.assertEqual(delays[:3], [0, FIRST_DELAY // MS, 2 * FIRST_DELAY // MS])
                 self.assertIn("Address already in use", errors.read_text())
                 self.assertNotIn("Traceback", errors.read_text())
 
 
 class Stalls(unittest.TestCase):
-    def test_a_standstill_is_noticed_and_logged(self):
+    def test_a_stall_is_detected_and_logged(self):
         with Live() as live:
-            time.sleep(0.2)                 # the whole process stands still, as under SIGSTOP
+            time.sleep(0.2)                 # stalls the whole process, as SIGSTOP does
             until(lambda: live.log.of("stalled"))
             self.assertGreaterEqual(live.front.longest_stall, 100 * MS)
 
-    def test_a_call_that_waited_unread_has_so_much_less_time(self):
-        """Found by emulation: read after a standstill, it was given its whole time again, and answered too late."""
+    def test_the_time_for_which_a_call_waited_unread_is_deducted(self):
+        """Guards against giving a call that is read after a stall its whole time again and answering it too late."""
         with Live() as live:
             live.call("f")
             for left, status in ((600, 503), (300, 503)):
@@ -165,74 +166,75 @@
                     began = time.monotonic()
                     sock.sendall(f"POST /v1/functions/f/calls HTTP/1.1\r\nHost: x\r\nTime-Left: {left}\r\n"
                                  "Work-Hint: 500\r\nContent-Length: 1\r\n\r\nx".encode())
-                    time.sleep(0.4)         # nothing of ours runs; the bytes lie in the socket
+                    time.sleep(0.4)         # stalls the process while the bytes wait in the socket
                     until(lambda sock=sock: select.select([sock], [], [], 0)[0])
                     took = time.monotonic() - began
                     self.assertEqual(int(sock.recv(4096).split()[1]), status, left)
                     self.assertLess(took, 0.75)
 
-    def test_a_call_read_after_a_standstill_waits_for_the_rosters_word(self):
-        """Found by a hunt: read first, it went to a worker that the roster had long told of as draining."""
+    def test_a_call_read_after_a_stall_waits_for_updates_of_the_worker_list(self):
+        """Guards against sending a call that is read first to a worker whose drain the feed announced long before."""
         with Live() as live:
             live.call("f")
             home = next(name for name, worker in live.front.engine.dispatcher.workers.items() if worker.warm_until)
-            drains = replace(live.front.registry.known[home].entry, state=WorkerState.DRAINING)
-            sent = live.front.send
-            to = []
-            live.front.send = lambda worker, pending, number: to.append(worker) or sent(worker, pending, number)
-            # The word lies unread behind the call: it is heard by the next greenlet to run.
+            draining = replace(live.front.registry.known[home].entry, state=WorkerState.DRAINING)
+            send = live.front.send
+            receivers = []
+            live.front.send = lambda worker, pending, number: (
+                receivers.append(worker) or send(worker, pending, number))
+            # The update is unread when the call is read: the next greenlet to run applies it.
             live.front.api.poll_monitor.unread_time = lambda now: (
-                gevent.spawn(live.front.listed, [drains], False) and 200 * MS)
+                gevent.spawn(live.front.listed, [draining], False) and 200 * MS)
             self.assertEqual(live.call("f").status, 200)
-            self.assertNotIn(home, to)
+            self.assertNotIn(home, receivers)
 
-    def test_an_answer_read_after_a_standstill_waits_for_the_rosters_word(self):
-        """Found by a hunt: read first, it brought a load order to a worker long told of as draining."""
+    def test_an_answer_read_after_a_stall_waits_for_updates_of_the_worker_list(self):
+        """Guards against an answer that is read first and causes a load order to a worker that drains already."""
         with Live() as live:
             live.call("f")
-            drains = replace(live.front.registry.known["w0"].entry, state=WorkerState.DRAINING)
-            states, ended = [], live.front.engine.on_send_ended
+            draining = replace(live.front.registry.known["w0"].entry, state=WorkerState.DRAINING)
+            states, on_send_ended = [], live.front.engine.on_send_ended
 
-            def hear(*words, **more):
+            def record_state(*arguments, **more):
                 states.append(live.front.registry.state(live.front.registry.known["w0"]))
-                ended(*words, **more)
-            live.front.engine.on_send_ended = hear
+                on_send_ended(*arguments, **more)
+            live.front.engine.on_send_ended = record_state
             job = gevent.spawn(live.call, "f", work_hint="100")
             until(lambda: live.front.engine.owed)
             live.front.api.poll_monitor.unread_time = lambda now: (
-                gevent.spawn(live.front.listed, [drains], False) and 200 * MS)
+                gevent.spawn(live.front.listed, [draining], False) and 200 * MS)
             job.join()
             self.assertEqual(states, [WorkerState.DRAINING])
 
-    def test_pauses_of_restarts(self):
-        it, now = RestartBackoff(), 100 * SECOND
-        pauses = []
+    def test_restart_delays(self):
+        backoff, now = RestartBackoff(), 100 * SECOND
+        delays = []
         for _ in range(12):
-            it.on_started(now)
-            pauses.append(it.on_died(now + MS) - now - MS)
-        self.assertEqual(pauses[:4], [0, FIRST_DELAY, 2 * FIRST_DELAY, 4 * FIRST_DELAY])
-        self.assertEqual(pauses[-1], MAX_DELAY)
-        it.on_started(now)
-        self.assertEqual(it.on_died(now + STABLE_RUNTIME), now + STABLE_RUNTIME)
+            backoff.on_started(now)
+            delays.append(backoff.on_died(now + MS) - now - MS)
+        self.assertEqual(delays[:4], [0, FIRST_DELAY, 2 * FIRST_DELAY, 4 * FIRST_DELAY])
+        self.assertEqual(delays[-1], MAX_DELAY)
+        backoff.on_started(now)
+        self.assertEqual(backoff.on_died(now + STABLE_RUNTIME), now + STABLE_RUNTIME)
 
 
 class Membership(unittest.TestCase):
-    """What the roster and the workers say, through the running front end."""
+    """Updates of workers from the feed and from the workers themselves, through a running front end."""
 
-    def test_a_lost_feed_keeps_the_last_list_and_says_so(self):
+    def test_a_lost_feed_is_logged_and_the_last_list_remains_valid(self):
         with Live() as live:
             live.feed.stop()
             until(lambda: live.log.of("roster-lost"))
             self.assertEqual(live.call("f").status, 200)
 
-    def test_a_gap_in_the_feed_brings_a_full_list(self):
+    def test_a_gap_in_the_feed_leads_to_a_full_list(self):
         with Live() as live:
             live.feed.obey(["gap"])
             live.worker("late")
             until(lambda: "late" in live.front.links and live.front.links["late"].up)
             self.assertIn("generation", live.log.of("roster-lost")[0]["problem"])
 
-    def test_a_worker_that_says_it_drains_gets_nothing_new(self):
+    def test_a_worker_that_reports_its_drain_gets_no_new_calls(self):
         with Live() as live:
             live.call("f")
             first = next(name for name, it in live.workers.items() if it.shelves)
@@ -243,7 +245,7 @@
                 self.assertEqual(live.call(f"g{n}").status, 200)
             self.assertEqual(live.workers[first].shelves.keys(), before)
 
-    def test_a_worker_that_moves_is_dialled_at_its_new_address(self):
+    def test_a_worker_that_moves_is_connected_to_at_its_new_address(self):
         with Live(workers=1) as live:
             live.call("f")
             old = live.workers["w0"]
@@ -252,27 +254,27 @@
             until(lambda: live.front.links["w0"].up and live.front.links["w0"].address != old.address)
             self.assertEqual(live.call("f").status, 200)
 
-    def test_a_worker_that_is_gone_is_let_go_of(self):
+    def test_the_link_to_a_worker_that_is_gone_is_removed(self):
         with Live() as live:
             live.feed.obey(["drop", "w1"])
             until(lambda: "w1" not in live.front.links)
             self.assertEqual(live.call("f").status, 200)
 
 
-class Kinds(unittest.TestCase):
+class AddressFamilies(unittest.TestCase):
     def test_clients_and_workers_over_unix_sockets_and_ipv6(self):
         with tempfile.TemporaryDirectory() as folder:
-            for at in (Address("", 0, f"{folder}/w"), Address("::1", free_ports(1)[0])):
+            for address in (Address("", 0, f"{folder}/w"), Address("::1", free_ports(1)[0])):
                 with Live(workers=0, extra=f"admin unix:{folder}/admin\n") as live:
-                    worker = Worker(at, Machine("w9"), live.store.address, Record(None))
+                    worker = Worker(address, Machine("w9"), live.store.address, Record(None))
                     worker.start()
                     live.extra.append(worker)
-                    live.list("w9", at)
+                    live.list("w9", address)
                     until(lambda live=live: "w9" in live.front.links and live.front.links["w9"].up)
-                    self.assertEqual(live.call("f").status, 200, at)
+                    self.assertEqual(live.call("f").status, 200, address)
                     with closing(Client(Address("", 0, f"{folder}/admin"))) as admin:
-                        told = json.loads(admin.request("GET", "/v1/status").body)
-                    self.assertTrue(told["workers"]["w9"]["link"])
+                        status = json.loads(admin.request("GET", "/v1/status").body)
+                    self.assertTrue(status["workers"]["w9"]["link"])
 
 
 class Loading(unittest.TestCase):
@@ -287,7 +289,7 @@
             live.store.obey(["corrupt", "1us"])
             until(lambda: live.call("submit-x").status == 200)
 
-    def test_a_miss_brings_a_load_order_and_the_call_goes_on(self):
+    def test_a_miss_leads_to_a_load_order_and_the_call_continues(self):
         with Live(loads_on_miss=False, fleet="    loads-on-miss no\n") as live:
             reply = live.call("f")
             self.assertEqual((reply.status, live.front.engine.counts["miss"], live.front.engine.counts["orders"]),
--- a/tests/test_invoke.py
+++ b/tests/test_invoke.py
@@ -1,3 +1,4 @@
+"""The invoke API over HTTP: requests, malformed input, deferred calls and admission control."""
 import json
 import re
 import unittest
@@ -34,7 +35,7 @@
     def tearDownClass(cls):
         cls.live.__exit__()
 
-    def test_bodies_pass_untouched(self):
+    def test_bodies_pass_unchanged(self):
         for body in (b"", b"\x00\xff" * 700, b"a" * 10_000):
             reply = self.live.call("echo", body)
             self.assertEqual((reply.status, reply.body, reply.headers["final"]), (200, body, "completed"))
@@ -71,8 +72,8 @@
             "upgrade": ("GET /v1/status HTTP/1.1\r\nHost: x\r\nConnection: upgrade\r\nUpgrade: h2c\r\n\r\n", 400),
             "two times left": (f"{POST}Time-Left: 10\r\nTime-Left: 20\r\nContent-Length: 0\r\n\r\n", 400),
             "large headers": (f"{POST}A: {'x' * 3000}\r\n\r\n", 431),
-            "large body told": (f"{POST}Content-Length: 99999999\r\n\r\n", 413),
-            "large body untold": (f"{POST}{chunked}\r\n" + "1000\r\n" + "x" * 4096 + "\r\n1000\r\n" + "x" * 4096
+            "large body announced": (f"{POST}Content-Length: 99999999\r\n\r\n", 413),
+            "large body in chunks": (f"{POST}{chunked}\r\n" + "1000\r\n" + "x" * 4096 + "\r\n1000\r\n" + "x" * 4096
                                   + "\r\n1000\r\n" + "x" * 4096 + "\r\n", 413),
             "slow headers": (f"{POST}A: b", 408),
             "a body that never ends": (f"{POST}Content-Length: 50\r\n\r\nabc", 408),
@@ -102,7 +103,7 @@
         got = self.live.raw(request() * 11)
         self.assertEqual(statuses(got), [200] * 10 + [400])
 
-    def test_a_client_that_quits_is_told_to_the_module(self):
+    def test_a_client_that_disconnects_is_reported_to_the_engine(self):
         before = self.live.front.engine.counts["left"]
         with socket.create_connection(("127.0.0.1", self.live.port)) as sock:
             sock.sendall(request(work_hint=400))
@@ -110,7 +111,7 @@
         until(lambda: self.live.front.engine.counts["left"] == before + 1)
         self.assertEqual(self.live.front.engine.owed, 0)
 
-    def test_idle_connections_end_and_many_do_no_harm(self):
+    def test_many_idle_connections_end_and_do_not_disturb_calls(self):
         socks = [socket.create_connection(("127.0.0.1", self.live.port)) for _ in range(300)]
         self.assertEqual(self.live.call("f").status, 200)
         for sock in socks:
@@ -118,7 +119,7 @@
             self.assertEqual(sock.recv(1), b"")
             sock.close()
 
-    def test_continue_is_said_where_it_is_expected(self):
+    def test_100_continue_is_sent_if_it_is_expected(self):
         with socket.create_connection(("127.0.0.1", self.live.port)) as sock:
             sock.sendall(f"{POST}Expect: 100-continue\r\nContent-Length: 2\r\n\r\n".encode())
             self.assertIn(b"100 Continue", sock.recv(100))
@@ -127,7 +128,7 @@
 
 
 class Deferred(unittest.TestCase):
-    def test_accepted_waited_for_and_collected(self):
+    def test_a_deferred_call_is_accepted_waited_for_and_collected(self):
         with Live() as live, closing(live.client()) as client:
             first = client.request("POST", "/v1/functions/submit-x/calls", {"Prefer": "respond-async"}, b"filing")
             self.assertEqual((first.status, first.headers["preference-applied"]), (202, "respond-async"))
@@ -137,19 +138,19 @@
             self.assertEqual((reply.status, reply.body, reply.headers["final"]), (200, b"filing", "completed"))
             self.assertEqual(client.request("GET", where).body, b"filing")
 
-    def test_a_wait_is_bounded_and_a_final_answer_comes_in_its_own_time(self):
+    def test_a_wait_is_limited_and_the_final_answer_comes_when_the_call_ends(self):
         with Live(bounds="longest-wait 100ms") as live, closing(live.client()) as client:
             live.workers["w0"].obey(["hang", "9s"])
             live.workers["w1"].obey(["hang", "9s"])
             where = client.request("POST", "/v1/functions/submit-x/calls",
-                               {"Prefer": "respond-async", "Time-Left": "400"}).headers["location"]
+                                   {"Prefer": "respond-async", "Time-Left": "400"}).headers["location"]
             self.assertEqual(client.request("GET", where, {"Prefer": "wait=60"}).status, 202)
             until(lambda: not live.front.engine.owed)
             reply = client.request("GET", where)
             self.assertEqual((reply.status, reply.headers["final"]), (504, "aborted"))
             self.assertTrue(json.loads(reply.body)["may-have-run"])
 
-    def test_the_waiting_list_is_bounded(self):
+    def test_the_number_of_deferred_calls_is_limited(self):
         with Live(bounds="deferred 3") as live, closing(live.client()) as client:
             for worker in live.workers.values():
                 worker.obey(["hang", "9s"])
@@ -160,7 +161,7 @@
             self.assertEqual(got[-1].headers["final"], "rejected")
             self.assertIn(got[-1].headers["retry-after"], ("1", "2"))
 
-    def test_answers_are_kept_to_a_time_and_a_size(self):
+    def test_answers_are_kept_for_a_time_and_up_to_a_size(self):
         each_takes = ANSWER_OVERHEAD + 30
         it = InMemoryStore(10, 3 * each_takes + 10, 5 * SECOND)
         calls = [it.add(f"c{n}") for n in range(5)]
@@ -168,7 +169,7 @@
             self.assertTrue(it.has_room())
             it.finish(n * SECOND, each, Answer(FinalKind.COMPLETED, "completed", b"x" * 30))
             each.is_collected = n == 1
-        # The fourth passed the size: the collected one went first; the fifth took the oldest.
+        # The fourth answer exceeded the size, so the collected one was removed; the fifth displaced the oldest.
         self.assertEqual([it.find(f"c{n}") is not None for n in range(5)], [False, False, True, True, True])
         self.assertEqual((it.answer_bytes.used, it.dropped), (3 * each_takes, 1))
         it.tick(8 * SECOND)
@@ -177,47 +178,48 @@
         self.assertEqual((it.answer_bytes.used, it.pending.used, it.calls), (0, 0, {}))
 
 
-class Admissions(unittest.TestCase):
+class AdmissionControl(unittest.TestCase):
     def setUp(self):
         self.now = 0
 
-    def run_it(self, it, lag, seconds, every=READING_INTERVAL):
-        """Readings of one lag for so long; a loop that lags reads as seldom as it comes round."""
+    def record_lag_for(self, it, lag, seconds, interval=READING_INTERVAL):
+        """Records one lag for some time; a lagging event loop takes a reading only once in each iteration."""
         until = self.now + int(seconds * SECOND)
         while self.now < until:
-            self.now += max(every, lag)
+            self.now += max(interval, lag)
             it.record_lag(self.now, lag)
         return it
 
-    def test_one_stall_refuses_nobody_and_lasting_lag_refuses_most(self):
-        it = self.run_it(Admission(600 * MS), 0, 0.1)
+    def test_one_stall_refuses_few_calls_and_a_lasting_lag_refuses_most(self):
+        it = self.record_lag_for(Admission(600 * MS), 0, 0.1)
         it.record_lag(self.now + SECOND, SECOND)
         self.assertLess(sum(not it.admit(False) for _ in range(100)), 50)
-        it = self.run_it(Admission(600 * MS), 300 * MS, 3)
+        it = self.record_lag_for(Admission(600 * MS), 300 * MS, 3)
         admitted = sum(it.admit(False) for _ in range(1000))
         self.assertTrue(30 <= admitted <= 70, admitted)
 
-    def test_a_lag_within_what_calls_can_bear_refuses_nobody(self):
-        it = self.run_it(Admission(600 * MS), 100 * MS, 30)
+    def test_a_lag_below_the_target_refuses_no_calls(self):
+        it = self.record_lag_for(Admission(600 * MS), 100 * MS, 30)
         self.assertTrue(all(it.admit(False) for _ in range(100)))
 
-    def test_repetitions_go_first_and_all_come_back(self):
-        it = self.run_it(Admission(600 * MS), 300 * MS, 1.5)
-        share = sum(it.admit(False) for _ in range(400)), sum(it.admit(True) for _ in range(400))
-        self.assertGreater(share[0], 1.2 * share[1])
-        self.run_it(it, 0, 5)
+    def test_retries_are_refused_first_and_after_the_lag_all_are_admitted(self):
+        it = self.record_lag_for(Admission(600 * MS), 300 * MS, 1.5)
+        admitted = sum(it.admit(False) for _ in range(400)), sum(it.admit(True) for _ in range(400))
+        self.assertGreater(admitted[0], 1.2 * admitted[1])
+        self.record_lag_for(it, 0, 5)
         self.assertTrue(all(it.admit(True) for _ in range(100)))
 
-    def test_it_settles_where_the_loop_comes_round_in_time(self):
-        """A loop at its limit: 900 connections ready each round, 300 us a call let in, 80 us one refused."""
-        it, parts = Admission(600 * MS), []
+    def test_it_converges_when_the_event_loop_is_saturated(self):
+        """A saturated event loop: 900 connections are ready in each iteration; an admitted call takes 300 us, a
+        refused one 80 us."""
+        it, shares = Admission(600 * MS), []
         for _ in range(600):
-            taken = sum(it.admit(False) for _ in range(900))
-            lag = (taken * 300 + (900 - taken) * 80) * 1000
+            admitted = sum(it.admit(False) for _ in range(900))
+            lag = (admitted * 300 + (900 - admitted) * 80) * 1000
             self.now += lag
             it.record_lag(self.now, lag)
-            parts.append(taken / 900)
-        self.assertTrue(0.1 < min(parts[300:]) and max(parts[300:]) < 0.5, (min(parts[300:]), max(parts[300:])))
+            shares.append(admitted / 900)
+        self.assertTrue(0.1 < min(shares[300:]) and max(shares[300:]) < 0.5, (min(shares[300:]), max(shares[300:])))
 
 
 if __name__ == "__main__":
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.live import Live, Scripted, until
+from tests.live import Live, ScriptedWorker, until
 from threadshift.interface import MS, SECOND
 from threadshift.links.codec import LENGTH, VERSION, Frames, ProtocolError, encode
 from threadshift.links.outbox import Outbox
@@ -121,7 +121,7 @@
 def ends(function, script, hello=True, name="w0", **facts):
     """One call at a gateway whose only worker is played by the script: the reply, the worker, the live rig."""
     live = Live(workers=0, **facts)
-    worker = Scripted(name, script, hello)
+    worker = ScriptedWorker(name, script, hello)
     live.extra.append(worker)
     live.list("w0", worker.address)
     with live:
@@ -140,7 +140,7 @@
                     return
         for function, status, sends in (("submit-x", 502, 1), ("f", 503, 1)):
             reply, worker, live = ends(function, script)
-            self.assertEqual((reply.status, worker.heard.count("invoke")), (status, sends), function)
+            self.assertEqual((reply.status, worker.received_kinds.count("invoke")), (status, sends), function)
             self.assertIn(b'"may-have-run": true', reply.body)
 
     def test_an_answer_torn_in_the_middle_is_no_answer(self):
@@ -150,7 +150,7 @@
                     sock.sendall(encode("result", id=frame["id"], **RESULT)[:9])
                     return
         reply, worker, live = ends("submit-x", script)
-        self.assertEqual((reply.status, worker.heard.count("invoke")), (502, 1))
+        self.assertEqual((reply.status, worker.received_kinds.count("invoke")), (502, 1))
         self.assertTrue(any("inside a frame" in each["problem"] for each in live.log.of("link-broke")))
 
     def test_nothing_listens_so_a_once_only_call_never_ran(self):
@@ -170,14 +170,14 @@
                 pass
         for hello, name, words in ((False, "w0", "no hello"), (True, "other", "this is w0's address")):
             live = Live(workers=0, bounds="connect 100ms")
-            worker = Scripted(name, wait, hello)
+            worker = ScriptedWorker(name, wait, hello)
             live.extra.append(worker)
             live.list("w0", worker.address)
             with live:
                 until(lambda live=live: live.log.of("link-broke"))
                 reply = live.call("submit-x", time_left="700")
             self.assertIn(words, live.log.of("link-broke")[0]["problem"])
-            self.assertEqual((reply.headers["final"], worker.heard.count("invoke")), ("rejected", 0))
+            self.assertEqual((reply.headers["final"], worker.received_kinds.count("invoke")), ("rejected", 0))
 
     def test_wrong_input_from_a_worker_ends_its_link_with_a_reason(self):
         bad = {"unknown": encode("dance"), "version": encode("hello", version=9, name="w0"),
@@ -189,12 +189,12 @@
                 for _ in frames:
                     pass
             live = Live(workers=1)
-            worker = Scripted("bad", script, hello=case != "version")
+            worker = ScriptedWorker("bad", script, hello=case != "version")
             live.extra.append(worker)
             live.list("bad", worker.address)
             with self.started(live):
                 until(lambda live=live: live.log.of("link-broke"))
-                until(lambda worker=worker: "refused" in worker.heard)
+                until(lambda worker=worker: "refused" in worker.received_kinds)
                 self.assertEqual(live.call("f", b"others are served").status, 200, case)
 
     @staticmethod
@@ -215,13 +215,13 @@
             for _ in frames:
                 pass                        # reads, pings too, and answers nothing: half-open from here
         reply, worker, live = ends("submit-x", script)
-        self.assertEqual((reply.status, worker.heard.count("invoke")), (502, 1))
-        self.assertIn("ping", worker.heard)
+        self.assertEqual((reply.status, worker.received_kinds.count("invoke")), (502, 1))
+        self.assertIn("ping", worker.received_kinds)
         self.assertTrue(any("silent" in each["problem"] for each in live.log.of("link-broke")))
 
     def test_a_worker_that_never_reads_fills_a_bound_and_no_more(self):
         live = Live(workers=0, bounds="worker-buffer 300K\nwrite 300ms\nbody 200K\n")
-        worker = Scripted("w0", reads_nothing)
+        worker = ScriptedWorker("w0", reads_nothing)
         live.extra.append(worker)
         live.list("w0", worker.address)
         with live:
@@ -267,7 +267,7 @@
                     later.append(frame["kind"])
             live = Live(workers=0, bounds="connect 3s")
             running[:] = [live]
-            worker = Scripted("w0", script, hello=False)
+            worker = ScriptedWorker("w0", script, hello=False)
             live.extra.append(worker)
             live.list("w0", worker.address)
             with live:
@@ -293,7 +293,7 @@
                     seen.append((frame["left"], time.monotonic_ns()))
                     sock.sendall(encode("result", id=frame["id"], **RESULT))
         live = Live(workers=0, bounds="connect 3s")
-        worker = Scripted("w0", script, hello=False)
+        worker = ScriptedWorker("w0", script, hello=False)
         live.extra.append(worker)
         live.list("w0", worker.address)
         running = gevent.spawn(live.front.run)
@@ -309,7 +309,7 @@
     def test_what_a_full_socket_holds_up_is_taken_back_when_the_worker_drains(self):
         """Written once the worker read again, it would have been new to it past the grace (rule 3)."""
         live = Live(workers=0, bounds="worker-buffer 32M\nwrite 3s\nbody 4M\nframe 8M\n")
-        worker = Scripted("w0", reads_nothing)
+        worker = ScriptedWorker("w0", reads_nothing)
         live.extra.append(worker)
         live.list("w0", worker.address)
         with live:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""What one client or tenant can take from the others at the door, the log and the counters; free of I/O."""
+"""How little one client or tenant can take from the others: admission, capacity, counters and the log."""
 import io
 import json
 import threading
@@ -20,31 +20,34 @@
 WEIGHT = weights(TENANTS)
 
 
-class Door(unittest.TestCase):
+class AdmissionByTenant(unittest.TestCase):
     def refused(self, asked, seconds=6):
-        """The part refused of each tenant's calls, asked a second, by a front end that serves 1000 a second."""
+        """The refused share of each tenant's calls, and of all calls, at a front end that serves 1000 calls a second.
+
+        `asked` has the calls a second of each tenant."""
         it, now, counts = Admission(600 * MS, WEIGHT), 0, {name: [0, 0] for name in asked}
-        waiting = 0.0
+        queued = 0.0
         for step in range(int(seconds * SECOND / READING_INTERVAL)):
             now += READING_INTERVAL
             for name, rate in asked.items():
                 for _ in range(int((step + 1) * rate / 100) - int(step * rate / 100)):
-                    let_in = it.admit(False, name)
-                    waiting += let_in
+                    admitted = it.admit(False, name)
+                    queued += admitted
                     if step >= 300:
-                        counts[name][let_in] += 1
-            waiting = max(0.0, waiting - 10)
-            it.record_lag(now, int(waiting * MS))
+                        counts[name][admitted] += 1
+            queued = max(0.0, queued - 10)
+            it.record_lag(now, int(queued * MS))
         return {name: no / (no + yes) for name, (no, yes) in counts.items()}, it.refused_share
 
     def test_one_that_floods_is_refused_and_the_others_are_not(self):
-        """Before: every call alike, so that who asked for its due lost as large a part as the flooder."""
-        found, part = self.refused({"a": 200, "b": 2000, "c": 40})
-        self.assertGreater(part, 0.3)
+        """Guards against refusing calls of all tenants alike: a tenant within its share would then lose as large a
+        share of its calls as the one that floods."""
+        found, total = self.refused({"a": 200, "b": 2000, "c": 40})
+        self.assertGreater(total, 0.3)
         self.assertEqual((found["a"], found["c"]), (0.0, 0.0))
-        self.assertGreater(found["b"], part)
+        self.assertGreater(found["b"], total)
 
-    def test_calls_of_nobody_and_of_unknown_names_are_one_tenant(self):
+    def test_calls_without_a_tenant_and_of_unknown_names_count_as_one_tenant(self):
         found, _ = self.refused({"a": 200, "": 2000, "made-up": 2000})
         self.assertEqual(found["a"], 0.0)
         self.assertGreater(min(found[""], found["made-up"]), 0.4)
@@ -69,9 +72,9 @@
         self.assertLess(MAX_REFUSED_SHARE, 1)
 
 
-class Held(unittest.TestCase):
+class CapacityByTenant(unittest.TestCase):
     def test_one_tenant_leaves_room_for_the_others(self):
-        """Before: `bounds activations`, `deferred` and `results` went to whoever came first."""
+        """Guards against giving all of `bounds activations`, `deferred` and `results` to the first tenant."""
         it = SharedCapacity(1000, WEIGHT)
         while it.has_room("c"):
             it.acquire("c")
@@ -86,33 +89,33 @@
         it.release("c", it.used_by["c"])
         self.assertTrue(it.has_room("a"))
 
-    def test_who_keeps_most_loses_its_answers_first(self):
+    def test_the_tenant_that_keeps_most_loses_its_answers_first(self):
         it = InMemoryStore(100, 10_000, 60 * SECOND, WEIGHT)
         for n, tenant in enumerate(["a"] + ["c"] * 20):
             it.finish(n, it.add(f"c{n}", tenant), Answer(FinalKind.COMPLETED, "completed", b"x" * 100))
         self.assertIsNotNone(it.find("c0"))
         self.assertIsNone(it.find("c1"))
 
-    def test_without_tenants_all_is_for_everybody(self):
+    def test_without_tenants_any_client_may_use_all(self):
         it = SharedCapacity(10, {})
         for n in range(10):
             self.assertTrue(it.has_room(f"any{n}"))
             it.acquire(f"any{n}")
         self.assertFalse(it.has_room("any"))
-        self.assertEqual(list(it.used_by), [NO_TENANT])       # names that clients make up are not kept
+        self.assertEqual(list(it.used_by), [NO_TENANT])       # names made up by clients are not kept
 
-    def test_answers_without_a_body_have_a_bound_too(self):
-        """Before: only bodies counted, so refusals that nobody collected piled up without end."""
+    def test_answers_without_a_body_are_limited_too(self):
+        """Guards against counting only bodies: refusals that no client collects would then pile up without limit."""
         it = InMemoryStore(10, 100_000, 60 * SECOND)
-        taken = 0
-        while taken < 10_000:
-            it.finish(taken, it.add(f"c{taken}"), Answer(FinalKind.REJECTED, "no-room"))
-            taken += 1
+        number = 0
+        while number < 10_000:
+            it.finish(number, it.add(f"c{number}"), Answer(FinalKind.REJECTED, "no-room"))
+            number += 1
         self.assertLess(len(it.calls), 200)
 
 
-class Told(unittest.TestCase):
-    def test_refusals_are_told_when_they_begin_and_then_as_sums(self):
+class Reports(unittest.TestCase):
+    def test_refusals_are_reported_when_they_begin_and_then_as_sums(self):
         it, lines = RefusalCounters(), []
         for n in range(12_000):
             it.record(n * MS, "overloaded", "b" if n % 3 else "a")
@@ -125,22 +128,22 @@
         self.assertEqual(it.totals(), {"overloaded": 12_000})
         self.assertGreater(REPORT_INTERVAL, SECOND)
 
-    def test_kinds_are_rationed_apart_and_what_was_held_back_is_told(self):
+    def test_each_kind_has_a_limit_of_its_own_and_suppressed_lines_are_summarised(self):
         it = LogRateLimiter(0)
-        granted = sum(it.allow(n * MS, "final no-room") for n in range(3000))
-        self.assertEqual(granted, 3 * LINES_PER_SECOND)
+        allowed = sum(it.allow(n * MS, "final no-room") for n in range(3000))
+        self.assertEqual(allowed, 3 * LINES_PER_SECOND)
         self.assertTrue(it.allow(3 * SECOND, "roster-lost"))
         self.assertEqual(it.summary(4 * SECOND), {})
-        told = it.summary(5 * SECOND)
-        self.assertEqual(told, {"final no-room": {"lines": 3000 - granted, "for_ms": 5000 - LINES_PER_SECOND}})
+        summary = it.summary(5 * SECOND)
+        self.assertEqual(summary, {"final no-room": {"lines": 3000 - allowed, "for_ms": 5000 - LINES_PER_SECOND}})
         self.assertEqual(it.summary(6 * SECOND, is_last=True), {})
         for n in range(10 * MAX_KINDS):
             it.allow(SECOND, f"kind {n}")
         self.assertLessEqual(len(it.kinds), MAX_KINDS + 1)
 
 
-class Stuck(io.StringIO):
-    """A stream whose reader stands still until it is let go."""
+class BlockedStream(io.StringIO):
+    """A stream whose writes block until `free` is set."""
 
     def __init__(self):
         super().__init__()
@@ -152,8 +155,8 @@
 
 
 class Logs(unittest.TestCase):
-    def test_a_flood_of_one_kind_leaves_room_for_the_rare_and_is_counted_at_the_end(self):
-        stream = Stuck()
+    def test_a_flood_of_one_kind_leaves_room_for_rare_lines_and_is_counted_at_the_end(self):
+        stream = BlockedStream()
         log = Log("json", stream=stream, most=60)
         for n in range(5000):
             log.note("final", reason="no-room", number=n)
@@ -165,9 +168,9 @@
         lines = [json.loads(line) for line in stream.getvalue().splitlines()]
         self.assertIn("roster-lost", [line["event"] for line in lines])
         written = sum(line["event"] == "final" for line in lines)
-        held_back = sum(kind["lines"] for line in lines if line["event"] == "lines-held-back"
+        suppressed = sum(kind["lines"] for line in lines if line["event"] == "lines-held-back"
                         for kind in line["kinds"].values())
-        self.assertEqual(written + held_back, 15_000)
+        self.assertEqual(written + suppressed, 15_000)
         self.assertEqual(lines[-1]["event"], "lines-held-back")
 
 
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -144,7 +144,7 @@
     def hello(self, worker: str, hello: Frame) -> str:
         """Handles a worker's hello. Returns what is wrong with it; empty if nothing is."""
         if hello["name"] != worker:
-            return f"this address belongs to worker {worker}, but {hello['name'][:64]!r} answered"
+            return f"this is {worker}'s address, but the worker there is named {hello['name'][:64]!r}"
         started = hello.get("started", 0)
         if not isinstance(started, int) or started < 0:
             return "'started' is not a time"
