--- a/threadshift/gateway/base_front_end.py
+++ b/threadshift/gateway/base_front_end.py
@@ -58,7 +58,7 @@
         self.list_applied_at = 0
         self.is_discovery_lost = False          # the feed is lost or the file unreadable; the last list remains valid
 
-    def link(self, entry: WorkerEntry) -> AnyLink:
+    def make_link(self, entry: WorkerEntry) -> AnyLink:
         """Makes a link to a worker."""
         raise NotImplementedError
 
@@ -203,7 +203,7 @@
             if link is not None and link.address != entry.address:
                 replaced.append(self.links.pop(entry.worker))
             if entry.worker not in self.links and entry.state is not WorkerState.GONE:
-                self.links[entry.worker] = self.link(entry)
+                self.links[entry.worker] = self.make_link(entry)
         return replaced
 
     def apply_changes(self, listings: list[WorkerListing]) -> None:
--- a/threadshift/gateway/batch_service.py
+++ b/threadshift/gateway/batch_service.py
@@ -20,7 +20,7 @@
 from threadshift.batches.shelf import Kept, Shelf, record
 from threadshift.choice import NEVER_RAN
 from threadshift.conf.installation import Installation
-from threadshift.engine.engine import Answer, Call, FinalKind, RequestEngine, PendingRequest
+from threadshift.engine.engine import Answer, Call, FinalKind, PendingRequest, RequestEngine
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -163,7 +163,7 @@
             self.note("worker-drains", worker=worker)
         self.apply_changes(listings)
 
-    def link(self, entry: WorkerEntry) -> Link:
+    def make_link(self, entry: WorkerEntry) -> Link:
         return Link(entry.worker, entry.address, self.config.bounds, self.name, self.config.deployment.zone, self,
                     self.chance,
                     self.replicated_services.eviction_service if self.replicated_services is not None else None)
--- a/threadshift/gateway/rollout_service.py
+++ b/threadshift/gateway/rollout_service.py
@@ -63,7 +63,7 @@
         self.conductor = Conductor(rollouts, peering.peers)
         self.due_entries: list[dict[str, Any]] = []
         self.sums: dict[str, list[Any]] = {}
-        self.problems: dict[str, str] = {}
+        self.problems: dict[str, str] = {}     # by rollout: why it cannot run here; empty: it can; "?": not known yet
         self.started_at = time.monotonic_ns()
         self.last_place = -1         # position in the record of the last version handled here
         self.gathered_at = 0
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -81,7 +81,7 @@
     def ready_workers(self) -> int:
         return len(self.engine.dispatcher.ready_workers)
 
-    def link(self, it: WorkerEntry) -> Link:
+    def make_link(self, it: WorkerEntry) -> Link:
         return Link(it.worker, it.address, self.bounds, self, self.chance, self.bits)
 
     def apply_listings(self, listings: list[WorkerListing]) -> None:
