--- a/threadshift/gateway/rollout_service.py
+++ b/threadshift/gateway/rollout_service.py
@@ -173,19 +173,20 @@
         gevent.sleep(self.rollback_delay() / SECOND)
         wanted = self.rollouts.version_of(self.front.name)
         if wanted.place != place or wanted.name == self.versions.read_failed() != "":
-            return      # the record names another version by now, or this one failed here, which each report tells
+            # The record names another version by now, or this version has failed here, which the reports say.
+            return
         try:
-            version, problem = self.prepare(ids)
+            target, problem = self.prepare(ids)
         except (ThreadshiftError, Mistake, OSError) as error:
-            version, problem = Wanted(), str(error)
+            target, problem = Wanted(), str(error)
         if problem:
             self.front.note("version-not-taken", level="error", version="+".join(ids), problem=problem,
                             help=BadChange.help)
             with suppress(OSError):
                 self.versions.write_failed("+".join(ids))
             return
-        self.front.note("version-wanted", version=version.version, place=place)
-        self.versions.write_wanted(version._replace(place=place))
+        self.front.note("version-wanted", version=target.version, place=place)
+        self.versions.write_wanted(target._replace(place=place))
         with suppress(OSError):
             os.kill(os.getppid(), signal.SIGUSR1)
 
@@ -209,7 +210,7 @@
             if (rollout.state == DONE and rollout.what.get("eviction")
                     and f"evict-{rollout.id}" not in self.carrier.book.ids):
                 entries.append({"do": "evict.set", "id": f"evict-{rollout.id}", "why": f"rollout {rollout.id}",
-                             **rollout.what["eviction"]})
+                                **rollout.what["eviction"]})
         return entries
 
     def gather(self) -> None:
