--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -350,7 +350,7 @@
         with Platform([serve]) as it:
             it.coordinator.is_silent = True
             until(lambda: len(it.coordinator.last_event_ids) > 1)
-            self.assertTrue(it.node.roster_lost)
+            self.assertTrue(it.node.is_discovery_lost)
 
     def test_a_reload_moves_the_stream_unless_the_configuration_is_invalid(self):
         with Platform([serve]) as it, tempfile.NamedTemporaryFile("w") as file:
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -81,7 +81,7 @@
     def ready_workers(self) -> int:
         return len(self.engine.dispatcher.ready_workers)
 
-    def link(self, entry: WorkerEntry) -> Link:
+    def make_link(self, entry: WorkerEntry) -> Link:
         return Link(entry.worker, entry.address, self.link_settings, self, self.chance, self.random_bits)
 
     def apply_listings(self, listings: list[WorkerListing]) -> None:
@@ -137,7 +137,7 @@
                         self.coordinator.freshness.notified_since(now, self.poll_monitor.unread_time(now)))
 
     def on_coordinator_lost(self) -> None:
-        self.roster_lost = True
+        self.is_discovery_lost = True
 
     def list_is_stale(self) -> bool:
         """Tells whether the worker list is still that of the configuration, which is as old as the process.
@@ -250,7 +250,7 @@
                 "up": sum(link.up for link in self.open_connections),
                 "worker_connections": self.worker_connections, "dialled_in_all": self.total_dials,
                 "ready": len(dispatcher.ready_workers), "suspended": sum(it.suspended_until > now for it in workers),
-                "functions": len(dispatcher.functions), "roster_lost": self.roster_lost,
+                "functions": len(dispatcher.functions), "roster_lost": self.is_discovery_lost,
                 "lag_ms": round(self.admission.smoothed_lag / MS, 1), "part": round(self.admission.refused_share, 3),
                 "stalls": self.stalls, "longest_stall_ms": self.longest_stall // MS,
                 "turned_away": self.listener.refusal_counters.totals(), "counts": dict(self.engine.counts)}
