--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -16,6 +16,33 @@
             with self.subTest(n=n):
                 self.assertEqual(n, 0)
 """
+# Each of the two tests fails with a text of its own.
+SEEDS = """
+import unittest
+class Case(unittest.TestCase):
+    def test_first(self): self.fail({first!r})
+    def test_second(self): self.fail({second!r})
+"""
+SUBTESTS = """
+import unittest
+class Case(unittest.TestCase):
+    def test_parts(self):
+        for seed in (6, 8):
+            with self.subTest(seed=seed):
+                self.fail("seeds:\\nseed %d: BROKEN" % seed)
+    @unittest.expectedFailure
+    def test_unexpected(self): pass
+"""
+SKIPPED = """
+import unittest
+class Case(unittest.TestCase):
+    @unittest.skip("planted")
+    def test_skipped(self): pass
+class Other(unittest.TestCase):
+    @classmethod
+    def setUpClass(cls): raise KeyError("planted")
+    def test_not_begun(self): pass
+"""
 GOOD = "import unittest\nclass Case(unittest.TestCase):\n    def test_good(self): pass\n"
 
 
@@ -35,6 +62,19 @@
     def line(self, name, module="test_it"):
         return f"tests.{module}.Case.{name} | planted | 1"
 
+    def command(self, name, seed="-", module="test_it", seen="planted", issue="1"):
+        return f"python -m unittest tests.{module}.Case.{name} | {seed} | {seen} | {issue}"
+
+    def check_cases(self, cases, **options):
+        """Each case: the list, the modules, the exit code, words that are printed."""
+        for name, (red, modules, code, words) in cases.items():
+            with self.subTest(name):
+                got, said = self.run_in(red, *modules, **options)
+                self.assertEqual(got, code, said)
+                self.assertIn(words, said)
+                if modules == ["all"]:
+                    self.assertNotIn("Traceback", said)
+
     def test_each_case(self):
         bad, worse, parts = (self.line(name) for name in ("test_bad", "test_worse", "test_parts"))
         good = self.line("test_good")
@@ -53,11 +93,124 @@
             "no such module": ([self.line("test_bad", "test_none")], ["all"], 1, "not found"),
             "no list": (None, ["all"], 0, ""),
         }
-        for name, (red, modules, code, words) in cases.items():
+        self.check_cases(cases)
+
+    def test_a_case_that_fails_now_and_then(self):
+        bad, worse, parts, good = (
+            self.command(name) for name in ("test_bad", "test_worse", "test_parts", "test_good"))
+        other = self.command("test_good", module="test_other")
+        self.check_cases({
+            "a failure is accepted and printed": ([bad, worse, parts], [], 0, f"known red: {bad}"),
+            "so is an error": ([bad, worse, parts], [], 0, f"known red: {worse}"),
+            "so is a failed subtest": ([bad, worse, parts], [], 0, f"known red: {parts}"),
+            "a pass is no failure and printed": ([bad, worse, parts, good], [], 0,
+                                                 f"known red, passed this time: {good}"),
+            "one that fails is not listed": ([bad, worse, good], [], 1, "failed: tests.test_it.Case.test_parts"),
+            "both forms": ([self.line("test_bad"), worse, parts], [], 0, f"known red: {self.line('test_bad')}"),
+            "the first form still has to fail": ([bad, worse, parts, self.line("test_good")], [], 1,
+                                                 "lists what passes: tests.test_it.Case.test_good"),
+            "others answer for theirs": ([bad, other], ["tests.test_other"], 0,
+                                         f"known red, passed this time: {other}"),
+            "more than three": ([bad, worse, parts, good], ["all"], 0, ""),
+            "no such test": ([self.command("test_none")], ["all"], 1, "not found"),
+            "no such module": ([self.command("test_bad", module="test_none")], ["all"], 1, "not found"),
+            "a module is not a test": (["python -m unittest tests.test_it | - | planted | 1"], ["all"], 1,
+                                       "not found"),
+            "a name without a module": (["python -m unittest it | - | planted | 1"], ["all"], 1, "not found"),
+            "seeds of no such test": ([self.command("test_none", "6")], ["all"], 1, "not found"),
+        })
+        code, said = self.run_in([bad, other], "tests.test_other")
+        self.assertEqual((code, said.count("known red")), (0, 1), said)
+        code, said = self.run_in([self.line("test_good")], tests=GOOD)
+        self.assertEqual((code, said.count("passed this time")), (1, 0), said)
+
+    def test_only_what_passed_is_said_to_have_passed(self):
+        red = [self.command("test_skipped"), self.command("test_not_begun").replace("Case", "Other")]
+        code, said = self.run_in(red, tests=SKIPPED)
+        self.assertEqual((code, said.count("known red")), (1, 0), said)
+        self.assertIn("failed: setUpClass (tests.test_it.Other)", said)
+
+    def test_a_case_with_seeds(self):
+        red = [self.command("test_first", "6,7")]
+        first = "failed: tests.test_it.Case.test_first"
+        cases = {
+            "one listed seed": ("1 != 0 : seed 5: kept\nseed 6: BROKEN {'lost': 1}; 3 front ends", 0, ""),
+            "all listed seeds": ("soak\nseed 6: BROKEN {}\n    lost: c1\nseed 7: BROKEN {}", 0, ""),
+            "the first line names a listed one too": ("seed 7: BROKEN {}\nseed 6: BROKEN {}", 0, ""),
+            "one that is not listed": ("soak\nseed 8: BROKEN {}", 1, first),
+            "a listed one and one that is not": ("soak\nseed 6: BROKEN {}\nseed 8: BROKEN {}", 1, first),
+            "a number that begins as a listed one": ("soak\nseed 66: BROKEN {}", 1, first),
+            "the one not listed is on the first line": ("seed 8: BROKEN {}\nseed 6: BROKEN {}", 1, first),
+            "not at the start of a line": ("soak\nthe seed 6: BROKEN {}", 1, first),
+            "no seed is broken": ("soak\nseed 6: kept; 3 front ends", 1, first),
+            "another failure": ("planted", 1, first),
+            "a program that the test ran broke off": (
+                "soak\nseed 6: BROKEN {}\nTraceback (most recent call last):\nKeyError: 1", 1, first),
+        }
+        for name, (output, code, words) in cases.items():
             with self.subTest(name):
-                got, said = self.run_in(red, *modules)
+                # The line of the other test accepts nothing for this one.
+                got, said = self.run_in([*red, self.command("test_second", "8")],
+                                        tests=SEEDS.format(first=output, second="soak\nseed 8: BROKEN {}"))
                 self.assertEqual(got, code, said)
-                self.assertIn(words, said)
+                self.assertIn(words or f"known red: {red[0]}", said)
+                self.assertIn(f"known red: {self.command('test_second', '8')}", said)
+                self.assertEqual(f"known red: {red[0]}" in said, code == 0)
+        got, said = self.run_in([self.command("test_good", "6")], tests=GOOD)
+        self.assertEqual(got, 0, said)
+        self.assertIn(f"known red, passed this time: {self.command('test_good', '6')}", said)
+
+    def test_every_failure_of_a_test_with_seeds_has_to_be_accepted(self):
+        unexpected = self.command("test_unexpected")
+        self.check_cases({
+            "both": ([self.command("test_parts", "6, 8"), unexpected], [], 0, "known red: "),
+            "one of two": ([self.command("test_parts", "6"), unexpected], [], 1,
+                           "failed: tests.test_it.Case.test_parts"),
+            "an unexpected success names no seed": (
+                [self.command("test_parts", "6,8"), self.command("test_unexpected", "6")], [], 1,
+                "failed: tests.test_it.Case.test_unexpected"),
+        }, tests=SUBTESTS)
+
+    def test_other_commands_are_records_only(self):
+        record = "python -m tests.soak 518 1 | 518 | planted | 43"
+        several = "python -m unittest tests.test_it.Case.test_bad tests.test_it.Case.test_worse | - | planted | 43"
+        rest = [self.line("test_worse"), self.line("test_parts")]
+        self.check_cases({
+            "nothing is run": ([record, "exit 3 | - | planted | 1"], ["all"], 0, ""),
+            "nothing is accepted": ([record, several, *rest], [], 1, "failed: tests.test_it.Case.test_bad"),
+            "they are not counted": ([record, several, record, *rest, self.line("test_bad")], [], 0, "known red: "),
+            "their form is checked": (["python -m tests.soak 518 1 | 518 | planted | open"], ["all"], 1,
+                                      "the issue is a number"),
+        })
+
+    def test_lines_that_are_refused(self):
+        bad, twice = self.command("test_bad"), "each test once"
+        lines = {
+            "two fields": ([bad.replace(" | planted | 1", "")], "is wanted"),
+            "five fields": ([f"{bad} | 1"], "is wanted"),
+            "an empty command": (["| - | planted | 1"], "is wanted"),
+            "an empty seed": ([self.command("test_bad", "")], "is wanted"),
+            "nothing was seen": ([self.command("test_bad", seen="")], "is wanted"),
+            "no issue": ([self.command("test_bad", issue="")], "is wanted"),
+            "a seed in words": ([self.command("test_bad", "six")], "the seed is"),
+            "a seed missing after a comma": ([self.command("test_bad", "6,")], "the seed is"),
+            "a seed beside none": ([self.command("test_bad", "6,-")], "the seed is"),
+            "a negative seed": ([self.command("test_bad", "-6")], "the seed is"),
+            "a range of seeds": ([self.command("test_bad", "6-7")], "the seed is"),
+            "an issue in words": ([self.command("test_bad", issue="open")], "the issue is"),
+            "an issue with a sign": ([self.command("test_bad", issue="#43")], "the issue is"),
+            "several issues": ([self.command("test_bad", issue="33,43")], "the issue is"),
+            "twice in the second form": ([bad, self.command("test_bad", "6")], twice),
+            "twice with other spaces": ([bad, bad.replace("-m unittest", "-m  unittest")], twice),
+            "once in each form": ([self.line("test_bad"), bad], twice),
+        }
+        for name, (red, words) in lines.items():
+            for modules in (["all"], ["tests.test_other"]):
+                with self.subTest(name, modules=modules):
+                    code, said = self.run_in(red, *modules)
+                    self.assertEqual((code, said.count("\n")), (1, 1), said)
+                    self.assertIn(words, said)
+                    self.assertIn(red[-1], said)
 
     def test_a_listed_one_that_passes(self):
         got, said = self.run_in([self.line("test_good")], tests=GOOD)
