--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -29,7 +29,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-MOST = 3
+MAX_FAILING_EACH_TIME = 3
 UNITTEST = ["python", "-m", "unittest"]
 SEEDS = re.compile(r"[0-9]+( *, *[0-9]+)*")
 ISSUE = re.compile(r"[0-9]+")
@@ -38,13 +38,13 @@
 TRACEBACK = "Traceback (most recent call last):"
 
 
-class Wrong(Exception):
-    """What is wrong with the list, or with what came of it."""
+class KnownFailuresError(Exception):
+    """The list is not valid, or the outcome of the run does not agree with it."""
 
 
 @dataclass(frozen=True)
 class KnownFailure:
-    """A test that may fail, as one line of the list has it."""
+    """A test that a line of the list allows to fail."""
 
     line: str
     fails_each_time: bool
@@ -63,7 +63,7 @@
 
 
 class RecordingResult(unittest.TextTestResult):
-    """Also records the tests that passed, which are neither skipped nor left out by an error of their class."""
+    """Also records the tests that passed: they were neither skipped nor left out because their class had an error."""
 
     def __init__(self, *args, **kwargs) -> None:
         super().__init__(*args, **kwargs)
@@ -75,18 +75,21 @@
 
 
 def parse_line(line: str) -> tuple[str, KnownFailure] | None:
-    """The test that may fail by this line; None where the line is only a record. Raises Wrong."""
+    """Returns the test that this line allows to fail, or None if the line is only a record.
+
+    Raises KnownFailuresError if the line is not valid.
+    """
     fields = [field.strip() for field in line.split("|")]
     if len(fields) not in (3, 4) or not all(fields):
-        raise Wrong("KNOWN-RED.txt: 'test | cause | issue' or 'command | seed | what was seen | issue' is wanted, "
-                    f"without an empty field: {line}")
+        raise KnownFailuresError("KNOWN-RED.txt: 'test | cause | issue' or 'command | seed | what was seen | issue' "
+                                 f"is wanted, without an empty field: {line}")
     if len(fields) == 3:
         return fields[0], KnownFailure(line, fails_each_time=True)
     command, seeds, _, issue = fields
     if seeds != "-" and not SEEDS.fullmatch(seeds):
-        raise Wrong(f"KNOWN-RED.txt: the seed is '-' or numbers separated by commas: {line}")
+        raise KnownFailuresError(f"KNOWN-RED.txt: the seed is '-' or numbers separated by commas: {line}")
     if not ISSUE.fullmatch(issue):
-        raise Wrong(f"KNOWN-RED.txt: the issue is a number: {line}")
+        raise KnownFailuresError(f"KNOWN-RED.txt: the issue is a number: {line}")
     words = command.split()
     if len(words) != len(UNITTEST) + 1 or words[:-1] != UNITTEST:
         return None
@@ -94,8 +97,8 @@
     return words[-1], KnownFailure(line, fails_each_time=False, seeds=numbers)
 
 
-def listed(path: Path) -> dict[str, KnownFailure]:
-    """The tests that may fail. Raises Wrong."""
+def read_known_failures(path: Path) -> dict[str, KnownFailure]:
+    """Reads the tests that may fail, by name. Raises KnownFailuresError if the list is not valid."""
     found: dict[str, KnownFailure] = {}
     for line in path.read_text().splitlines() if path.exists() else ():
         if not line.strip():
@@ -105,43 +108,48 @@
             continue
         test, failure = parsed
         if test in found:
-            raise Wrong(f"KNOWN-RED.txt: each test once: {line}")
+            raise KnownFailuresError(f"KNOWN-RED.txt: each test once: {line}")
         found[test] = failure
     count = sum(failure.fails_each_time for failure in found.values())
-    if count > MOST:
-        raise Wrong(f"KNOWN-RED.txt lists {count} tests that fail each time, {MOST} at most are allowed")
+    if count > MAX_FAILING_EACH_TIME:
+        raise KnownFailuresError(f"KNOWN-RED.txt lists {count} tests that fail each time, "
+                                 f"{MAX_FAILING_EACH_TIME} at most are allowed")
     return found
 
 
-def each(suite: unittest.TestSuite) -> Iterator[unittest.TestCase]:
-    for it in suite:
-        if isinstance(it, unittest.TestSuite):
-            yield from each(it)
+def iterate_tests(suite: unittest.TestSuite) -> Iterator[unittest.TestCase]:
+    """Yields the tests of a suite and of the suites in it."""
+    for test in suite:
+        if isinstance(test, unittest.TestSuite):
+            yield from iterate_tests(test)
         else:
-            yield it
+            yield test
 
 
-def look_through(known: dict[str, KnownFailure]) -> None:
-    """Whether every listed test is one. Raises Wrong."""
+def check_tests_exist(known: dict[str, KnownFailure]) -> None:
+    """Raises KnownFailuresError if a listed test does not exist."""
     for test in known:
         module = Path("/".join(test.split(".")[:-2]) + ".py")
         if not module.exists() or test not in {
-                it.id() for it in each(unittest.defaultTestLoader.loadTestsFromName(test))}:
-            raise Wrong(f"KNOWN-RED.txt names {test}, which is not found")
+                found.id() for found in iterate_tests(unittest.defaultTestLoader.loadTestsFromName(test))}:
+            raise KnownFailuresError(f"KNOWN-RED.txt names {test}, which is not found")
 
 
 def run(modules: list[str], known: dict[str, KnownFailure]) -> None:
-    """Raises Wrong where a failure is not accepted, or where a test passes that is listed as failing each time."""
+    """Runs the modules and prints the known failures among the results.
+
+    Raises KnownFailuresError for any other failure, and for a pass of a test that is listed as failing each time.
+    """
     suite = unittest.defaultTestLoader.loadTestsFromNames(modules)
-    there = {it.id() for it in each(suite)}
+    present = {case.id() for case in iterate_tests(suite)}
     result = unittest.TextTestRunner(resultclass=RecordingResult).run(suite)
     assert isinstance(result, RecordingResult)
     failures: dict[str, list[str]] = {}
-    for it, failure in result.failures + result.errors:
+    for case, failure in result.failures + result.errors:
         # A subtest has an id of its own; its failure belongs to the test that contains it.
-        failures.setdefault(getattr(it, "test_case", it).id(), []).append(failure)
-    for it in result.unexpectedSuccesses:
-        failures.setdefault(it.id(), []).append("")
+        failures.setdefault(getattr(case, "test_case", case).id(), []).append(failure)
+    for case in result.unexpectedSuccesses:
+        failures.setdefault(case.id(), []).append("")
     accepted = {test for test in failures
                 if test in known and all(known[test].accepts(failure) for failure in failures[test])}
     for test in sorted(accepted):
@@ -150,21 +158,21 @@
         if not known[test].fails_each_time:
             print(f"known red, passed this time: {known[test].line}", flush=True)
     if others := sorted(set(failures) - accepted):
-        raise Wrong(f"failed: {', '.join(others)}")
+        raise KnownFailuresError(f"failed: {', '.join(others)}")
     fail_each_time = {test for test, failure in known.items() if failure.fails_each_time}
-    if passed := sorted((there & fail_each_time) - set(failures)):
-        raise Wrong(f"KNOWN-RED.txt lists what passes: {', '.join(passed)}")
+    if passed := sorted((present & fail_each_time) - set(failures)):
+        raise KnownFailuresError(f"KNOWN-RED.txt lists what passes: {', '.join(passed)}")
 
 
 def main(modules: list[str]) -> int:
     sys.path.insert(0, "")
     try:
-        known = listed(Path("KNOWN-RED.txt"))
+        known = read_known_failures(Path("KNOWN-RED.txt"))
         if modules == ["all"]:
-            look_through(known)
+            check_tests_exist(known)
         else:
             run(modules, known)
-    except Wrong as problem:
+    except KnownFailuresError as problem:
         print(problem, file=sys.stderr)
         return 1
     return 0
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,3 +1,4 @@
+"""Tests of .ci/known_red.py, which accepts only the failures that KNOWN-RED.txt records."""
 import subprocess
 import sys
 import tempfile
@@ -16,7 +17,7 @@
             with self.subTest(n=n):
                 self.assertEqual(n, 0)
 """
-# Each of the two tests fails with a text of its own.
+# Each test fails with the message that is filled in.
 SEEDS = """
 import unittest
 class Case(unittest.TestCase):
@@ -48,7 +49,7 @@
 
 class KnownRed(unittest.TestCase):
     def run_in(self, red, *modules, tests=TESTS):
-        """(exit code, what was said on both streams) of the runner in a folder with these tests and this list."""
+        """Returns the runner's exit code and its output on both streams; `red` has the lines of KNOWN-RED.txt."""
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, "tests").mkdir()
             Path(folder, "tests/test_it.py").write_text(tests)
@@ -66,14 +67,14 @@
         return f"python -m unittest tests.{module}.Case.{name} | {seed} | {seen} | {issue}"
 
     def check_cases(self, cases, **options):
-        """Each case: the list, the modules, the exit code, words that are printed."""
+        """Runs each case: lines of the list, modules, the expected exit code, and words that are printed."""
         for name, (red, modules, code, words) in cases.items():
             with self.subTest(name):
-                got, said = self.run_in(red, *modules, **options)
-                self.assertEqual(got, code, said)
-                self.assertIn(words, said)
+                exit_code, output = self.run_in(red, *modules, **options)
+                self.assertEqual(exit_code, code, output)
+                self.assertIn(words, output)
                 if modules == ["all"]:
-                    self.assertNotIn("Traceback", said)
+                    self.assertNotIn("Traceback", output)
 
     def test_each_case(self):
         bad, worse, parts = (self.line(name) for name in ("test_bad", "test_worse", "test_parts"))
@@ -119,16 +120,16 @@
             "a name without a module": (["python -m unittest it | - | planted | 1"], ["all"], 1, "not found"),
             "seeds of no such test": ([self.command("test_none", "6")], ["all"], 1, "not found"),
         })
-        code, said = self.run_in([bad, other], "tests.test_other")
-        self.assertEqual((code, said.count("known red")), (0, 1), said)
-        code, said = self.run_in([self.line("test_good")], tests=GOOD)
-        self.assertEqual((code, said.count("passed this time")), (1, 0), said)
+        code, output = self.run_in([bad, other], "tests.test_other")
+        self.assertEqual((code, output.count("known red")), (0, 1), output)
+        code, output = self.run_in([self.line("test_good")], tests=GOOD)
+        self.assertEqual((code, output.count("passed this time")), (1, 0), output)
 
-    def test_only_what_passed_is_said_to_have_passed(self):
+    def test_only_tests_that_passed_are_printed_as_passed(self):
         red = [self.command("test_skipped"), self.command("test_not_begun").replace("Case", "Other")]
-        code, said = self.run_in(red, tests=SKIPPED)
-        self.assertEqual((code, said.count("known red")), (1, 0), said)
-        self.assertIn("failed: setUpClass (tests.test_it.Other)", said)
+        code, output = self.run_in(red, tests=SKIPPED)
+        self.assertEqual((code, output.count("known red")), (1, 0), output)
+        self.assertIn("failed: setUpClass (tests.test_it.Other)", output)
 
     def test_a_case_with_seeds(self):
         red = [self.command("test_first", "6,7")]
@@ -147,18 +148,19 @@
             "a program that the test ran broke off": (
                 "soak\nseed 6: BROKEN {}\nTraceback (most recent call last):\nKeyError: 1", 1, first),
         }
-        for name, (output, code, words) in cases.items():
+        for name, (message, code, words) in cases.items():
             with self.subTest(name):
                 # The line of the other test accepts nothing for this one.
-                got, said = self.run_in([*red, self.command("test_second", "8")],
-                                        tests=SEEDS.format(first=output, second="soak\nseed 8: BROKEN {}"))
-                self.assertEqual(got, code, said)
-                self.assertIn(words or f"known red: {red[0]}", said)
-                self.assertIn(f"known red: {self.command('test_second', '8')}", said)
-                self.assertEqual(f"known red: {red[0]}" in said, code == 0)
-        got, said = self.run_in([self.command("test_good", "6")], tests=GOOD)
-        self.assertEqual(got, 0, said)
-        self.assertIn(f"known red, passed this time: {self.command('test_good', '6')}", said)
+                exit_code, output = self.run_in(
+                    [*red, self.command("test_second", "8")],
+                    tests=SEEDS.format(first=message, second="soak\nseed 8: BROKEN {}"))
+                self.assertEqual(exit_code, code, output)
+                self.assertIn(words or f"known red: {red[0]}", output)
+                self.assertIn(f"known red: {self.command('test_second', '8')}", output)
+                self.assertEqual(f"known red: {red[0]}" in output, code == 0)
+        exit_code, output = self.run_in([self.command("test_good", "6")], tests=GOOD)
+        self.assertEqual(exit_code, 0, output)
+        self.assertIn(f"known red, passed this time: {self.command('test_good', '6')}", output)
 
     def test_every_failure_of_a_test_with_seeds_has_to_be_accepted(self):
         unexpected = self.command("test_unexpected")
@@ -207,15 +209,15 @@
         for name, (red, words) in lines.items():
             for modules in (["all"], ["tests.test_other"]):
                 with self.subTest(name, modules=modules):
-                    code, said = self.run_in(red, *modules)
-                    self.assertEqual((code, said.count("\n")), (1, 1), said)
-                    self.assertIn(words, said)
-                    self.assertIn(red[-1], said)
+                    code, output = self.run_in(red, *modules)
+                    self.assertEqual((code, output.count("\n")), (1, 1), output)
+                    self.assertIn(words, output)
+                    self.assertIn(red[-1], output)
 
     def test_a_listed_one_that_passes(self):
-        got, said = self.run_in([self.line("test_good")], tests=GOOD)
-        self.assertEqual(got, 1)
-        self.assertIn("lists what passes: tests.test_it.Case.test_good", said)
+        exit_code, output = self.run_in([self.line("test_good")], tests=GOOD)
+        self.assertEqual(exit_code, 1)
+        self.assertIn("lists what passes: tests.test_it.Case.test_good", output)
 
     def test_a_file_that_cannot_be_read_fails(self):
         self.assertEqual(self.run_in([self.line("test_bad")], tests="import nothing_like_it\n")[0], 1)
