--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -10,9 +10,9 @@
 
 from tests.live import Live, free_port, until
 from threadshift.batches.cancels import (
-    ACCIDENT, CLOSED, MANY, OPEN, RESTORED, Cancel, Cancels, CancelOver, NoSuchCancel)
-from threadshift.batches.queue import AGAIN, AND, MOMENT, Queue, Waiting
-from threadshift.batches.shelf import Later, Shelf, record
+    ACCIDENT_CANCELS, ACCIDENT_FACTOR, CLOSED, OPEN, RESTORED, Cancel, Cancels, CancelOver, NoSuchCancel)
+from threadshift.batches.queue import FINAL_ANSWER_MARGIN, LATENCY_ALLOWANCE, RETRY_PAUSE, BatchCall, BatchQueue
+from threadshift.batches.store import BatchStore, UnsupportedVersion, make_record
 from threadshift.consensus.book import Book
 from threadshift.consensus.kept import Entry
 from threadshift.consensus.member import Told
@@ -27,12 +27,12 @@
 
 
 def call(n, batch="eve", ends=NOW + 60 * SECOND, tenant="t"):
-    return Waiting(f"c{n}", tenant, batch, n, ends, "check")
+    return BatchCall(f"c{n}", tenant, batch, n, ends, "check")
 
 
 def queue(count=6, most=100, room=4.0, **facts):
-    it = Queue(most)
-    it.room = room
+    it = BatchQueue(most)
+    it.out_limit = room
     return it, [it.add(call(n, **facts)) for n in range(count)]
 
 
@@ -41,96 +41,96 @@
 
 
 def names(calls):
-    return [each.ivk for each in calls]
+    return [each.id for each in calls]
 
 
 class Queues(unittest.TestCase):
     def test_calls_go_out_in_order_so_many_at_a_time_and_batches_take_turns(self):
         it, _ = queue()
         it.add(call(50, "other"))
-        self.assertEqual(names(it.next(NOW)), ["c0", "c50", "c1", "c2"])
-        self.assertEqual(it.out, 4)
-        self.assertEqual(names(it.next(NOW)), [])
+        self.assertEqual(names(it.take_ready(NOW)), ["c0", "c50", "c1", "c2"])
+        self.assertEqual(it.out_count, 4)
+        self.assertEqual(names(it.take_ready(NOW)), [])
 
     def test_room_grows_with_what_completes_and_halves_with_what_finds_none(self):
         it, _ = queue(600)
         for _ in range(20):
-            for each in list(it.next(NOW)):
-                it.returned(each, NOW, True, False, "completed")
-        grown = it.room
+            for each in list(it.take_ready(NOW)):
+                it.on_returned(each, NOW, True, False, "completed")
+        grown = it.out_limit
         self.assertGreater(grown, 8)
-        out = list(it.next(NOW))
+        out = list(it.take_ready(NOW))
         for each in out:
-            self.assertFalse(it.returned(each, NOW, False, True, "no-room"))
-        self.assertEqual(it.room, grown / 2)        # refused together they cut once
+            self.assertFalse(it.on_returned(each, NOW, False, True, "no-room"))
+        self.assertEqual(it.out_limit, grown / 2)        # refused together they cut once
 
     def test_it_takes_what_others_leave(self):
         # Guards what additive increase by completions alone did: 3,000 restored calls left new ones a third.
         it, _ = queue(4_000, room=1.0)
         now = NOW
-        for took, least, most in ((100 * MS, 10, 45), (100 * MS + AND, 20, 80), (300 * MS, 1, 1)):
+        for took, least, most in ((100 * MS, 10, 45), (100 * MS + LATENCY_ALLOWANCE, 20, 80), (300 * MS, 1, 1)):
             for _ in range(30):
                 now += SECOND // 4
-                for each in list(it.next(now)):
-                    it.returned(each, now, True, False, "completed", took=took)
-            self.assertGreaterEqual(it.room, least)
-            self.assertLessEqual(it.room, most)
+                for each in list(it.take_ready(now)):
+                    it.on_returned(each, now, True, False, "completed", took=took)
+            self.assertGreaterEqual(it.out_limit, least)
+            self.assertLessEqual(it.out_limit, most)
 
     def test_what_did_not_run_waits_again_at_its_place_after_a_pause(self):
         it, calls = queue()
-        first = next(iter(it.next(NOW)))
-        self.assertFalse(it.returned(first, NOW, False, True, "no-room", come_back=SECOND))
+        first = next(iter(it.take_ready(NOW)))
+        self.assertFalse(it.on_returned(first, NOW, False, True, "no-room", retry_after=SECOND))
         self.assertEqual((first.state, first.tries, first.reasons), ("waiting", 1, ["no-room"]))
-        self.assertNotIn(first, list(it.next(NOW + AGAIN)))
+        self.assertNotIn(first, list(it.take_ready(NOW + RETRY_PAUSE)))
         for each in calls:
-            it.taken_back(each)
-        self.assertEqual(names(it.next(NOW + SECOND))[0], "c0")
+            it.withdraw(each)
+        self.assertEqual(names(it.take_ready(NOW + SECOND))[0], "c0")
 
     def test_a_cancel_parks_what_waits_and_its_restore_brings_back_just_that(self):
         it, calls = queue()
-        out = [next(it.next(NOW)) for _ in range(2)]
-        it.end(calls[5])                                 # cancelled by itself, before
-        self.assertEqual(it.cancelled(cancel()), out)
-        it.taken_back(out[0])                            # it never began
+        out = [next(it.take_ready(NOW)) for _ in range(2)]
+        it.finish(calls[5])                                 # cancelled by itself, before
+        self.assertEqual(it.park(cancel()), out)
+        it.withdraw(out[0])                            # it never began
         late = it.add(call(7))
         counts = it.counts("t", "eve", NOW)
         self.assertEqual((counts.parked, counts.out, counts.waiting, counts.done), (5, 1, 0, 1))
-        self.assertEqual(list(it.next(NOW)), [])
-        self.assertEqual(names(it.restored(cancel(state=RESTORED))), ["c0", "c2", "c3", "c4", "c7"])
+        self.assertEqual(list(it.take_ready(NOW)), [])
+        self.assertEqual(names(it.restore(cancel(state=RESTORED))), ["c0", "c2", "c3", "c4", "c7"])
         self.assertEqual(late.state, "waiting")
-        self.assertEqual(names(it.next(NOW)), ["c0", "c2", "c3"])
+        self.assertEqual(names(it.take_ready(NOW)), ["c0", "c2", "c3"])
 
     def test_told_any_number_of_times_a_cancel_has_one_effect(self):
         it, _ = queue()
         for state, rest in ((OPEN, 6), (RESTORED, 0)):
             for _ in range(3):
-                it.heard(cancel(state=state))
+                it.apply_cancel(cancel(state=state))
                 self.assertEqual(it.counts("t", "eve", NOW).parked, rest)
         it, _ = queue()
-        it.heard(cancel())
-        self.assertEqual([len(it.heard(cancel(state=CLOSED))[2]) for _ in range(3)], [6, 0, 0])
+        it.apply_cancel(cancel())
+        self.assertEqual([len(it.apply_cancel(cancel(state=CLOSED))[2]) for _ in range(3)], [6, 0, 0])
         self.assertEqual(it.counts("t", "eve", NOW).done, 6)
-        it.heard(cancel(state=RESTORED))                 # restore after close brings nothing back
-        self.assertEqual(list(it.next(NOW)), [])
+        it.apply_cancel(cancel(state=RESTORED))                 # restore after close brings nothing back
+        self.assertEqual(list(it.take_ready(NOW)), [])
 
     def test_a_parked_call_ends_a_moment_before_its_own_time(self):
         it, calls = queue(2)
-        it.cancelled(cancel())
-        self.assertEqual(it.ended(NOW + 60 * SECOND - MOMENT - 1), [])
-        self.assertEqual(it.ended(NOW + 60 * SECOND - MOMENT), calls)
-        self.assertEqual((it.restored(cancel(state=RESTORED)), it.counts("t", "eve", NOW).done), ([], 2))
+        it.park(cancel())
+        self.assertEqual(it.expire(NOW + 60 * SECOND - FINAL_ANSWER_MARGIN - 1), [])
+        self.assertEqual(it.expire(NOW + 60 * SECOND - FINAL_ANSWER_MARGIN), calls)
+        self.assertEqual((it.restore(cancel(state=RESTORED)), it.counts("t", "eve", NOW).done), ([], 2))
 
     def test_restored_with_no_time_left_it_is_not_sent_out(self):
         it, calls = queue(1, ends=NOW + 40 * MS)
-        it.cancelled(cancel())
-        it.restored(cancel(state=RESTORED))
-        self.assertEqual((list(it.next(NOW)), it.ended(NOW)), ([], calls))
+        it.park(cancel())
+        it.restore(cancel(state=RESTORED))
+        self.assertEqual((list(it.take_ready(NOW)), it.expire(NOW)), ([], calls))
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.lists(st.sampled_from("add next done unrun ran back cancel restore close time drop".split()),
                     max_size=60), st.randoms(use_true_random=False))
     def test_whatever_comes_each_call_ends_once_and_nothing_out_is_parked(self, acts, random):
-        it, now, n, ended, out, open_, number = Queue(8), NOW, 0, [], [], None, 0
+        it, now, n, ended, out, open_, number = BatchQueue(8), NOW, 0, [], [], None, 0
         for act in acts:
             now += random.randrange(SECOND)
             some = random.choice(out) if out else None
@@ -138,35 +138,35 @@
                 n += 1
                 it.add(call(n, ends=now + random.randrange(30 * SECOND)))
             elif act == "next":
-                out += list(it.next(now))
+                out += list(it.take_ready(now))
             elif act in ("done", "unrun", "ran") and some:
                 out.remove(some)
-                if it.returned(some, now, act == "done", act == "unrun", act):
+                if it.on_returned(some, now, act == "done", act == "unrun", act):
                     ended.append(some)
             elif act == "back" and some:
                 out.remove(some)
-                it.taken_back(some)
+                it.withdraw(some)
             elif act == "cancel" and open_ is None:
                 number += 1
                 open_ = cancel(f"k{number}")
-                it.heard(open_)
+                it.apply_cancel(open_)
             elif act in ("restore", "close") and open_ is not None:
                 open_.state = RESTORED if act == "restore" else CLOSED
-                ended += it.heard(open_)[2]
+                ended += it.apply_cancel(open_)[2]
                 open_ = None
             elif act == "time":
-                ended += it.ended(now)
+                ended += it.expire(now)
             elif act == "drop" and it.calls:
                 one = random.choice(sorted(it.calls.values(), key=lambda each: each.order))
-                if not one.out:
-                    it.end(one)
+                if not one.is_out:
+                    it.finish(one)
                     ended.append(one)
             self.assertEqual(len(set(names(ended))), len(ended))
-            self.assertEqual(it.out, len(out))
-            self.assertFalse([each for each in out if each.parked or each.over])
+            self.assertEqual(it.out_count, len(out))
+            self.assertFalse([each for each in out if each.parked_by or each.is_done])
             self.assertEqual(len(it.calls) + len(ended), n)
             for each in it.calls.values():
-                self.assertEqual(bool(each.parked), open_ is not None and not each.out, each)
+                self.assertEqual(bool(each.parked_by), open_ is not None and not each.is_out, each)
 
 
 class Records(unittest.TestCase):
@@ -194,20 +194,21 @@
         self.assertTrue(issubclass(CancelOver, Exception))
 
     def test_accidents_get_the_longer_window(self):
-        it = self.cancels(*(self.asked(f"k{n}", f"b{n}", n * SECOND) for n in range(MANY)),
+        it = self.cancels(*(self.asked(f"k{n}", f"b{n}", n * SECOND) for n in range(ACCIDENT_CANCELS)),
                           self.asked("most", "b9", 900 * SECOND, part=0.6),
                           self.asked("usual", "b10", 1800 * SECOND, part=0.4))
-        self.assertEqual([each.window // SECOND for each in it.all.values()], [1, 1, ACCIDENT, ACCIDENT, 1])
+        self.assertEqual([each.window // SECOND for each in it.all.values()],
+                         [1, 1, ACCIDENT_FACTOR, ACCIDENT_FACTOR, 1])
 
     def test_a_window_is_counted_by_who_holds_and_anew_by_who_comes_to_hold(self):
         it = self.cancels(self.asked())
-        self.assertEqual(it.due(NOW), [])
-        self.assertEqual([each["do"] for each in it.due(NOW + SECOND)], ["batch.close"])
-        it.new_holder()
-        self.assertEqual(it.due(NOW + SECOND), [])
+        self.assertEqual(it.due_entries(NOW), [])
+        self.assertEqual([each["do"] for each in it.due_entries(NOW + SECOND)], ["batch.close"])
+        it.on_became_leader()
+        self.assertEqual(it.due_entries(NOW + SECOND), [])
         again = Cancels()
         again.load(it.dump())
-        self.assertEqual((again.due(NOW), len(again.due(NOW + SECOND))), ([], 1))
+        self.assertEqual((again.due_entries(NOW), len(again.due_entries(NOW + SECOND))), ([], 1))
 
     def test_a_book_applies_an_entry_once_and_keeps_what_it_does_not_know(self):
         told = [Told(n, Entry(1, body)) for n, body in enumerate((
@@ -241,24 +242,24 @@
 
 class Shelves(unittest.TestCase):
     def shelf(self, disk, *records):
-        it = Shelf(PATH, disk)
+        it = BatchStore(PATH, disk)
         for each in records:
             it.write([each])
-            it.wrote([each])
+            it.on_written([each])
         return it
 
     @staticmethod
     def take(ivk, effect="once-only", **more):
-        return record("take", ivk=ivk, tenant="t", batch="eve", order=1, at=100 * SECOND, left=10 * SECOND,
+        return make_record("take", ivk=ivk, tenant="t", batch="eve", order=1, at=100 * SECOND, left=10 * SECOND,
                       effect=effect, parked="", call={"type": "submit", "function": "f", "left": 10 * SECOND}, **more)
 
     def test_what_a_crash_leaves_errs_on_the_side_that_runs_nothing_twice(self):
         disk = Plate(lambda: 0.0)
         self.shelf(disk, self.take("a"), self.take("b"), self.take("c", "repeatable"), self.take("d"),
-                   record("out", ivk="b"), record("out", ivk="c"), record("out", ivk="d"),
-                   record("back", ivk="d", tries=1), record("stop", cancel="k", ivks=["a"]))
+                   make_record("out", ivk="b"), make_record("out", ivk="c"), make_record("out", ivk="d"),
+                   make_record("back", ivk="d", tries=1), make_record("stop", cancel="k", ivks=["a"]))
         disk.crash()
-        it = Shelf(PATH, disk)
+        it = BatchStore(PATH, disk)
         self.assertEqual({name: (each.out, each.may_have_run, each.parked) for name, each in it.calls.items()},
                          {"a": (False, False, "k"), "b": (True, True, ""), "c": (True, False, ""),
                           "d": (False, False, "")})
@@ -273,21 +274,21 @@
         it = self.shelf(disk, self.take("a", colour="blue"))
         anew = []
         for _ in range(1_200):
-            for each in (self.take("b"), record("forget", ivk="b")):
-                anew = anew or it.wrote([each])
+            for each in (self.take("b"), make_record("forget", ivk="b")):
+                anew = anew or it.on_written([each])
         self.assertEqual([(each["ivk"], each.get("colour")) for each in anew[:1]], [("a", "blue")])
         it.journal.renew(*anew)
         it.close()
-        self.assertEqual(Shelf(PATH, disk).calls["a"].extra, {"colour": "blue"})
+        self.assertEqual(BatchStore(PATH, disk).calls["a"].extra, {"colour": "blue"})
 
     def test_a_later_form_is_left_alone(self):
         disk = Plate()
         it = self.shelf(disk)
         it.write([{"form": 2, "do": "take"}])
         it.close()
-        with self.assertRaisesRegex(Later, "form 2"):
-            Shelf(PATH, disk)
-        Shelf(Path("/other"), disk)         # and is not held open
+        with self.assertRaisesRegex(UnsupportedVersion, "form 2"):
+            BatchStore(PATH, disk)
+        BatchStore(Path("/other"), disk)         # and is not held open
 
 
 class Answers(unittest.TestCase):
@@ -308,7 +309,7 @@
                 until(lambda: batching.failed)
                 self.assertEqual(client.request("GET", f"/v1/calls/{ivk}").status, 202)
                 until(lambda: client.request("GET", f"/v1/calls/{ivk}").status == 200)
-                self.assertEqual(batching.shelf.calls[ivk].answer["final"], "completed")
+                self.assertEqual(batching.store.calls[ivk].answer["final"], "completed")
 
 
 class ForgetsThatItWentOut(Front):
@@ -324,7 +325,7 @@
 
 class TellsBeforeItKeeps(Front):
     def final(self, it, final):
-        self.world.told(it.ivk, final)
+        self.world.told(it.id, final)
         super().final(it, final)
 
 
@@ -335,7 +336,7 @@
             it = self.cancels.all[id_]
             it.heard = it.heard or now
             if now - it.heard > it.window:
-                for each in self.queue.over(it):
+                for each in self.queue.close(it):
                     self.final(each, "cancelled")
         super().tick()
 
--- a/threadshift/batches/cancels.py
+++ b/threadshift/batches/cancels.py
@@ -13,9 +13,12 @@
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import SECOND
 
-WINDOW = 120 * SECOND      # to undo a cancel in, if the settings say nothing: a look at the screen and a call
-ACCIDENT = 5               # times as long where it looks like one: somebody has to be found who knows
-MANY, WITHIN = 3, 60 * SECOND  # cancels by one tenant so close together are a slip of a script more often than a wish
+# The time to undo a cancel in, if the settings say nothing: long enough to look at the screen and make a call.
+DEFAULT_UNDO_WINDOW = 120 * SECOND
+ACCIDENT_FACTOR = 5        # times as long where it looks like one: somebody has to be found who knows
+# So many cancels by one tenant within so long are more often a faulty script than an intention.
+ACCIDENT_CANCELS = 3
+WITHIN = 60 * SECOND
 MOST = 0.5                 # of what waits, stopped by one cancel
 ENDED = 1_000              # cancels remembered after their end, to tell who asks late what became of them
 
@@ -75,14 +78,14 @@
         if key in self.open:
             return self.all[self.open[key]]     # it is cancelled already; what came since is parked under that one
         at, tenant = body["at"], body["tenant"]
-        times = [each for each in self.times.get(tenant, []) if at - WITHIN < each <= at][-MANY:]
+        times = [each for each in self.times.get(tenant, []) if at - WITHIN < each <= at][-ACCIDENT_CANCELS:]
         accident = ""
-        if len(times) + 1 >= MANY:
+        if len(times) + 1 >= ACCIDENT_CANCELS:
             accident = f"{len(times) + 1} cancels within {WITHIN // SECOND} s"
         elif body.get("part", 0.0) > MOST:
             accident = "it stops most of what waits"
         self.times[tenant] = [*times, at]
-        window = body["window"] * (ACCIDENT if accident else 1)
+        window = body["window"] * (ACCIDENT_FACTOR if accident else 1)
         it = Cancel(body["id"], tenant, body["batch"], place, window, at, accident)
         self.all[it.id], self.open[key] = it, it.id
         over = [each.id for each in self.all.values() if each.state != OPEN]
@@ -90,7 +93,7 @@
             del self.all[id_]
         return it
 
-    def due(self, now: int) -> list[dict[str, Any]]:
+    def due_entries(self, now: int) -> list[dict[str, Any]]:
         """Entries that whoever holds the right should propose now. `now` is its own clock."""
         told = []
         for id_ in self.open.values():
@@ -100,7 +103,7 @@
                 told.append({"do": "batch.close", "id": f"close-{it.id}", "cancel": it.id})
         return told
 
-    def new_holder(self) -> None:
+    def on_became_leader(self) -> None:
         """Windows are counted from now on, by the clock of who has come to hold the right."""
         for id_ in self.open.values():
             self.all[id_].heard = 0
--- a/threadshift/batches/shelf.py
+++ b/threadshift/batches/store.py
@@ -23,14 +23,14 @@
 SPARE = 2_000              # records beyond four times what stands, after which the file begins anew
 
 
-class Later(ThreadshiftError):
+class UnsupportedVersion(ThreadshiftError):
     """A file that a later program wrote."""
 
     help = "start the program that wrote it, or a later one; this one leaves the file as it is"
 
 
 @dataclass(slots=True)
-class Kept:
+class StoredCall:
     """One call as its records tell it."""
 
     ivk: str
@@ -58,14 +58,14 @@
         return self.out and self.effect is not Effect.REPEATABLE
 
 
-class Shelf:
+class BatchStore:
     """All calls of batches of one front end."""
 
     def __init__(self, path: Path, disk: Disk | None = None):
-        """Raises what reading it raises, and Later."""
+        """Raises what reading it raises, and UnsupportedVersion."""
         self.journal = Journal(path, write=True, disk=disk)
-        self.calls: dict[str, Kept] = {}
-        self.orders = 0
+        self.calls: dict[str, StoredCall] = {}
+        self.last_order = 0
         self.written = 0
         try:
             for record in self.journal.read():
@@ -76,17 +76,18 @@
             raise
 
     def take(self, record: dict[str, Any]) -> None:
-        """One record, now or from an earlier life. Raises Later."""
+        """One record, now or from an earlier life. Raises UnsupportedVersion."""
         if record.get("form", 0) > FORM:
-            raise Later(f"a record of form {record['form']}; {FORM} is known here", str(self.journal.path))
+            raise UnsupportedVersion(f"a record of form {record['form']}; {FORM} is known here",
+                                     str(self.journal.path))
         do, it = record.get("do"), self.calls.get(record.get("ivk", ""))
         if do == "take":
             known = {name: record[name] for name in (
                 "ivk", "tenant", "batch", "order", "at", "left", "call", "tries", "out", "parked", "answer",
                 "answered") if name in record}
             extra = {name: value for name, value in record.items() if name not in {*known, "do", "form", "effect"}}
-            self.calls[record["ivk"]] = Kept(**known, effect=Effect(record["effect"]), extra=extra)
-            self.orders = max(self.orders, record["order"])
+            self.calls[record["ivk"]] = StoredCall(**known, effect=Effect(record["effect"]), extra=extra)
+            self.last_order = max(self.last_order, record["order"])
         elif do == "stop":
             for ivk in record["ivks"]:
                 if ivk in self.calls:
@@ -109,7 +110,7 @@
         """Keeps records, all or none; another thread may. As long as an fsync; raises Unwritten."""
         self.journal.append(*records)
 
-    def wrote(self, records: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    def on_written(self, records: list[dict[str, Any]]) -> list[dict[str, Any]]:
         """Applies what was kept; what the file should begin anew with, if it has become long."""
         self.written += len(records)
         for each in records:
@@ -127,12 +128,12 @@
                    "effect": each.effect.value, "tries": each.tries, "out": each.out, "parked": each.parked,
                    "answer": each.answer, "answered": each.answered}
 
-    def of(self, parked: str) -> Iterable[Kept]:
+    def of(self, parked: str) -> Iterable[StoredCall]:
         return [each for each in self.calls.values() if each.parked == parked]
 
     def close(self) -> None:
         self.journal.close()
 
 
-def record(do: str, **fields: Any) -> dict[str, Any]:
+def make_record(do: str, **fields: Any) -> dict[str, Any]:
     return {"form": FORM, "do": do, **fields}
--- a/threadshift/conf/peering.py
+++ b/threadshift/conf/peering.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from threadshift.batches.cancels import WINDOW
+from threadshift.batches.cancels import DEFAULT_UNDO_WINDOW
 from threadshift.conf import values
 from threadshift.conf.reading import Block, Directive, Word, nearest
 from threadshift.conf.values import Address
@@ -47,7 +47,7 @@
 PEERS = Block({
     "folder": Word(Path, wanted=True),
     "lease": Word(values.duration, Timing().lease),
-    "undo": Word(values.duration, WINDOW),
+    "undo": Word(values.duration, DEFAULT_UNDO_WINDOW),
 })
 
 
--- a/threadshift/emulator/batches.py
+++ b/threadshift/emulator/batches.py
@@ -1,7 +1,7 @@
-"""Batches over several front ends on a virtual clock: the real cancels, queue, shelf and book on the drawn record of
+"""Batches over several front ends on a virtual clock: the real cancels, queue, store and book on the drawn record of
 record.py, with its cuts, standstills and kills, over modelled workers.
 
-Disks fail and lose what was not synced; they do not lie here: a shelf stands in one place, and one that forgets that
+Disks fail and lose what was not synced; they do not lie here: a store stands in one place, and one that forgets that
 a call went out sends it again (docs/fleet-design.md, Open). What has to hold: a once-only call runs at most once; a
 call that was accepted has one final answer in the end, and never another; nothing that was told as cancelled runs
 after; and in the end all front ends know the same cancels."""
@@ -13,8 +13,8 @@
 from typing import Any
 
 from threadshift.batches.cancels import CLOSED, Cancel, Cancels
-from threadshift.batches.queue import MOMENT, Queue, Waiting
-from threadshift.batches.shelf import Shelf, record
+from threadshift.batches.queue import FINAL_ANSWER_MARGIN, BatchCall, BatchQueue
+from threadshift.batches.store import BatchStore, make_record
 from threadshift.consensus.book import Book
 from threadshift.consensus.kept import Entry
 from threadshift.consensus.member import Told
@@ -35,95 +35,96 @@
         self.world, self.node, self.began = world, node, node.clock(world.now)
         self.cancels = Cancels()
         self.book = Book({"batches": self.cancels}, world.voters)
-        self.shelf = Shelf(CALLS, node.disk)
-        self.queue = Queue(8)
-        self.calls: dict[str, Waiting] = {}
+        self.store = BatchStore(CALLS, node.disk)
+        self.queue = BatchQueue(8)
+        self.calls: dict[str, BatchCall] = {}
         self.begun: set[str] = set()             # out, and a byte of it may have left
         now, wall = self.began, world.now
-        for kept in sorted(self.shelf.calls.values(), key=lambda each: each.order):
+        for kept in sorted(self.store.calls.values(), key=lambda each: each.order):
             if kept.answer is not None:
                 world.told(kept.ivk, kept.answer["final"])
                 continue
-            it = Waiting(kept.ivk, kept.tenant, kept.batch, kept.order, now + kept.remaining(wall), "t",
-                         kept.tries + kept.out, parked=kept.parked)
-            self.calls[it.ivk] = self.queue.add(it)
+            it = BatchCall(kept.ivk, kept.tenant, kept.batch, kept.order, now + kept.remaining(wall), "t",
+                           kept.tries + kept.out, parked_by=kept.parked)
+            self.calls[it.id] = self.queue.add(it)
             if kept.may_have_run:
-                self.queue.end(it)
+                self.queue.finish(it)
                 self.final(it, "aborted")
 
     def keep(self, records: list[dict[str, Any]]) -> bool:
         try:
-            self.shelf.write(records)
+            self.store.write(records)
         except ThreadshiftError:
             return False
-        anew = self.shelf.wrote(records)
+        anew = self.store.on_written(records)
         if anew:
-            self.shelf.journal.renew(*anew)
+            self.store.journal.renew(*anew)
         return True
 
     def accept(self, ivk: str, batch: str, effect: str, left: int) -> None:
-        order, now = self.shelf.orders + 1, self.node.clock(self.world.now)
-        stopped = self.queue.stopped.get(("t", batch))
-        if self.keep([record("take", ivk=ivk, tenant="t", batch=batch, order=order, at=self.world.now, left=left,
+        order, now = self.store.last_order + 1, self.node.clock(self.world.now)
+        stopped = self.queue.open_cancels.get(("t", batch))
+        if self.keep([make_record("take", ivk=ivk, tenant="t", batch=batch, order=order, at=self.world.now, left=left,
                              effect=effect, parked=stopped.id if stopped else "", call={})]):
-            self.calls[ivk] = self.queue.add(Waiting(ivk, "t", batch, order, now + left, "t"))
+            self.calls[ivk] = self.queue.add(BatchCall(ivk, "t", batch, order, now + left, "t"))
             self.world.accepted[ivk] = effect
 
     def tick(self) -> None:
         now = self.node.clock(self.world.now)
-        for it in self.queue.ended(now):
-            self.final(it, "cancelled" if it.parked else "rejected")
+        for it in self.queue.expire(now):
+            self.final(it, "cancelled" if it.parked_by else "rejected")
         member = self.node.member
         if member is None or member.age(now) is None and now - self.began < HEAR_FIRST:
             return
-        out = list(self.queue.next(now))
-        if out and not self.keep([record("out", ivk=each.ivk) for each in out]):
+        out = list(self.queue.take_ready(now))
+        if out and not self.keep([make_record("out", ivk=each.id) for each in out]):
             for it in out:
-                self.queue.taken_back(it)
+                self.queue.withdraw(it)
             return
         for it in out:
-            self.begun.discard(it.ivk)
+            self.begun.discard(it.id)
             self.world.send(self, it)
 
-    def returned(self, it: Waiting, end: str) -> None:
-        if it.over or not it.out:
+    def returned(self, it: BatchCall, end: str) -> None:
+        if it.is_done or not it.is_out:
             return
-        final = self.queue.returned(it, self.node.clock(self.world.now), end == "completed", end == "unrun", end)
+        final = self.queue.on_returned(it, self.node.clock(self.world.now), end == "completed", end == "unrun", end)
         if final:
             self.final(it, "completed" if end == "completed" else "aborted" if end == "lost" else "rejected")
         else:
             self.back(it)
 
-    def back(self, it: Waiting) -> None:
-        self.keep([record("back", ivk=it.ivk, tries=it.tries, parked=it.parked)])
+    def back(self, it: BatchCall) -> None:
+        self.keep([make_record("back", ivk=it.id, tries=it.tries, parked=it.parked_by)])
 
-    def final(self, it: Waiting, final: str) -> None:
+    def final(self, it: BatchCall, final: str) -> None:
         """Told only once it is kept; where the disk fails it is tried again."""
-        self.calls.pop(it.ivk, None)
-        if self.keep([record("end", ivk=it.ivk, at=self.world.now, answer={"final": final})]):
-            if final == "cancelled" and it.ends - self.node.clock(self.world.now) > 2 * MOMENT + PACE:
+        self.calls.pop(it.id, None)
+        if self.keep([make_record("end", ivk=it.id, at=self.world.now, answer={"final": final})]):
+            if final == "cancelled" and (
+                    it.deadline - self.node.clock(self.world.now) > 2 * FINAL_ANSWER_MARGIN + PACE):
                 self.world.closes(it)
-            self.world.told(it.ivk, final)
+            self.world.told(it.id, final)
         else:
             self.world.later(self.world.now + SECOND, partial(self.again, it, final, self.node.life))
 
-    def again(self, it: Waiting, final: str, life: int) -> None:
+    def again(self, it: BatchCall, final: str, life: int) -> None:
         if self.node.life == life and self.node.keeper is not None:
             self.final(it, final)
 
     def heard(self, cancels: list[Cancel]) -> None:
         for cancel in cancels:
-            before = set(self.queue.under.get(cancel.id, ()))
-            out, restored, over = self.queue.heard(cancel)
+            before = set(self.queue.parked.get(cancel.id, ()))
+            out, restored, over = self.queue.apply_cancel(cancel)
             for it in out:
-                if it.ivk not in self.begun:
-                    self.queue.taken_back(it)
+                if it.id not in self.begun:
+                    self.queue.withdraw(it)
                     self.back(it)
-            new = [ivk for ivk in self.queue.under.get(cancel.id, ()) if ivk not in before]
+            new = [ivk for ivk in self.queue.parked.get(cancel.id, ()) if ivk not in before]
             if new:
-                self.keep([record("stop", cancel=cancel.id, ivks=new)])
+                self.keep([make_record("stop", cancel=cancel.id, ivks=new)])
             if restored:
-                self.keep([record("free", cancel=cancel.id)])
+                self.keep([make_record("free", cancel=cancel.id)])
             for it in over:
                 self.final(it, "cancelled")
 
@@ -162,7 +163,7 @@
 
     def kill(self, node: Node, kind: str, length: int) -> None:
         if node.keeper is not None:
-            self.fronts[node.name].shelf.close()
+            self.fronts[node.name].store.close()
         super().kill(node, kind, length)
 
     def look(self, node: Node, life: int) -> None:
@@ -171,7 +172,7 @@
         if self.now >= node.frozen:
             self.fronts[node.name].tick()
             if node.holds(self.now) and node.member is not None:
-                for body in self.fronts[node.name].cancels.due(node.clock(self.now)):
+                for body in self.fronts[node.name].cancels.due_entries(node.clock(self.now)):
                     node.member.propose(node.clock(self.now), body)
                 self.carry(node)
         self.later(max(self.now + PACE, node.frozen + 1), lambda: self.look(node, life))
@@ -202,26 +203,26 @@
                 node.member.propose(node.clock(self.now), body)
                 self.carry(node)
 
-    def send(self, front: Front, it: Waiting) -> None:
+    def send(self, front: Front, it: BatchCall) -> None:
         """To a modelled worker: in a moment its first byte leaves, and then it runs whatever becomes of us."""
         node, life, tries = front.node, front.node.life, it.tries
         self.later(self.now + self.random.randrange(20 * MS), partial(self.leaves, front, it, life, tries))
         if self.random.random() < 0.1:
             self.reply(node, life, self.now + 30 * MS, lambda: front.returned(it, "unrun")
-                       if it.tries == tries and it.ivk not in front.begun else None)
+                       if it.tries == tries and it.id not in front.begun else None)
 
-    def leaves(self, front: Front, it: Waiting, life: int, tries: int) -> None:
+    def leaves(self, front: Front, it: BatchCall, life: int, tries: int) -> None:
         node = front.node
-        if node.life != life or node.keeper is None or it.over or not it.out or it.tries != tries:
+        if node.life != life or node.keeper is None or it.is_done or not it.is_out or it.tries != tries:
             return
         if self.now < node.frozen:
             self.later(node.frozen + 1, partial(self.leaves, front, it, life, tries))
             return
-        front.begun.add(it.ivk)
+        front.begun.add(it.id)
         at = self.now + self.random.randrange(10 * MS, 400 * MS)
         lost = self.random.random() < 0.08
         if not lost or self.random.random() < 0.5:
-            self.later(at, partial(self.ran, it.ivk))
+            self.later(at, partial(self.ran, it.id))
         self.reply(node, life, at + MS, lambda: front.returned(it, "lost" if lost else "completed")
                    if it.tries == tries else None)
 
@@ -242,11 +243,11 @@
                 act()
         self.later(at, arrives)
 
-    def closes(self, it: Waiting) -> None:
+    def closes(self, it: BatchCall) -> None:
         """A parked call is over long before its own time: the record must have closed its cancel."""
-        if not any(entry.body["do"] == "batch.close" and entry.body["cancel"] == it.parked
+        if not any(entry.body["do"] == "batch.close" and entry.body["cancel"] == it.parked_by
                    for entry in self.committed.values()):
-            raise self.broken(f"{it.ivk} was closed, and the record never said so")
+            raise self.broken(f"{it.id} was closed, and the record never said so")
 
     def told(self, ivk: str, final: str) -> None:
         before = self.finals.setdefault(ivk, final)
--- a/threadshift/gateway/batch_service.py
+++ b/threadshift/gateway/batch_service.py
@@ -1,4 +1,4 @@
-"""The batches of one front end: its queue and its shelf between the invoke API, the engine and the record.
+"""The batches of one front end: its queue and its store between the invoke API, the engine and the record.
 
 Nothing here decides. Whatever has to be kept before an act goes through one writer, which writes all that waits at
 once and then does what waited for it, in order; it writes on a thread, so that no call waits for an fsync."""
@@ -14,8 +14,8 @@
 from gevent.event import Event
 
 from threadshift.batches.cancels import CLOSED, OPEN, Cancel, CancelOver, Cancels, NoSuchCancel
-from threadshift.batches.queue import Counts, Queue, Waiting
-from threadshift.batches.shelf import Kept, Shelf, record
+from threadshift.batches.queue import BatchCall, BatchCounts, BatchQueue
+from threadshift.batches.store import BatchStore, StoredCall, make_record
 from threadshift.choice import NEVER_RAN
 from threadshift.conf.installation import Installation
 from threadshift.engine.engine import Answer, Call, FinalKind, RequestEngine, PendingRequest
@@ -66,17 +66,17 @@
 class BatchService:
     def __init__(self, front: Front, carrier: Carrier, cancels: Cancels, folder: Path, undo: int,
                  disk: Any = None):
-        """Raises what opening the shelf raises."""
+        """Raises what opening the store raises."""
         self.front, self.carrier, self.cancels, self.undo = front, carrier, cancels, undo
-        self.shelf = Shelf(folder / f"{front.name}.calls", disk)
-        self.queue = Queue(max(1, front.told.bounds.activations // PART))
-        self.calls: dict[str, tuple[Waiting, Call, DeferredCall]] = {}
+        self.store = BatchStore(folder / f"{front.name}.calls", disk)
+        self.queue = BatchQueue(max(1, front.told.bounds.activations // PART))
+        self.calls: dict[str, tuple[BatchCall, Call, DeferredCall]] = {}
         self.pending: dict[str, PendingRequest] = {}
         self.writes: list[tuple[list[dict[str, Any]], Callable[[bool], None]]] = []
         self.wake = Event()
         self.failed = ""
         self.started, self.swept, self.under_way = time.monotonic_ns(), 0, 0
-        self.order = self.shelf.orders
+        self.order = self.store.last_order
         self.greenlet: gevent.Greenlet | None = None
         self.recover()
 
@@ -86,7 +86,7 @@
     def stop(self) -> None:
         if self.greenlet is not None:
             self.greenlet.kill()
-        self.shelf.close()
+        self.store.close()
 
     # What is kept.
 
@@ -111,9 +111,9 @@
 
     def write(self, records: list[dict[str, Any]]) -> bool:
         pool = gevent.get_hub().threadpool
-        problem = pool.apply(failure, (self.shelf.write, records))
-        if problem is None and (anew := self.shelf.wrote(records)):
-            problem = pool.apply(failure, (self.shelf.journal.renew, *anew))
+        problem = pool.apply(failure, (self.store.write, records))
+        if problem is None and (anew := self.store.on_written(records)):
+            problem = pool.apply(failure, (self.store.journal.renew, *anew))
         if problem is not None:
             if str(problem) != self.failed:
                 self.failed = str(problem)
@@ -125,19 +125,19 @@
     def recover(self) -> None:
         """What an earlier life left."""
         now, wall = time.monotonic_ns(), time.time_ns()
-        for kept in sorted(self.shelf.calls.values(), key=lambda each: each.order):
+        for kept in sorted(self.store.calls.values(), key=lambda each: each.order):
             deferral = self.front.deferred_calls.add(kept.ivk, kept.tenant)
             if kept.answer is not None:
                 self.front.deferred_calls.finish(now, deferral, answer_of(kept.answer))
                 continue
-            it = Waiting(kept.ivk, kept.tenant, kept.batch, kept.order, now + kept.remaining(wall), kept.call["type"],
-                         kept.tries + kept.out, parked=kept.parked)
+            it = BatchCall(kept.ivk, kept.tenant, kept.batch, kept.order, now + kept.remaining(wall),
+                           kept.call["type"], kept.tries + kept.out, parked_by=kept.parked)
             self.calls[kept.ivk] = it, call_of(kept), deferral
             self.queue.add(it)
             if kept.may_have_run:
-                self.queue.end(it)
+                self.queue.finish(it)
                 self.final(it, Answer(FinalKind.ABORTED, "front-end-died", may_have_run=True))
-        if self.shelf.calls:
+        if self.store.calls:
             self.front.note("calls-recovered", calls=len(self.calls), in_doubt=len(self.writes))
 
     # Calls.
@@ -148,11 +148,11 @@
             raise Problem(503, "cannot-be-kept", "the disk that keeps batches fails")
         now, ivk = time.monotonic_ns(), self.front.api.number()
         self.order += 1
-        it = Waiting(ivk, call.tenant, batch, self.order, now + call.left, call.type)
+        it = BatchCall(ivk, call.tenant, batch, self.order, now + call.left, call.type)
         deferral = self.front.deferred_calls.add(ivk, call.tenant)
         effect = next(each.effect for each in self.front.told.deployment.types if each.name == call.type)
-        stopped = self.queue.stopped.get((call.tenant, batch))
-        taken = record("take", ivk=ivk, tenant=call.tenant, batch=batch, order=it.order, at=time.time_ns(),
+        stopped = self.queue.open_cancels.get((call.tenant, batch))
+        taken = make_record("take", ivk=ivk, tenant=call.tenant, batch=batch, order=it.order, at=time.time_ns(),
                        left=call.left, effect=effect.value, parked=stopped.id if stopped else "",
                        call=call._asdict())
 
@@ -170,110 +170,110 @@
         self.keep([taken], kept)
 
     def tick(self, now: int) -> None:
-        for it in self.queue.ended(now):
-            self.final(it, Answer(FinalKind.REJECTED, "cancelled") if it.parked
+        for it in self.queue.expire(now):
+            self.final(it, Answer(FinalKind.REJECTED, "cancelled") if it.parked_by
                        else Answer(FinalKind.REJECTED, "time-up"))
         if not self.front.api.closing and (
                 self.carrier.member.age(clock()) is not None or now - self.started >= HEAR_FIRST):
             out = []
-            for it in self.queue.next(now):
+            for it in self.queue.take_ready(now):
                 if not self.front.api.capacity.has_room(it.tenant):
-                    self.queue.taken_back(it)
+                    self.queue.withdraw(it)
                     break
                 self.front.api.capacity.acquire(it.tenant)
                 out.append(it)
             if out:
-                self.keep([record("out", ivk=each.ivk) for each in out], lambda good: self.release(out, good))
+                self.keep([make_record("out", ivk=each.id) for each in out], lambda good: self.release(out, good))
         if now - self.swept >= SWEEP:
             self.swept = now
             self.sweep()
 
-    def release(self, out: list[Waiting], good: bool) -> None:
+    def release(self, out: list[BatchCall], good: bool) -> None:
         """Hands calls to the decisions; those that a cancel took back meanwhile stay."""
         self.front.read_updates()
         now = time.monotonic_ns()
         for it in out:
-            if it.over or not it.out or not good:
+            if it.is_done or not it.is_out or not good:
                 self.front.api.capacity.release(it.tenant)
-                if not it.over:
-                    self.queue.taken_back(it)
+                if not it.is_done:
+                    self.queue.withdraw(it)
                     self.back(it)
                 continue
-            _, call, _ = self.calls[it.ivk]
-            name = f"{it.ivk}~{it.tries}" if it.tries else it.ivk
+            _, call, _ = self.calls[it.id]
+            name = f"{it.id}~{it.tries}" if it.tries else it.id
             # taken may be answered before take() returns
-            self.pending.pop(it.ivk, None)
-            pending = self.front.engine.admit(now, name, call._replace(left=it.ends - now, again=False), it)
-            if it.out and not pending.is_settled:
-                self.pending[it.ivk] = pending
+            self.pending.pop(it.id, None)
+            pending = self.front.engine.admit(now, name, call._replace(left=it.deadline - now, again=False), it)
+            if it.is_out and not pending.is_settled:
+                self.pending[it.id] = pending
 
     def owns(self, pending: PendingRequest) -> bool:
-        return isinstance(pending.client, Waiting)
+        return isinstance(pending.client, BatchCall)
 
     def answered(self, pending: PendingRequest) -> None:
         """The decisions' final answer to a try."""
         it, answer = pending.client, pending.answer
         assert answer is not None
-        self.pending.pop(it.ivk, None)
+        self.pending.pop(it.id, None)
         now = time.monotonic_ns()
-        if self.queue.returned(it, now, answer.final is FinalKind.COMPLETED, answer.final is FinalKind.REJECTED,
+        if self.queue.on_returned(it, now, answer.final is FinalKind.COMPLETED, answer.final is FinalKind.REJECTED,
                                answer.reason, answer.retry_after, now - pending.admitted_at):
             self.final(it, answer)
         else:
             self.back(it)
 
-    def back(self, it: Waiting) -> None:
+    def back(self, it: BatchCall) -> None:
         """It waits again. Should this not be kept, it is taken as in doubt: that errs on the safe side."""
-        self.keep([record("back", ivk=it.ivk, tries=it.tries, parked=it.parked)], lambda good: None)
+        self.keep([make_record("back", ivk=it.id, tries=it.tries, parked=it.parked_by)], lambda good: None)
 
-    def final(self, it: Waiting, answer: Answer) -> None:
+    def final(self, it: BatchCall, answer: Answer) -> None:
         """One final answer, kept before it is told."""
-        _, _, deferral = self.calls.pop(it.ivk)
+        _, _, deferral = self.calls.pop(it.id)
         self.keep_final(it, answer, deferral)
 
-    def keep_final(self, it: Waiting, answer: Answer, deferral: DeferredCall) -> None:
+    def keep_final(self, it: BatchCall, answer: Answer, deferral: DeferredCall) -> None:
         """Tries again where the disk fails, as long as its own time lasts: told and not kept, it could be told as
         something else after a crash."""
-        told = record("end", ivk=it.ivk, at=time.time_ns(), answer={
+        told = make_record("end", ivk=it.id, at=time.time_ns(), answer={
             "final": answer.final.value, "reason": answer.reason, "body": answer.body, "error": answer.error,
             "may_have_run": answer.may_have_run})
 
         def kept(good: bool) -> None:
-            if not good and time.monotonic_ns() + AGAIN < it.ends:
+            if not good and time.monotonic_ns() + AGAIN < it.deadline:
                 gevent.spawn_later(AGAIN / SECOND, self.keep_final, it, answer, deferral)
                 return
             for exchange in self.front.deferred_calls.finish(time.monotonic_ns(), deferral, answer):
-                exchange.respond(requests.final_response(answer, it.ivk))
+                exchange.respond(requests.final_response(answer, it.id))
 
         self.keep([told], kept)
 
     def sweep(self) -> None:
         """Answers kept long enough are let go."""
         before = time.time_ns() - self.front.told.bounds.keep_results
-        old = [each.ivk for each in self.shelf.calls.values() if each.answer is not None and each.answered < before]
+        old = [each.ivk for each in self.store.calls.values() if each.answer is not None and each.answered < before]
         if old:
-            self.keep([record("forget", ivk=each) for each in old], lambda good: None)
+            self.keep([make_record("forget", ivk=each) for each in old], lambda good: None)
 
     def drop(self, ivk: str) -> Answer | None:
         """One call cancelled by itself: its final answer, None where it may have begun. Raises KeyError."""
         it, _, _ = self.calls[ivk]
-        if it.out and not self.take_back(it):
+        if it.is_out and not self.take_back(it):
             return None
-        self.queue.end(it)
+        self.queue.finish(it)
         answer = Answer(FinalKind.REJECTED, "cancelled")
         self.final(it, answer)
         return answer
 
-    def take_back(self, it: Waiting) -> bool:
+    def take_back(self, it: BatchCall) -> bool:
         """Takes a call back from the decisions, where it provably never began."""
-        pending = self.pending.get(it.ivk)
+        pending = self.pending.get(it.id)
         if pending is not None:
             if any(sent.outcome not in NEVER_RAN for sent in pending.sends):
                 return False
-            self.pending.pop(it.ivk)
+            self.pending.pop(it.id)
             pending.on_client_gone(time.monotonic_ns())
             self.front.api.capacity.release(it.tenant)
-        self.queue.taken_back(it)
+        self.queue.withdraw(it)
         return True
 
     # What the record says.
@@ -281,20 +281,21 @@
     def told(self, cancels: list[Cancel]) -> None:
         """Whatever it says of these cancels now; any number of times."""
         for cancel in cancels:
-            before = set(self.queue.under.get(cancel.id, ()))
-            out, restored, over = self.queue.heard(cancel)
+            before = set(self.queue.parked.get(cancel.id, ()))
+            out, restored, over = self.queue.apply_cancel(cancel)
             taken = [each for each in out if self.take_back(each)]
             if cancel.state == OPEN:
-                new = [ivk for ivk in self.queue.under.get(cancel.id, ()) if ivk not in before]
+                new = [ivk for ivk in self.queue.parked.get(cancel.id, ()) if ivk not in before]
                 late = time.time_ns() - cancel.at
                 if new or out:
-                    self.keep([record("stop", cancel=cancel.id, ivks=new)], lambda good: None)
-                    self.keep([record("back", ivk=each.ivk, tries=each.tries, parked=each.parked) for each in taken],
+                    self.keep([make_record("stop", cancel=cancel.id, ivks=new)], lambda good: None)
+                    self.keep([make_record("back", ivk=each.id, tries=each.tries, parked=each.parked_by)
+                               for each in taken],
                               lambda good: None)
                     self.front.note("batch-stopped", cancel=cancel.id, batch=cancel.batch, parked=len(new),
                                     out=len(out) - len(taken), heard_late_ms=late // MS if late > LATE else 0)
             elif restored:
-                self.keep([record("free", cancel=cancel.id)], lambda good: None)
+                self.keep([make_record("free", cancel=cancel.id)], lambda good: None)
                 self.front.note("batch-restored", cancel=cancel.id, batch=cancel.batch, calls=len(restored))
             for each in over:
                 self.final(each, Answer(FinalKind.REJECTED, "cancelled"))
@@ -307,14 +308,14 @@
         """A peer's question: how a batch stands here, and what of the tenant waits in all."""
         it = self.queue.counts(str(say["tenant"]), str(say["batch"]), time.monotonic_ns())
         return {**{each: getattr(it, each) for each in STOPPED}, "nearest": it.nearest,
-                "of-tenant": self.queue.waiting_of(str(say["tenant"]))}
+                "of-tenant": self.queue.waiting_count(str(say["tenant"]))}
 
-    def everywhere(self, tenant: str, batch: str) -> tuple[Counts, int, list[str]]:
+    def everywhere(self, tenant: str, batch: str) -> tuple[BatchCounts, int, list[str]]:
         """How a batch stands at all who are heard, what of its tenant waits, and who was not heard."""
         say = {"tenant": tenant, "batch": batch}
         found = self.carrier.ask_all("batch", say, TELL)
         told = [each for each in found.values() if each is not None and "nearest" in each]
-        all_ = Counts(**{name: sum(each[name] for each in told) for name in STOPPED})
+        all_ = BatchCounts(**{name: sum(each[name] for each in told) for name in STOPPED})
         all_.nearest = min((each["nearest"] for each in told if each["nearest"]), default=0)
         silent = sorted(name for name, each in found.items() if each is None or "nearest" not in each)
         return all_, sum(each["of-tenant"] for each in told), silent
@@ -387,8 +388,8 @@
                 "undo-ms": max(0, left) // MS if it.state == OPEN else 0}
 
     def status(self) -> dict[str, Any]:
-        return {"calls": len(self.calls), "out": self.queue.out, "room": round(self.queue.room, 1),
-                "parked": sum(map(len, self.queue.under.values())), "open-cancels": len(self.cancels.open),
+        return {"calls": len(self.calls), "out": self.queue.out_count, "room": round(self.queue.out_limit, 1),
+                "parked": sum(map(len, self.queue.parked.values())), "open-cancels": len(self.cancels.open),
                 "writes-waiting": len(self.writes), "problem": self.failed}
 
     def state_of(self, ivk: str) -> dict[str, Any] | None:
@@ -396,9 +397,9 @@
         if ivk not in self.calls:
             return None
         it = self.calls[ivk][0]
-        more: dict[str, Any] = {"tries": it.tries, "left-ms": max(0, it.ends - time.monotonic_ns()) // MS}
-        if it.parked and it.parked in self.cancels.all:
-            more["cancel"] = self.tell(self.cancels.all[it.parked])
+        more: dict[str, Any] = {"tries": it.tries, "left-ms": max(0, it.deadline - time.monotonic_ns()) // MS}
+        if it.parked_by and it.parked_by in self.cancels.all:
+            more["cancel"] = self.tell(self.cancels.all[it.parked_by])
         return {"batch": it.batch, "state": it.state, **more}
 
 
@@ -411,7 +412,7 @@
     return None
 
 
-def told_counts(it: Counts) -> dict[str, Any]:
+def told_counts(it: BatchCounts) -> dict[str, Any]:
     return {**{name: getattr(it, name) for name in STOPPED}, "nearest-end-ms": it.nearest // MS}
 
 
@@ -420,7 +421,7 @@
     return "".join(f"-{letter.lower()}" if letter.isupper() else letter for letter in type(it).__name__).strip("-")
 
 
-def call_of(kept: Kept) -> Call:
+def call_of(kept: StoredCall) -> Call:
     return Call(**{name: value for name, value in kept.call.items() if name in Call._fields})
 
 
--- a/threadshift/gateway/replicated_services.py
+++ b/threadshift/gateway/replicated_services.py
@@ -48,8 +48,8 @@
             self.carrier.stop()
             raise
         self.carrier.answers["batch"] = self.batch_service.counts
-        self.carrier.duties.append(self.cancels.due)
-        self.carrier.began.append(self.cancels.new_holder)
+        self.carrier.duties.append(self.cancels.due_entries)
+        self.carrier.began.append(self.cancels.on_became_leader)
 
     def start(self) -> None:
         """Raises OSError; nothing is left open then."""
