--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 
 from tests.several import Several
-from threadshift.eviction.conformance import against, drawn
-from threadshift.eviction.force import Force, Forces
-from threadshift.eviction.node import FAILS, FRESH, Evictor, keeper
+from threadshift.eviction.active_policy import ActivePolicy, ActivePolicyState
+from threadshift.eviction.conformance import find_violations, random_facts
+from threadshift.eviction.node import HOLDERS_MAX_AGE, MAX_FAILED_DECISIONS, Evictor, last_copy_holder
 from threadshift.eviction.policies import BUILT_IN, CostPerByte, Facts, LongestIdle, digest, label
 from threadshift.interface import MS, SECOND
 
@@ -34,7 +34,7 @@
 def node(how="well", name="n", think=20 * MS):
     policy = Odd(how)
     it = Evictor(name, {label(BUILT_IN): BUILT_IN, label(policy): policy}, think)
-    it.hear(Force(7, label(policy), digest(policy)).told())
+    it.update_policy(ActivePolicy(7, label(policy), digest(policy)).as_message())
     return it
 
 
@@ -49,81 +49,82 @@
 class Policies(unittest.TestCase):
     def test_what_comes_with_the_program_keeps_what_a_policy_must(self):
         for policy in (LongestIdle(), CostPerByte(), Odd()):
-            self.assertEqual(against(policy), [], label(policy))
-        for how, said in (("half", "no whole number"), ("other", "shuffled"), ("raises", "raised ValueError")):
-            self.assertTrue([each for each in against(Odd(how)) if said in each], how)
+            self.assertEqual(find_violations(policy), [], label(policy))
+        for how, said in (("half", "score is not an integer"), ("other", "shuffled"),
+                          ("raises", "raised ValueError")):
+            self.assertTrue([each for each in find_violations(Odd(how)) if said in each], how)
 
     def test_cost_per_byte_keeps_what_saves_most_load_time_for_its_size(self):
         it = Evictor("n")
         policy = CostPerByte()
-        it.hear(Force(1, label(policy), digest(policy)).told())
+        it.update_policy(ActivePolicy(1, label(policy), digest(policy)).as_message())
         things = [Facts(name, size << 20, SECOND, 9, kept, uses) for name, size, kept, uses in (
             ("used", 1, 100 * SECOND, 50), ("rare", 1, 100 * SECOND, 2), ("new", 1, 1, 1),
             ("big", 1024, 100 * SECOND, 50))]
-        self.assertEqual(names(it.order(0, things)), ["big", "rare", "used", "new"])
+        self.assertEqual(names(it.eviction_order(0, things)), ["big", "rare", "used", "new"])
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.integers(0, 10_000))
     def test_all_nodes_agree_bit_for_bit(self, seed):
         chance = random.Random(seed)
-        things = drawn(chance, 30)
+        things = random_facts(chance, 30)
         shuffled = things[:]
         chance.shuffle(shuffled)
         for policy in (LongestIdle(), CostPerByte()):
             orders = []
             for each in (things, shuffled):
                 it = Evictor("n", {label(policy): policy})
-                it.hear(Force(1, label(policy), digest(policy)).told())
-                orders.append(it.order(0, each))
+                it.update_policy(ActivePolicy(1, label(policy), digest(policy)).as_message())
+                orders.append(it.eviction_order(0, each))
             self.assertEqual(*orders)
 
 
 class Nodes(unittest.TestCase):
     def test_pinned_and_busy_things_never_go(self):
         things = [thing("a", pinned=True), thing("b", busy=True), thing("c")]
-        self.assertEqual(names(Evictor("n").order(0, things)), ["c"])
+        self.assertEqual(names(Evictor("n").eviction_order(0, things)), ["c"])
 
     def test_of_two_epochs_the_later_counts_and_no_word_of_one_is_passed_over(self):
         it = node()
         for told in ({"epoch": 6, "policy": "x", "digest": "", "parameters": {}}, {"epoch": "8"}, None, 5,
                      {"epoch": 9, "policy": 3, "digest": "", "parameters": {}}):
-            self.assertFalse(it.hear(told))
-        self.assertEqual(it.force.epoch, 7)
-        self.assertTrue(it.hear(Force(8, "gone@1", "ff").told()))
-        self.assertIn("not installed", it.lacks)
-        self.assertTrue(it.hear(Force(9, "odd@1", "another text").told()))
-        self.assertIn("another text", it.lacks)
+            self.assertFalse(it.update_policy(told))
+        self.assertEqual(it.active_policy.epoch, 7)
+        self.assertTrue(it.update_policy(ActivePolicy(8, "gone@1", "ff").as_message()))
+        self.assertIn("not installed", it.policy_mismatch)
+        self.assertTrue(it.update_policy(ActivePolicy(9, "odd@1", "another text").as_message()))
+        self.assertIn("another source text", it.policy_mismatch)
         # the built-in one decides
-        self.assertEqual(names(it.order(0, [thing("a", 1), thing("b", 2)])), ["b", "a"])
+        self.assertEqual(names(it.eviction_order(0, [thing("a", 1), thing("b", 2)])), ["b", "a"])
 
     def test_a_policy_that_misbehaves_costs_one_decision_a_bounded_time_and_is_then_not_asked(self):
         things = [thing("a", 1), thing("b", 2)]
-        for how, said in (("raises", "raised ValueError"), ("half", "no whole number"), ("loops", "too slow"),
-                          ("other", "changed its mind")):
+        for how, said in (("raises", "raised ValueError"), ("half", "score is not an integer"),
+                          ("loops", "too slow"), ("other", "score is not deterministic")):
             it, began = node(how), time.monotonic()
             while not it.complaint:
-                self.assertEqual(set(names(it.order(0, things))), {"a", "b"})
+                self.assertEqual(set(names(it.eviction_order(0, things))), {"a", "b"})
                 self.assertLess(it.decisions, 40)
             self.assertLess(time.monotonic() - began, 1)
             self.assertIn(said, it.complaint)
             asked = it.policies["odd@1"].asked
-            self.assertEqual(names(it.order(0, things)), ["b", "a"])
-            self.assertEqual((it.policies["odd@1"].asked, it.failed.total()), (asked, FAILS))
+            self.assertEqual(names(it.eviction_order(0, things)), ["b", "a"])
+            self.assertEqual((it.policies["odd@1"].asked, it.failures.total()), (asked, MAX_FAILED_DECISIONS))
 
     def test_the_last_copy_goes_last_and_exactly_one_holder_keeps_it(self):
         nodes = {name: Evictor(name) for name in ("w0", "w1", "w2")}
         for at, it in nodes.items():
-            it.hear_copies(1, {"f": [other for other in nodes if other != at]})
+            it.update_holders(1, {"f": [other for other in nodes if other != at]})
         things = [thing("f", 9 * SECOND), thing("g", SECOND), thing("g", SECOND, number=1)]
-        first = {at: names(it.order(2, things))[0] for at, it in nodes.items()}
-        keeps = keeper("f", nodes)
+        first = {at: names(it.eviction_order(2, things))[0] for at, it in nodes.items()}
+        keeps = last_copy_holder("f", nodes)
         self.assertEqual({at for at, name in first.items() if name == "g"}, {keeps})
         for it in nodes.values():                       # what was told is old: all err towards keeping
-            self.assertEqual(names(it.order(FRESH + 2, things)), ["g", "f", "g"])
+            self.assertEqual(names(it.eviction_order(HOLDERS_MAX_AGE + 2, things)), ["g", "f", "g"])
 
     def test_of_several_copies_at_one_node_all_but_one_are_spare(self):
         things = [thing("f", 3, number=0), thing("f", 2, number=1), thing("g", 9)]
-        self.assertEqual(names(Evictor("n").order(0, things)), ["f", "g", "f"])
+        self.assertEqual(names(Evictor("n").eviction_order(0, things)), ["f", "g", "f"])
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.lists(st.tuples(st.integers(0, 4), st.integers(0, 2)), max_size=40), st.randoms(use_true_random=False))
@@ -133,29 +134,29 @@
         for turn, (at, room) in enumerate(turns, 1):
             for name, it in nodes.items():
                 if random.random() < 0.5:               # the others go by what was told before, and err
-                    it.hear_copies(turn, {fn: [o for o in holds if fn in holds[o]] for fn in holds[name]})
+                    it.update_holders(turn, {fn: [o for o in holds if fn in holds[o]] for fn in holds[name]})
             it, mine = nodes[f"w{at}"], holds[f"w{at}"]
-            spare = [each for each in it.order(turn, [thing(fn, random.randrange(9)) for fn in sorted(mine)])
-                     if keeper(each.name, [it.node, *it.elsewhere(turn, each.name)]) != it.node]
+            spare = [each for each in it.eviction_order(turn, [thing(fn, random.randrange(9)) for fn in sorted(mine)])
+                     if last_copy_holder(each.name, [it.node, *it.other_holders(turn, each.name)]) != it.node]
             mine -= set(names(spare)[:room])
             self.assertEqual(set().union(*holds.values()), {"f", "g", "h"})
 
 
 class Records(unittest.TestCase):
     def test_complaints_of_several_nodes_take_a_policy_out_and_one_sick_node_does_not(self):
-        it = Forces()
+        it = ActivePolicyState()
         it.apply(5, {"do": "evict.set", "policy": "odd@1", "digest": "d", "parameters": {"a": 1}, "why": "try"})
         complaint = {"do": "evict.complaint", "epoch": 5, "what": "raised", "of": 12}
         for place, name in enumerate(["w1", "w1", "w1", "w2"], 6):
             self.assertEqual(it.apply(place, {**complaint, "node": name}).policy, "odd@1")
-        again = Forces()
+        again = ActivePolicyState()
         again.load(it.dump())
         for each in (it, again):
             each.apply(20, {**complaint, "node": "w3", "epoch": 4})         # about another epoch
-            self.assertEqual(each.now.epoch, 5)
+            self.assertEqual(each.active.epoch, 5)
             each.apply(21, {**complaint, "node": "w3"})
-            self.assertEqual((each.now.policy, each.now.epoch), (label(BUILT_IN), 21))
-            self.assertIn("w2: raised", each.now.why)
+            self.assertEqual((each.active.policy, each.active.epoch), (label(BUILT_IN), 21))
+            self.assertIn("w2: raised", each.active.why)
 
 
 PACKAGE = """
--- a/tests/test_several.py
+++ b/tests/test_several.py
@@ -5,7 +5,7 @@
 from tests.several import Several
 from tests.test_eviction import PACKAGE
 from threadshift.audit import together
-from threadshift.eviction.node import keeper
+from threadshift.eviction.node import last_copy_holder
 
 
 def line(event, worker="w0", **fields):
@@ -16,7 +16,7 @@
     """For each promise a history that it must reject, and one that it must not."""
 
     def test_histories(self):
-        keeps = keeper("f", ["w0", "w1"])
+        keeps = last_copy_holder("f", ["w0", "w1"])
         pending, done, gone = ({"mark": "m", "status": status, "t": t}
                                for status, t in ((202, 1), (200, 5), (410, 5)))
         ran, again = ({"mark": "m", "effect": "once-only", "t": t} for t in (3, 9))
--- a/threadshift/audit/together.py
+++ b/threadshift/audit/together.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
 
-from threadshift.eviction.node import keeper
+from threadshift.eviction.node import last_copy_holder
 
 Line = Mapping[str, Any]
 FINAL = {200: "completed", 410: "cancelled", 429: "rejected", 502: "aborted", 503: "rejected", 504: "aborted"}
@@ -67,7 +67,7 @@
                 found.append(Breach("one policy an epoch", f"{line['epoch']}: {known} and {line['policy']}"))
         elif line["e"] == "evicted":
             others = line["others"]
-            keeps = keeper(line["function"], [worker, *others]) == worker
+            keeps = last_copy_holder(line["function"], [worker, *others]) == worker
             if line["spare"] and keeps:
                 found.append(Breach("one keeper", f"{worker} let go of {line['function']}, which it had to keep"))
     return found
--- a/threadshift/eviction/__init__.py
+++ b/threadshift/eviction/__init__.py
@@ -1,1 +1,1 @@
-"""What goes first when memory is short: policies, the one in force for all, and copies that must not all go."""
+"""Eviction when memory is short: policies, the one active on all nodes, and protection of the last copy."""
--- a/threadshift/eviction/conformance.py
+++ b/threadshift/eviction/conformance.py
@@ -1,60 +1,61 @@
-"""What a policy must keep, for its author to run: python -m threadshift.eviction.conformance NAME@VERSION"""
+"""Conformance check for authors of eviction policies: python -m threadshift.eviction.conformance NAME@VERSION"""
 from __future__ import annotations
 
 import random
 import sys
 import time
 
-from threadshift.eviction.force import Force
-from threadshift.eviction.node import THINK, Evictor
-from threadshift.eviction.policies import Facts, Policy, digest, known, label
+from threadshift.eviction.active_policy import ActivePolicy
+from threadshift.eviction.node import DECISION_TIME_LIMIT, Evictor
+from threadshift.eviction.policies import Facts, Policy, digest, installed_policies, label
 from threadshift.interface import MS, SECOND
 
-MANY = 400                 # things at a node: more than stand-in workers and most real ones hold
+ITEMS = 400                # items at a node: more than stand-in workers and most real workers hold
 ROUNDS = 50
 
 
-def drawn(chance: random.Random, count: int) -> list[Facts]:
+def random_facts(chance: random.Random, count: int) -> list[Facts]:
+    """Returns the facts of `count` random items."""
     return [Facts(f"f{chance.randrange(count * 2)}", chance.randrange(1, 1 << 30), chance.randrange(10 * SECOND),
                   chance.randrange(600 * SECOND), chance.randrange(3600 * SECOND), chance.randrange(10_000),
                   chance.randrange(500), chance.random() < 0.05, chance.random() < 0.2, "t", "1",
                   chance.randrange(-1, 5)) for _ in range(count)]
 
 
-def against(policy: Policy, seed: int = 1) -> list[str]:
-    """What it does not keep, in one sentence each; nothing where it may come into force."""
-    chance, found = random.Random(seed), []
-    it = Evictor("n", {label(policy): policy}, think=100 * THINK)
-    it.hear(Force(1, label(policy), digest(policy)).told())
-    took = 0
+def find_violations(policy: Policy, seed: int = 1) -> list[str]:
+    """Returns one sentence for each requirement that the policy violates; an empty list if it may be activated."""
+    chance, violations = random.Random(seed), []
+    evictor = Evictor("n", {label(policy): policy}, time_limit=100 * DECISION_TIME_LIMIT)
+    evictor.update_policy(ActivePolicy(1, label(policy), digest(policy)).as_message())
+    longest = 0
     for turn in range(ROUNDS):
-        things = drawn(chance, MANY)
+        items = random_facts(chance, ITEMS)
         began = time.perf_counter_ns()
-        order = it.order(0, things)
-        took = max(took, time.perf_counter_ns() - began)
-        shuffled = things[:]
+        order = evictor.eviction_order(0, items)
+        longest = max(longest, time.perf_counter_ns() - began)
+        shuffled = items[:]
         chance.shuffle(shuffled)
-        if it.order(0, things) != order:
-            found.append(f"round {turn}: the same things twice, another order")
-        if it.order(0, shuffled) != order:
-            found.append(f"round {turn}: the same things shuffled, another order")
+        if evictor.eviction_order(0, items) != order:
+            violations.append(f"round {turn}: the same items had another order the second time")
+        if evictor.eviction_order(0, shuffled) != order:
+            violations.append(f"round {turn}: the same items, shuffled, had another order")
         if any(each.pinned or each.busy for each in order):
-            found.append(f"round {turn}: a pinned or busy thing would go")
-    found += [f"{what}, {count} times" for what, count in it.failed.items()]
-    if took > THINK:
-        found.append(f"{took // MS} ms for {MANY} things, {THINK // MS} ms at most")
-    return found
+            violations.append(f"round {turn}: a pinned or busy item would be evicted")
+    violations += [f"{what}, {count} times" for what, count in evictor.failures.items()]
+    if longest > DECISION_TIME_LIMIT:
+        violations.append(f"{longest // MS} ms for {ITEMS} items; the limit is {DECISION_TIME_LIMIT // MS} ms")
+    return violations
 
 
 def main() -> None:
-    policies = known()
+    policies = installed_policies()
     if len(sys.argv) != 2 or sys.argv[1] not in policies:
-        raise SystemExit(f"one of {', '.join(sorted(policies))} is wanted")
-    found = against(policies[sys.argv[1]])
-    for each in found[:20]:
-        print(each)
-    print(f"{sys.argv[1]}: {'not fit to come into force' if found else 'keeps all that a policy must'}")
-    raise SystemExit(1 if found else 0)
+        raise SystemExit(f"name one of these policies: {', '.join(sorted(policies))}")
+    violations = find_violations(policies[sys.argv[1]])
+    for violation in violations[:20]:
+        print(violation)
+    print(f"{sys.argv[1]}: {'must not be activated' if violations else 'meets all requirements of a policy'}")
+    raise SystemExit(1 if violations else 0)
 
 
 if __name__ == "__main__":
--- a/threadshift/eviction/policies.py
+++ b/threadshift/eviction/policies.py
@@ -1,9 +1,12 @@
-"""Eviction policies: pure functions of told facts to a whole number. What has the higher number goes first.
+"""Eviction policies: pure functions from reported facts to an integer score. The highest score is evicted first.
 
 A policy is found by an entry point of the group `threadshift.eviction` that names an object with `name`, `version`,
-`parameters` (each with its default) and `score(facts, parameters)`. It must tell the same number for the same facts
-on every node, so it has no clock, no chance and no fractions; ties are broken by a hash of the name, the same
-everywhere."""
+`parameters` (each with its default) and `score(facts, parameters)`. It must return the same score for the same facts
+on every node, so it uses no clock, no randomness and no floating point. Ties are broken by a hash of the name, which
+is the same on every node.
+
+The source of a policy class is hashed and compared between nodes (`digest`). An edit to a built-in class, even to its
+comments, makes nodes of different program versions disagree about it."""
 from __future__ import annotations
 
 import hashlib
@@ -14,31 +17,31 @@
 
 from threadshift.interface import MS, SECOND
 
-GROUP = "threadshift.eviction"
-# of a score that is a quotient: whole numbers on every node, and no two values fall together
+ENTRY_POINT_GROUP = "threadshift.eviction"
+# Multiplies a score that is a quotient: an integer on every node, without two values becoming equal by rounding.
 SCALE = 1 << 20
 
 
 class Facts(NamedTuple):
-    """What is told of one thing that takes memory: a copy at a worker, a kept answer at a front end."""
+    """What is known of one item that takes memory: a copy at a worker, or a stored answer at a front end."""
 
     name: str
     size: int                    # bytes
-    load: int = 0                # ns that bringing it again takes
-    idle: int = 0                # ns since it was used last
-    kept: int = 0                # ns since it was brought
-    uses: int = 0                # since it was brought
-    recent: int = 0              # of them, in the last minute
-    pinned: bool = False         # must not go
+    load: int = 0                # ns that loading it again takes
+    idle: int = 0                # ns since its last use
+    kept: int = 0                # ns since it was loaded
+    uses: int = 0                # since it was loaded
+    recent: int = 0              # uses in the last minute
+    pinned: bool = False         # must not be evicted
     busy: bool = False           # in use at this moment
     tenant: str = ""
     version: str = ""
-    elsewhere: int = -1          # copies of it at other nodes, as told lately; -1: not known
-    number: int = 0              # tells apart several of one name at a node
+    elsewhere: int = -1          # copies of it at other nodes, by recent reports; -1: unknown
+    number: int = 0              # distinguishes several items of one name at a node
 
 
 class Policy(Protocol):
-    """What an author writes."""
+    """The interface that the author of a policy implements."""
 
     name: str
     version: str
@@ -76,13 +79,13 @@
 BUILT_IN: Policy = LongestIdle()
 
 
-def tie(name: str) -> int:
-    """By which of two with the same score goes first; the same on every node."""
+def tie_breaker(name: str) -> int:
+    """Returns the number that orders items of equal score; it is the same on every node."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
 def digest(policy: Policy) -> str:
-    """Of its text, so that two nodes notice that one name stands for two policies."""
+    """Returns a hash of the source of the policy, by which nodes notice that one name means two policies."""
     try:
         text = inspect.getsource(type(policy))
     except (OSError, TypeError):
@@ -90,18 +93,19 @@
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
-def known(more: Mapping[str, Policy] | None = None) -> dict[str, Policy]:
-    """All policies of this installation, by 'name@version'. One whose import fails is not there, and harms nobody."""
+def installed_policies(more: Mapping[str, Policy] | None = None) -> dict[str, Policy]:
+    """Returns all policies of this installation by 'name@version'. One that cannot be imported is left out."""
     found: dict[str, Policy] = {label(each): each for each in (BUILT_IN, CostPerByte())}
-    for point in entry_points(group=GROUP):
+    for point in entry_points(group=ENTRY_POINT_GROUP):
         try:
-            it: Any = point.load()
-            it = it() if inspect.isclass(it) else it
-            found.setdefault(label(it), it)
-        except Exception:       # an author's module may fail in any way
+            policy: Any = point.load()
+            policy = policy() if inspect.isclass(policy) else policy
+            found.setdefault(label(policy), policy)
+        except Exception:       # a third-party module may fail in any way
             continue
     return {**found, **(more or {})}
 
 
 def label(policy: Policy) -> str:
+    """Returns the name under which a policy is known to operators and nodes."""
     return f"{policy.name}@{policy.version}"
--- a/threadshift/gateway/eviction_service.py
+++ b/threadshift/gateway/eviction_service.py
@@ -8,8 +8,8 @@
 
 import gevent
 
-from threadshift.eviction.force import Force, Forces, Lacking
-from threadshift.eviction.node import FRESH, Evictor
+from threadshift.eviction.active_policy import ActivePolicy, ActivePolicyState, Lacking
+from threadshift.eviction.node import HOLDERS_MAX_AGE, Evictor
 from threadshift.eviction.policies import digest
 from threadshift.interface import SECOND
 from threadshift.links.codec import Frame
@@ -31,8 +31,8 @@
 
 
 class EvictionService:
-    def __init__(self, front: Links, carrier: Carrier, forces: Forces):
-        self.front, self.carrier, self.forces = front, carrier, forces
+    def __init__(self, front: Links, carrier: Carrier, policy_state: ActivePolicyState):
+        self.front, self.carrier, self.policy_state = front, carrier, policy_state
         self.evictor = Evictor(front.name)
         self.has: dict[str, dict[str, str]] = {}         # worker: its policies, with their digests
         self.epochs: dict[str, int] = {}                 # worker: the epoch that it goes by
@@ -49,13 +49,13 @@
         _, names = self.copies.get(worker, (0, []))
         holders = {name: [other for other in self.where[name] if other != worker][:MOST_HOLDERS]
                    for name in names if len(self.where.get(name, ())) > 1}
-        return {"eviction": self.forces.now.told(), "holders": holders}
+        return {"eviction": self.policy_state.active.as_message(), "holders": holders}
 
     def look(self, now: int) -> None:
         """Who holds what, by what was told lately; once for all workers, as they are told together."""
         self.where = {}
         for worker, (at, names) in sorted(self.copies.items()):
-            if now - at <= FRESH:
+            if now - at <= HOLDERS_MAX_AGE:
                 for name in names:
                     self.where.setdefault(name, []).append(worker)
 
@@ -76,7 +76,7 @@
             self.complain(worker, what)
 
     def complain(self, node: str, what: str) -> None:
-        epoch = self.forces.now.epoch
+        epoch = self.policy_state.active.epoch
         if (node, epoch) in self.complained or self.epochs.get(node, epoch) != epoch:
             return
         self.complained.add((node, epoch))
@@ -94,11 +94,11 @@
 
     # The front end's own.
 
-    def told(self, force: Force) -> None:
+    def told(self, policy: ActivePolicy) -> None:
         """The record put a policy in force: workers hear of it at once."""
-        if self.evictor.hear(force.told()):
-            self.front.note("policy-in-force", epoch=force.epoch, policy=force.policy, why=force.why,
-                            lacks=self.evictor.lacks)
+        if self.evictor.update_policy(policy.as_message()):
+            self.front.note("policy-in-force", epoch=policy.epoch, policy=policy.policy, why=policy.why,
+                            lacks=self.evictor.policy_mismatch)
             self.speak()
 
     def tick(self, now: int) -> None:
@@ -122,7 +122,7 @@
         """A peer's question: what stands here and at the workers heard here."""
         own = {each: digest(policy) for each, policy in self.evictor.policies.items()}
         return {"nodes": {self.front.name: own, **self.has},
-                "epochs": {self.front.name: self.evictor.force.epoch, **self.epochs}}
+                "epochs": {self.front.name: self.evictor.active_policy.epoch, **self.epochs}}
 
     def everywhere(self) -> tuple[dict[str, dict[str, str]], dict[str, int], list[str]]:
         """All nodes heard with their policies, the epochs they go by, and front ends that were not heard."""
@@ -159,6 +159,7 @@
 
     def show(self) -> dict[str, Any]:
         _, epochs, silent = self.everywhere()
-        it = self.forces.now
-        return {**it.told(), "why": it.why, "behind": sorted(n for n, epoch in epochs.items() if epoch < it.epoch),
-                "nodes": len(epochs), "complaints": self.forces.complaints, "not-heard": silent}
+        it = self.policy_state.active
+        return {**it.as_message(), "why": it.why,
+                "behind": sorted(n for n, epoch in epochs.items() if epoch < it.epoch),
+                "nodes": len(epochs), "complaints": self.policy_state.complaints, "not-heard": silent}
--- a/threadshift/gateway/replicated_services.py
+++ b/threadshift/gateway/replicated_services.py
@@ -11,7 +11,7 @@
 from threadshift.conf.peering import Peering
 from threadshift.consensus.book import Machine
 from threadshift.consensus.member import Told
-from threadshift.eviction.force import Forces
+from threadshift.eviction.active_policy import ActivePolicyState
 from threadshift.gateway.batch_service import BatchService, Front
 from threadshift.gateway.eviction_service import EvictionService
 from threadshift.gateway.rollout_service import RolloutService
@@ -31,12 +31,13 @@
         """Raises what opening its files raises."""
         self.front, self.told_peers = front, told
         self.told_forms = 0
-        self.cancels, self.forces, self.rollouts = Cancels(), Forces(), Rollouts()
-        machines: dict[str, Machine] = {"batches": self.cancels, "eviction": self.forces, "rollouts": self.rollouts}
+        self.cancels, self.policy_state, self.rollouts = Cancels(), ActivePolicyState(), Rollouts()
+        machines: dict[str, Machine] = {"batches": self.cancels, "eviction": self.policy_state,
+                                        "rollouts": self.rollouts}
         self.carrier = Carrier(told, front.name, machines, self, front.chance, disk)
-        self.eviction_service = EvictionService(front, self.carrier, self.forces)
+        self.eviction_service = EvictionService(front, self.carrier, self.policy_state)
         self.carrier.answers["policies"] = self.eviction_service.policies
-        front.deferred_calls.eviction_order = self.eviction_service.evictor.order
+        front.deferred_calls.eviction_order = self.eviction_service.evictor.eviction_order
         self.rollout_service = RolloutService(front, told, self.carrier, self.rollouts, self.eviction_service,
                                              version, front.api.recent)
         self.carrier.answers["report"] = self.rollout_service.report
@@ -78,12 +79,12 @@
         """An entry was applied, or all of them at once."""
         if told.state is not None:
             self.batch_service.told(list(self.cancels.all.values()))
-            self.eviction_service.told(self.forces.now)
+            self.eviction_service.told(self.policy_state.active)
             self.rollout_service.told()
         elif changed and str(told.entry.body.get("do")).startswith("rollout."):
             self.rollout_service.told()
         elif changed and str(told.entry.body.get("do")).startswith("evict."):
-            self.eviction_service.told(self.forces.now)
+            self.eviction_service.told(self.policy_state.active)
             self.rollout_service.told()
         elif changed and str(told.entry.body.get("do")).startswith("rollout."):
             self.rollout_service.told()
@@ -125,9 +126,10 @@
         self.carrier.stop()
 
     def status(self) -> dict[str, Any]:
-        force = self.forces.now
+        policy = self.policy_state.active
         return {"record": self.carrier.status(), "batches": self.batch_service.status(), "at": now(),
-                "eviction": {"epoch": force.epoch, "policy": force.policy,
-                             "own": self.eviction_service.evictor.force.epoch,
-                             "lacks": self.eviction_service.evictor.lacks, "workers": self.eviction_service.epochs},
+                "eviction": {"epoch": policy.epoch, "policy": policy.policy,
+                             "own": self.eviction_service.evictor.active_policy.epoch,
+                             "lacks": self.eviction_service.evictor.policy_mismatch,
+                             "workers": self.eviction_service.epochs},
                 "version": self.rollout_service.version}
--- a/threadshift/rollout/conduct.py
+++ b/threadshift/rollout/conduct.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from threadshift.conf.peering import Peer
-from threadshift.eviction.policies import tie
+from threadshift.eviction.policies import tie_breaker
 from threadshift.interface import SECOND
 from threadshift.rollout.judge import Judge, Sums
 from threadshift.rollout.plan import CHECKING, GOING, Rollout, Rollouts
@@ -73,7 +73,7 @@
         turns: dict[tuple[str, str], int] = {}
         halls: dict[str, int] = {}
         found: list[tuple[int, int, int, str]] = []
-        for name in sorted(self.peers, key=lambda name: (tie(f"{id_} {name}"), name)):
+        for name in sorted(self.peers, key=lambda name: (tie_breaker(f"{id_} {name}"), name)):
             peer = self.peers[name]
             place = turns[peer.hall, peer.machine] = turns.get((peer.hall, peer.machine), 0) + 1
             hall = halls[peer.hall] = halls.get(peer.hall, 0) + 1
--- a/threadshift/standins/worker.py
+++ b/threadshift/standins/worker.py
@@ -20,7 +20,7 @@
 from gevent.lock import BoundedSemaphore
 
 from threadshift.conf.values import Address
-from threadshift.eviction.node import Evictor, keeper
+from threadshift.eviction.node import Evictor, last_copy_holder
 from threadshift.eviction.policies import Facts, digest
 from threadshift.interface import MS, SECOND
 from threadshift.links.codec import VERSION, Frame, Frames, ProtocolError, encode
@@ -190,17 +190,17 @@
         elif kind == "ping":
             self.told_of_eviction(peer, frame)
             it = self.evictor
-            peer.send("pong", epoch=it.force.epoch, complaint=it.complaint, lacks=it.lacks,
+            peer.send("pong", epoch=it.active_policy.epoch, complaint=it.complaint, lacks=it.policy_mismatch,
                       copies=[name for name, shelf in self.shelves.items() if shelf.copies][:MOST_COPIES])
         elif kind != "refused":
             raise ProtocolError(f"'{kind}' is not for a worker to hear")
 
     def told_of_eviction(self, peer: Peer, frame: Frame) -> None:
         """Which policy is in force, and which other workers hold what."""
-        if self.evictor.hear(frame.get("eviction")):
-            self.record.note("epoch", front=peer.name, epoch=self.evictor.force.epoch,
-                             policy=self.evictor.force.policy, lacks=self.evictor.lacks)
-        self.evictor.hear_copies(time.monotonic_ns(), frame.get("holders"))
+        if self.evictor.update_policy(frame.get("eviction")):
+            self.record.note("epoch", front=peer.name, epoch=self.evictor.active_policy.epoch,
+                             policy=self.evictor.active_policy.policy, lacks=self.evictor.policy_mismatch)
+        self.evictor.update_holders(time.monotonic_ns(), frame.get("holders"))
 
     def invoke(self, peer: Peer, frame: Frame) -> None:
         now = time.monotonic_ns()
@@ -321,13 +321,13 @@
         now = time.monotonic_ns()
         of = {self.facts(now, name, copy, number): (shelf, copy) for name, shelf in self.shelves.items()
               for number, copy in enumerate(shelf.copies)}
-        for facts in self.evictor.order(now, list(of)):
+        for facts in self.evictor.eviction_order(now, list(of)):
             if self.used_mb + wanted_mb <= self.machine.memory_mb:
                 break
             self.unload(*of[facts])
-            others = sorted(self.evictor.elsewhere(now, facts.name))
-            self.record.note("evicted", function=facts.name, epoch=self.evictor.force.epoch, others=others,
-                             spare=keeper(facts.name, [self.machine.name, *others]) != self.machine.name)
+            others = sorted(self.evictor.other_holders(now, facts.name))
+            self.record.note("evicted", function=facts.name, epoch=self.evictor.active_policy.epoch, others=others,
+                             spare=last_copy_holder(facts.name, [self.machine.name, *others]) != self.machine.name)
         return self.used_mb + wanted_mb <= self.machine.memory_mb
 
     @staticmethod
