--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -14,9 +14,10 @@
 from threadshift.emulator.changes import Change, Trial
 from threadshift.interface import SECOND
 from threadshift.invoke.client import Client, NoAnswer
-from threadshift.rollout.judge import BUCKETS, Judge, Sums
+from threadshift.rollout.canary_analysis import LATENCY_BUCKETS, CallStats, CanaryAnalysis
 from threadshift.rollout.plan import Rollouts
-from threadshift.rollout.swap import DEATHS, READY, UNPROVEN, Act, Swap, Wanted
+from threadshift.rollout.process_replacement import (
+    CRASHES_TO_GIVE_UP, PROVING_TIME, READY_TIMEOUT, ProcessReplacement, ReplacementAction, TargetVersion)
 
 NOW = 1_000 * SECOND
 
@@ -80,77 +81,78 @@
 class Swaps(unittest.TestCase):
     """A kill at any step between taken, started, ready and counted ends in one of the two versions."""
 
-    old, new = Wanted(1, "", "old.conf"), Wanted(5, "r", "new.conf", "tree")
+    old, new = TargetVersion(1, "", "old.conf"), TargetVersion(5, "r", "new.conf", "tree")
 
     def swap(self):
-        it = Swap(self.old)
-        self.assertEqual(it.wanted(NOW, self.new), [Act.START])
+        it = ProcessReplacement(self.old)
+        self.assertEqual(it.on_target(NOW, self.new), [ReplacementAction.START])
         return it
 
     def test_it_takes_over_once_ready_and_an_older_word_is_refused(self):
         it = self.swap()
-        self.assertEqual((it.wanted(NOW, self.new), it.running), ([], self.old))
-        self.assertEqual((it.ready(NOW), it.running), ([Act.TAKE_OVER], self.new))
-        self.assertEqual((it.wanted(NOW, Wanted(4, "")), it.wanted(NOW, Wanted(5, ""))), ([], []))
-        self.assertEqual(it.wanted(NOW, Wanted(6, "", "old.conf")), [Act.START])       # the way back
+        self.assertEqual((it.on_target(NOW, self.new), it.running), ([], self.old))
+        self.assertEqual((it.on_ready(NOW), it.running), ([ReplacementAction.TAKE_OVER], self.new))
+        self.assertEqual((it.on_target(NOW, TargetVersion(4, "")), it.on_target(NOW, TargetVersion(5, ""))), ([], []))
+        # The way back.
+        self.assertEqual(it.on_target(NOW, TargetVersion(6, "", "old.conf")), [ReplacementAction.START])
 
     def test_one_that_dies_or_is_not_ready_in_time_is_given_up_and_not_tried_again(self):
-        for act in (lambda it: it.incoming_died(), lambda it: it.tick(NOW + READY)):
+        for act in (lambda it: it.on_incoming_died(), lambda it: it.tick(NOW + READY_TIMEOUT)):
             it = self.swap()
-            self.assertEqual((act(it), it.running, it.failed), ([Act.GIVE_UP], self.old, "r"))
-            self.assertEqual(it.wanted(NOW, Wanted(7, "r")), [])
+            self.assertEqual((act(it), it.running, it.failed_version), ([ReplacementAction.GIVE_UP], self.old, "r"))
+            self.assertEqual(it.on_target(NOW, TargetVersion(7, "r")), [])
 
     def test_one_that_dies_soon_after_taking_over_is_brought_back_here_alone(self):
         it = self.swap()
-        it.ready(NOW)
-        it.died(NOW + SECOND)
+        it.on_ready(NOW)
+        it.on_died(NOW + SECOND)
         self.assertEqual(it.running, self.new)
-        for _ in range(DEATHS - 1):
-            it.died(NOW + 2 * SECOND)
-        self.assertEqual((it.running, it.failed), (self.old, "r"))
+        for _ in range(CRASHES_TO_GIVE_UP - 1):
+            it.on_died(NOW + 2 * SECOND)
+        self.assertEqual((it.running, it.failed_version), (self.old, "r"))
         it = self.swap()
-        it.ready(NOW)
+        it.on_ready(NOW)
         for _ in range(9):
-            it.died(NOW + UNPROVEN)
+            it.on_died(NOW + PROVING_TIME)
         self.assertEqual(it.running, self.new)          # proven: it is started again like any
 
     def test_taken_back_while_it_starts(self):
         it = self.swap()
-        self.assertEqual(it.wanted(NOW, Wanted(6, "")), [Act.GIVE_UP])
-        self.assertEqual((it.running, it.incoming, it.ready(NOW)), (self.old, None, []))
+        self.assertEqual(it.on_target(NOW, TargetVersion(6, "")), [ReplacementAction.GIVE_UP])
+        self.assertEqual((it.running, it.incoming, it.on_ready(NOW)), (self.old, None, []))
 
     @settings(max_examples=200, deadline=None, derandomize=True)
-    @given(st.lists(st.sampled_from("wanted back ready died in-died tick".split()), max_size=30))
+    @given(st.lists(st.sampled_from("wanted back on_ready on_died in-died tick".split()), max_size=30))
     def test_whatever_happens_one_of_the_two_runs(self, acts):
-        it, place = Swap(self.old), 5
+        it, place = ProcessReplacement(self.old), 5
         for n, act in enumerate(acts):
             now, place = NOW + n * SECOND, place + 1
             if act in ("wanted", "back"):
-                it.wanted(now, (self.new if act == "wanted" else self.old)._replace(place=place))
+                it.on_target(now, (self.new if act == "wanted" else self.old)._replace(place=place))
             elif act == "in-died":
-                it.incoming_died()
+                it.on_incoming_died()
             else:
                 getattr(it, act)(now)
             self.assertIn(it.running.version, ("", "r"))
             self.assertTrue(it.incoming is None or it.incoming.version != it.running.version)
-            if it.failed == "r":
+            if it.failed_version == "r":
                 self.assertNotEqual(it.running.version, "r")
 
 
 class Judges(unittest.TestCase):
     def play(self, worse, blocks=60, seed=1, usual=(0.0, 0.05, 0.02, 0.0)):
-        chance, judge = random.Random(seed), Judge()
+        chance, analysis = random.Random(seed), CanaryAnalysis()
         for block in range(blocks):
             rows = {}
             for n, rate in enumerate(usual):
                 bad = rate + (worse if n == 1 and block > 15 else 0)
                 count = chance.randrange(20, 80)
-                latencies = [0] * BUCKETS
+                latencies = [0] * LATENCY_BUCKETS
                 latencies[chance.randrange(10, 20)] = count
-                rows[f"f{n}"] = {"check": Sums(count, sum(chance.random() < bad for _ in range(count)), 0, 0, 0,
+                rows[f"f{n}"] = {"check": CallStats(count, sum(chance.random() < bad for _ in range(count)), 0, 0, 0,
                                                tuple(latencies))}
-            judge.block(rows, {"f1"} if block > 15 else set())
-            if judge.verdict():
+            analysis.add_block(rows, {"f1"} if block > 15 else set())
+            if analysis.verdict():
                 return block
         return None
 
--- a/threadshift/emulator/changes.py
+++ b/threadshift/emulator/changes.py
@@ -1,4 +1,4 @@
-"""Rollouts on a virtual clock: the real record machine, conductor and judge over modelled front ends.
+"""Rollouts on a virtual clock: the real record machine, coordinator and canary analysis over modelled front ends.
 
 A front end has traffic, a mix of types and a level of trouble of its own, which swings from second to second and is
 shared by all that stand on the same hall: what an honest comparison has to bear. The new version may be worse by so
@@ -12,9 +12,9 @@
 from threadshift.conf.values import Address
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import SECOND
-from threadshift.rollout.conduct import Conductor, Report
-from threadshift.rollout.judge import BUCKETS, Sums, bucket
-from threadshift.rollout.plan import BACK, DONE, Rollouts
+from threadshift.rollout.canary_analysis import LATENCY_BUCKETS, CallStats, latency_bucket
+from threadshift.rollout.coordinator import FrontEndReport, RolloutCoordinator
+from threadshift.rollout.plan import DONE, ROLLED_BACK, Rollouts
 
 TYPES = ("check", "submit")
 START = 3                  # s that a front end takes to come up
@@ -49,7 +49,7 @@
     life: int = 1
     failed: str = ""
     silent: int = 0            # s for which it is not heard yet
-    sums: dict[str, Sums] = field(default_factory=dict)
+    sums: dict[str, CallStats] = field(default_factory=dict)
 
 
 class Trial:
@@ -64,7 +64,7 @@
         peers = [Peer(name, Address("127.0.0.1", 1000 + n), n < 3, each.hall)
                  for n, (name, each) in enumerate(self.fronts.items())]
         self.rollouts = Rollouts()
-        self.conductor = Conductor(self.rollouts, peers)
+        self.coordinator = RolloutCoordinator(self.rollouts, peers)
         self.place, self.second, self.harmed = 1, 0, 0
         self.hold = hold
         self.rollouts.apply(1, {"do": "rollout.start", "id": "r", "what": {}, "stages": [0.0, 0.2, 0.5, 1.0],
@@ -74,22 +74,22 @@
         """'done', or why it went back, or 'stands' where it did neither in so many seconds."""
         it = self.rollouts.all["r"]
         swing: dict[str, float] = {}
-        while self.second < limit and it.state not in (DONE, BACK):
+        while self.second < limit and it.state not in (DONE, ROLLED_BACK):
             self.second += 1
             for hall in ("h0", "h1", "h2"):
                 swing[hall] = self.random.choice((0.0, 0.0, 0.0, 0.0, 0.02, 0.1))
             for front in self.fronts.values():
                 self.live(front, swing[front.hall])
             if self.random.random() < self.faults / 10:
-                self.conductor.new_holder()
+                self.coordinator.on_became_leader()
             now = self.second * SECOND
-            self.conductor.fed(now, {name: self.report(front) for name, front in self.fronts.items()})
-            for body in self.conductor.due(now):
+            self.coordinator.record_reports(now, {name: self.report(front) for name, front in self.fronts.items()})
+            for body in self.coordinator.due_entries(now):
                 for _ in range(1 + (self.random.random() < 0.1)):      # what comes twice acts once
                     self.place += 1
                     self.rollouts.apply(self.place, body)
             self.check()
-        return it.why if it.state == BACK else "done" if it.state == DONE else "stands"
+        return it.why if it.state == ROLLED_BACK else "done" if it.state == DONE else "stands"
 
     def live(self, front: Front, swing: float) -> None:
         wanted = self.rollouts.version_of(front.name).name
@@ -113,22 +113,23 @@
             count = sum(self.random.random() < 0.5 for _ in range(int(2 * front.rate * share)))
             refused = sum(self.random.random() < bad for _ in range(count))
             errors = sum(self.random.random() < (self.change.errors if new else 0) for _ in range(count - refused))
-            latencies, late = [0] * BUCKETS, 0
+            latencies, late = [0] * LATENCY_BUCKETS, 0
             for _ in range(count):
                 took = self.random.lognormvariate(4, 0.6) * (self.change.slower if new else 1) * cold * (1 + swing)
-                latencies[bucket(int(took * 1e6))] += 1
+                latencies[latency_bucket(int(took * 1e6))] += 1
                 late += took > 200
             self.harmed += (int(count * self.change.refused) + errors) if new else 0
-            front.sums[type_] = front.sums.get(type_, Sums()).plus(
-                Sums(count, refused, 0, errors, late, tuple(latencies)))
+            front.sums[type_] = front.sums.get(type_, CallStats()).plus(
+                CallStats(count, refused, 0, errors, late, tuple(latencies)))
 
     def begin(self, front: Front, version: str) -> None:
         front.version, front.up, front.life, front.sums = version, -START, front.life + 1, {}
 
-    def report(self, front: Front) -> Report | None:
+    def report(self, front: Front) -> FrontEndReport | None:
         if front.silent:
             return None
-        return Report(front.version, front.life, max(0, front.up) * SECOND, "", front.failed, dict(front.sums), 0)
+        return FrontEndReport(front.version, front.life, max(0, front.up) * SECOND, "", front.failed,
+                              dict(front.sums), 0)
 
     def check(self) -> None:
         it = self.rollouts.all["r"]
@@ -136,5 +137,5 @@
         if it.taken and len(it.taken) > max(1, int(share * len(self.fronts) + 1e-9)):
             raise Broken(f"{len(it.taken)} are new in a stage of {share}")
         away = [name for name in ("f0", "f1", "f2") if self.fronts[name].up < 0 and name in it.taken]
-        if len(away) > 1 and it.state not in (BACK, DONE):
+        if len(away) > 1 and it.state not in (ROLLED_BACK, DONE):
             raise Broken(f"voters {away} are away at once")
--- a/threadshift/gateway/replicated_services.py
+++ b/threadshift/gateway/replicated_services.py
@@ -42,7 +42,7 @@
                                              version, front.api.recent)
         self.carrier.answers["report"] = self.rollout_service.report
         self.carrier.duties.append(self.rollout_service.duties)
-        self.carrier.began.append(self.rollout_service.conductor.new_holder)
+        self.carrier.began.append(self.rollout_service.coordinator.on_became_leader)
         try:
             self.batch_service = BatchService(front, self.carrier, self.cancels, told.folder, told.undo, disk)
         except BaseException:
--- a/threadshift/gateway/rollout_service.py
+++ b/threadshift/gateway/rollout_service.py
@@ -1,6 +1,6 @@
 """Rollouts, as one front end carries them: what it should run by the record, what it tells of itself, and, where it
 holds
-the right, what the conductor says. Nothing here decides."""
+the right, what the coordinator says. Nothing here decides."""
 from __future__ import annotations
 
 import hashlib
@@ -27,10 +27,10 @@
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.api import Counts
 from threadshift.peers.carrier import Carrier, now
-from threadshift.rollout.conduct import Conductor, Report
-from threadshift.rollout.judge import BUCKETS, Sums, bucket
-from threadshift.rollout.plan import CHECKING, DONE, STAGES, NoRollout, Rollout, Rollouts, UnderWay
-from threadshift.rollout.swap import Wanted
+from threadshift.rollout.canary_analysis import LATENCY_BUCKETS, CallStats, latency_bucket
+from threadshift.rollout.coordinator import FrontEndReport, RolloutCoordinator
+from threadshift.rollout.plan import CHECKING, DEFAULT_STAGES, DONE, NoRollout, Rollout, Rollouts, UnderWay
+from threadshift.rollout.process_replacement import TargetVersion
 
 EACH = SECOND              # between two rounds of reports
 TELL = 800 * MS            # within which peers report
@@ -54,7 +54,7 @@
         self.front, self.told_peers, self.carrier, self.rollouts = front, told, carrier, rollouts
         self.eviction_service, self.version, self.counts = eviction_service, version, counts
         self.versions = VersionFiles(told.folder, front.name)
-        self.conductor = Conductor(rollouts, told.peers)
+        self.coordinator = RolloutCoordinator(rollouts, told.peers)
         self.due: list[dict[str, Any]] = []
         self.sums: dict[str, list[Any]] = {}
         self.can: dict[str, str] = {}
@@ -78,7 +78,7 @@
         self.counts.record(now, pending)
         if pending.answer is None:
             return
-        sums = self.sums.setdefault(pending.call.type, [0, 0, 0, 0, 0, [0] * BUCKETS])
+        sums = self.sums.setdefault(pending.call.type, [0, 0, 0, 0, 0, [0] * LATENCY_BUCKETS])
         took = now - pending.admitted_at
         sums[0] += 1
         sums[1] += pending.answer.final is FinalKind.REJECTED
@@ -86,7 +86,7 @@
         sums[3] += bool(pending.answer.error)
         if pending.answer.final is FinalKind.COMPLETED:
             sums[4] += took > pending.activation.type_stats.target_latency
-            sums[5][bucket(took)] += 1
+            sums[5][latency_bucket(took)] += 1
 
     # What it tells of itself.
 
@@ -96,7 +96,7 @@
         sums = {type_: [*row[:5], list(row[5])] for type_, row in self.sums.items()}
         turned = sum(count for kind, count in self.front.api.refusal_counters.totals().items()
                      if not kind.startswith(FINALS))
-        sums[DOOR] = [turned + self.front.engine.counts["taken"], turned, 0, 0, 0, [0] * BUCKETS]
+        sums[DOOR] = [turned + self.front.engine.counts["taken"], turned, 0, 0, 0, [0] * LATENCY_BUCKETS]
         return {"version": self.version, "life": self.carrier.life, "failed": self.versions.read_failed(),
                 "up": time.monotonic_ns() - self.started if heard else 0,
                 "can": self.can.get(it.id, "?") if it is not None else "",
@@ -104,12 +104,13 @@
                 "loads": self.front.engine.counts["orders"] + self.front.engine.counts["cold"]}
 
     @staticmethod
-    def read(told: dict[str, Any] | None) -> Report | None:
+    def read(told: dict[str, Any] | None) -> FrontEndReport | None:
         if not told or "version" not in told:
             return None
-        sums = {type_: Sums(row[0], row[1], row[2], row[3], row[4], tuple(row[5]))
+        sums = {type_: CallStats(row[0], row[1], row[2], row[3], row[4], tuple(row[5]))
                 for type_, row in told["sums"].items()}
-        return Report(told["version"], told["life"], told["up"], told["can"], told["failed"], sums, told["loads"])
+        return FrontEndReport(told["version"], told["life"], told["up"], told["can"], told["failed"], sums,
+                              told["loads"])
 
     # What the record says.
 
@@ -135,7 +136,7 @@
             self.can[it.id] = str(problem)[:300]
         self.front.note("rollout-checked", rollout=it.id, can=not self.can[it.id], problem=self.can[it.id])
 
-    def prepared(self, ids: tuple[str, ...]) -> tuple[Wanted, str]:
+    def prepared(self, ids: tuple[str, ...]) -> tuple[TargetVersion, str]:
         """What to run for these rollouts, and what is wrong with that. Raises Mistake, OSError, BadChange."""
         version, tree = "+".join(ids), ""
         changes: list[patch.Change] = []
@@ -152,7 +153,7 @@
         told = subprocess.run([*program(tree), "check", str(path)], capture_output=True, timeout=CHECK,
                               env=environment(tree))
         said = told.stderr.decode(errors="replace").strip()[-300:]
-        return Wanted(0, version, str(path), tree), "" if told.returncode == 0 else said or "its check failed"
+        return TargetVersion(0, version, str(path), tree), "" if told.returncode == 0 else said or "its check failed"
 
     def change(self, place: int, ids: tuple[str, ...]) -> None:
         """Writes down what should run, and wakes the supervisor. On the way back each waits for its turn."""
@@ -163,7 +164,7 @@
         try:
             it, problem = self.prepared(ids)
         except (ThreadshiftError, Mistake, OSError) as trouble:
-            it, problem = Wanted(), str(trouble)
+            it, problem = TargetVersion(), str(trouble)
         if problem:
             self.front.note("version-not-taken", level="error", version="+".join(ids), problem=problem,
                             help=BadChange.help)
@@ -186,7 +187,7 @@
     # Where it holds the right.
 
     def duties(self, at: int) -> list[dict[str, Any]]:
-        """What the conductor says, by the reports of the last second; called at each tick of the holder."""
+        """What the coordinator says, by the reports of the last second; called at each tick of the holder."""
         if self.rollouts.under_way is not None and at - self.reporting >= EACH:
             self.reporting = at
             gevent.spawn(self.gather)
@@ -201,8 +202,8 @@
         found = self.carrier.ask_all("report", {}, TELL)
         at = now()
         if self.carrier.member.holds(at):
-            self.conductor.fed(at, {name: self.read(told) for name, told in found.items()})
-            self.due = self.conductor.due(at)
+            self.coordinator.record_reports(at, {name: self.read(told) for name, told in found.items()})
+            self.due = self.coordinator.due_entries(at)
 
     # Operators.
 
@@ -222,7 +223,7 @@
                 str(name): int(value) for name, value in told["eviction"].get("parameters", {}).items()})
         if not what:
             raise BadChange("it changes nothing: settings, tree or eviction are wanted")
-        stages = [float(each) for each in told.get("stages", STAGES)]
+        stages = [float(each) for each in told.get("stages", DEFAULT_STAGES)]
         if not stages or stages != sorted(stages) or stages[-1] != 1.0 or stages[0] < 0:
             raise BadChange("stages are shares that grow up to 1")
         id_ = self.carrier.new_id("rollout")
--- a/threadshift/gateway/supervisor.py
+++ b/threadshift/gateway/supervisor.py
@@ -34,20 +34,20 @@
         self.ready = -1                      # where the coming one says that it is
         self.old: list[tuple[subprocess.Popen, int]] = []      # those that drain, and when they are killed
         self.due = 0
-        self.swap = None
+        self.replacement = None
         if told.peering is not None:
             # Imported only where front ends hold anything in common.
             from threadshift.gateway.version_files import VersionFiles
-            from threadshift.rollout.swap import Swap, Wanted
+            from threadshift.rollout.process_replacement import ProcessReplacement, TargetVersion
             self.versions = VersionFiles(told.peering.folder, self.name)
-            self.installed = Wanted(conf=told.file)
+            self.installed = TargetVersion(conf=told.file)
             it = self.versions.read_wanted()
             good = it is not None and it.version != self.versions.read_failed() and os.path.exists(it.conf)
-            self.swap = Swap(it if it is not None and good else self.installed)
+            self.replacement = ProcessReplacement(it if it is not None and good else self.installed)
 
     def spawn(self, conf: str, version: str = "", tree: str = "", ready: int = -1) -> subprocess.Popen:
         command = ["front-end", conf or self.told.file, "--index", str(self.index)]
-        if self.swap is None:
+        if self.replacement is None:
             return subprocess.Popen([sys.executable, "-m", "threadshift", *command], stdin=subprocess.PIPE)
         from threadshift.gateway.rollout_service import environment, program
         more = ["--version", version, *(["--ready-fd", str(ready)] if ready >= 0 else [])]
@@ -56,10 +56,10 @@
 
     def start(self) -> None:
         self.restarts.on_started(time.monotonic_ns())
-        if self.swap is None:
+        if self.replacement is None:
             self.process = self.spawn(self.told.file)
         else:
-            it = self.swap.running
+            it = self.replacement.running
             self.process = self.spawn(it.conf, it.version, it.tree)
 
     @property
@@ -75,11 +75,11 @@
                 self.due = self.restarts.on_died(now)
                 self.log.note("front-end-died", level="error", index=self.index, code=code,
                               again_ms=(self.due - now) // MS)
-                if self.swap is not None:
-                    version = self.swap.running.version
-                    self.carry(self.swap.died(now), now)
+                if self.replacement is not None:
+                    version = self.replacement.running.version
+                    self.carry(self.replacement.on_died(now), now)
                     self.note_failed(version)
-        if self.swap is not None and not ending:
+        if self.replacement is not None and not ending:
             self.change(now)
         for each in [each for each in self.old if each[0].poll() is not None]:
             self.old.remove(each)
@@ -91,49 +91,49 @@
 
     def change(self, now: int) -> None:
         """One look at what should run, and at the child that is to."""
-        swap = self.swap
-        assert swap is not None
-        acts = swap.tick(now)
+        replacement = self.replacement
+        assert replacement is not None
+        acts = replacement.tick(now)
         if (it := self.versions.read_wanted()) is not None:
-            acts += swap.wanted(now, it)
+            acts += replacement.on_target(now, it)
         if self.coming is not None:
             if self.coming.poll() is not None:
-                acts += swap.incoming_died()
+                acts += replacement.on_incoming_died()
             elif select.select([self.ready], [], [], 0)[0]:
-                acts += swap.ready(now) if os.read(self.ready, 1) else []
+                acts += replacement.on_ready(now) if os.read(self.ready, 1) else []
         self.carry(acts, now)
 
     def carry(self, acts: list, now: int) -> None:
-        from threadshift.rollout.swap import Act
-        swap = self.swap
-        assert swap is not None
+        from threadshift.rollout.process_replacement import ReplacementAction
+        replacement = self.replacement
+        assert replacement is not None
         for act in acts:
-            if act is Act.START and swap.incoming is not None:
-                it = swap.incoming
+            if act is ReplacementAction.START and replacement.incoming is not None:
+                it = replacement.incoming
                 self.log.note("version-starts", index=self.index, version=it.version, place=it.place)
                 self.ready, theirs = os.pipe()
                 self.coming = self.spawn(it.conf, it.version, it.tree, theirs)
                 os.close(theirs)
-            elif act is Act.TAKE_OVER:
-                self.log.note("version-runs", index=self.index, version=swap.running.version)
+            elif act is ReplacementAction.TAKE_OVER:
+                self.log.note("version-runs", index=self.index, version=replacement.running.version)
                 if self.process is not None:
                     self.process.send_signal(signal.SIGTERM)
                     self.old.append((self.process, now + self.told.bounds.drain + KILL_AFTER))
                 self.process, self.coming = self.coming, None
                 self.restarts.on_started(now)
                 os.close(self.ready)
-            elif act is Act.GIVE_UP and self.coming is not None:
+            elif act is ReplacementAction.GIVE_UP and self.coming is not None:
                 self.coming.kill()
                 self.coming.wait()
                 self.coming = None
                 os.close(self.ready)
-                self.note_failed(swap.failed)
+                self.note_failed(replacement.failed_version)
 
     def note_failed(self, version: str) -> None:
         """Told where the front end finds it, so that it is told on with its reports."""
-        if self.swap is not None and version and self.swap.failed == version:
+        if self.replacement is not None and version and self.replacement.failed_version == version:
             self.log.note("version-failed", level="error", index=self.index, version=version,
-                          runs=self.swap.running.version, help="see the log of the child that did not come up")
+                          runs=self.replacement.running.version, help="see the log of the child that did not come up")
             with suppress(OSError):
                 self.versions.write_failed(version)
 
--- a/threadshift/gateway/version_files.py
+++ b/threadshift/gateway/version_files.py
@@ -4,7 +4,7 @@
 import json
 from pathlib import Path
 
-from threadshift.rollout.swap import Wanted
+from threadshift.rollout.process_replacement import TargetVersion
 from threadshift.storage.disk import Disk
 
 FORM = 1                   # of these files
@@ -16,14 +16,15 @@
     def __init__(self, folder: Path, name: str):
         self.folder, self.name, self.disk = folder, name, Disk()
 
-    def read_wanted(self) -> Wanted | None:
+    def read_wanted(self) -> TargetVersion | None:
         fields = self.read("version")
         try:
-            return Wanted(int(fields["place"]), str(fields["version"]), str(fields["conf"]), str(fields["tree"]))
+            return TargetVersion(int(fields["place"]), str(fields["version"]), str(fields["conf"]),
+                                 str(fields["tree"]))
         except (KeyError, ValueError):
             return None
 
-    def write_wanted(self, wanted: Wanted) -> None:
+    def write_wanted(self, wanted: TargetVersion) -> None:
         """Raises OSError."""
         self.write("version", wanted._asdict())
 
--- a/threadshift/rollout/__init__.py
+++ b/threadshift/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""A change of program, settings or eviction policy, taken by front ends in stages, watched, and taken back."""
+"""Rollouts: front ends take a change of program, settings or eviction policy in stages, or go back."""
--- a/threadshift/rollout/plan.py
+++ b/threadshift/rollout/plan.py
@@ -1,8 +1,9 @@
-"""What the record knows of rollouts, and which version each front end should run by it. Free of I/O; fed by entries.
+"""Rollouts as a replicated state machine, and the version that each front end should run by it. It is changed only by
+entries of the log. Free of I/O.
 
-A version is the list of changes that a front end runs on top of what is installed: those of rollouts that are done,
-and for who was taken into one that goes on, that one as well. There is never a third: a second rollout is refused
-while one goes on, and a rollback of a rollback is a rollout of its own."""
+A version is the list of changes that a front end runs on top of what is installed: those of all rollouts that are
+done, and that of the rollout under way for front ends that it has taken. So there are never more than two versions: a
+second rollout is refused while one is under way, and to undo a rollback is a rollout of its own."""
 from __future__ import annotations
 
 from collections.abc import Sequence
@@ -11,44 +12,44 @@
 
 from threadshift.errors import ThreadshiftError
 
-CHECKING, GOING, PAUSED, BACK, DONE = "checking", "going", "paused", "back", "done"
-KEPT = 50                  # rollouts remembered after their end; changes of those that are done stay for good
-STAGES = (0.0, 0.2, 0.5, 1.0)      # shares of the front ends; the first stage is one
+CHECKING, IN_PROGRESS, PAUSED, ROLLED_BACK, DONE = "checking", "going", "paused", "back", "done"
+MAX_ENDED_ROLLOUTS = 50        # that are remembered after they went back; those that are done are never forgotten
+DEFAULT_STAGES = (0.0, 0.2, 0.5, 1.0)      # shares of the front ends; at least one front end takes part in a stage
 
 
 class UnderWay(ThreadshiftError):
-    """A rollout while another goes on."""
+    """A rollout was requested while another is under way. The class name is sent to operators."""
 
     help = "let it end, or abort it: 'threadshift rollout abort'"
 
 
 class NoRollout(ThreadshiftError):
-    """No rollout goes on, or none of this id."""
+    """No rollout is under way, or none has this id. The class name is sent to operators."""
 
     help = "see 'threadshift rollout show'"
 
 
 @dataclass(slots=True)
 class Rollout:
-    """One change on its way."""
+    """One change and its progress. The fields are stored under their own names."""
 
     id: str
     what: dict[str, Any]         # settings: [[block, directive, words]], tree, digest, eviction
     stages: list[float]
-    hold: int                    # ns for which each stage has to stand
+    hold: int                    # ns for which each stage has to be complete before the next one
     who: str
-    place: int                   # of the entry that changed it last: acts of earlier ones are refused
+    place: int                   # log position of the entry that changed it last
     state: str = CHECKING
     stage: int = -1
     taken: list[str] = field(default_factory=list)       # in the order in which they were taken
     why: str = ""
-    pacing: list[str] = field(default_factory=list)      # the order of the way back
+    pacing: list[str] = field(default_factory=list)      # the order in which front ends go back
 
 
 class Version(NamedTuple):
-    """What a front end should run."""
+    """The version that a front end should run."""
 
-    place: int                   # of the entry that says so
+    place: int                   # log position of the entry that decided it
     ids: tuple[str, ...]         # rollouts whose changes it has, first to last
 
     @property
@@ -57,7 +58,7 @@
 
 
 class Rollouts:
-    """The machine."""
+    """The replicated state machine."""
 
     words = {"rollout.start": 1, "rollout.take": 1, "rollout.pause": 1, "rollout.resume": 1, "rollout.back": 1,
              "rollout.done": 1}
@@ -68,53 +69,56 @@
 
     @property
     def under_way(self) -> Rollout | None:
-        return next((each for each in self.all.values() if each.state in (CHECKING, GOING, PAUSED)), None)
+        return next((each for each in self.all.values() if each.state in (CHECKING, IN_PROGRESS, PAUSED)), None)
 
     def apply(self, place: int, body: dict[str, Any]) -> Rollout | None:
-        """The rollout that the entry made or moved; None where it does nothing."""
+        """Applies an entry. Returns the rollout that it started or changed; None if it has no effect."""
         if body["do"] == "rollout.start":
             if self.under_way is not None:
                 return None
             new = self.all[body["id"]] = Rollout(body["id"], body["what"], list(body["stages"]), body["hold"],
                                                  body["who"], place)
-            over = [each.id for each in self.all.values() if each.state in (BACK, DONE) and each.id not in self.done]
-            for id_ in over[:max(0, len(over) - KEPT)]:
+            ended = [each.id for each in self.all.values()
+                     if each.state in (ROLLED_BACK, DONE) and each.id not in self.done]
+            for id_ in ended[:max(0, len(ended) - MAX_ENDED_ROLLOUTS)]:
                 del self.all[id_]
             return new
-        it = self.all.get(body["rollout"])
-        if it is None or it.state not in (CHECKING, GOING, PAUSED):
+        rollout = self.all.get(body["rollout"])
+        if rollout is None or rollout.state not in (CHECKING, IN_PROGRESS, PAUSED):
             return None
         do = body["do"]
         if do == "rollout.take":
-            # Whoever proposed it may have known less: only the next step from where the record stands counts.
-            if it.state == PAUSED or body["stage"] not in (it.stage, it.stage + 1) or body["after"] != len(it.taken):
+            # The leader that proposed the entry may not have known the latest state: only the next step counts.
+            if (rollout.state == PAUSED or body["stage"] not in (rollout.stage, rollout.stage + 1)
+                    or body["after"] != len(rollout.taken)):
                 return None
-            it.state, it.stage = GOING, body["stage"]
-            it.taken += [name for name in body["names"] if name not in it.taken]
+            rollout.state, rollout.stage = IN_PROGRESS, body["stage"]
+            rollout.taken += [name for name in body["names"] if name not in rollout.taken]
         elif do == "rollout.pause":
-            it.state = PAUSED if it.state == GOING else it.state
+            rollout.state = PAUSED if rollout.state == IN_PROGRESS else rollout.state
         elif do == "rollout.resume":
-            it.state = GOING if it.state == PAUSED else it.state
+            rollout.state = IN_PROGRESS if rollout.state == PAUSED else rollout.state
         elif do == "rollout.back":
-            it.state, it.pacing = BACK, it.taken[::-1]
-        elif it.state != GOING or it.stage != len(it.stages) - 1:
+            rollout.state, rollout.pacing = ROLLED_BACK, rollout.taken[::-1]
+        elif rollout.state != IN_PROGRESS or rollout.stage != len(rollout.stages) - 1:
             return None
         else:
-            it.state = DONE
-            self.done.append(it.id)
-        it.why, it.place = body.get("why", it.why), place
-        return it
+            rollout.state = DONE
+            self.done.append(rollout.id)
+        rollout.why, rollout.place = body.get("why", rollout.why), place
+        return rollout
 
     def version_of(self, name: str) -> Version:
-        """What this front end should run, by what is known here."""
+        """Returns the version that a front end should run, as far as this node knows."""
         place, ids = 0, list(self.done)
         for each in self.all.values():
             place = max(place, each.place)
-            if each.state in (GOING, PAUSED) and name in each.taken:
+            if each.state in (IN_PROGRESS, PAUSED) and name in each.taken:
                 ids.append(each.id)
         return Version(place, tuple(ids))
 
     def changes(self, ids: Sequence[str]) -> list[dict[str, Any]]:
+        """Returns the changes of the rollouts that are known here."""
         return [self.all[id_].what for id_ in ids if id_ in self.all]
 
     def dump(self) -> dict[str, Any]:
