--- a/threadshift/batches/__init__.py
+++ b/threadshift/batches/__init__.py
@@ -1,1 +1,1 @@
-"""Batches of deferred calls: cancelled as one, and brought back as they were while the window is open."""
+"""Batches of deferred calls, which can be cancelled together and restored while the undo window is open."""
--- a/threadshift/batches/store.py
+++ b/threadshift/batches/store.py
@@ -1,12 +1,14 @@
-"""The calls of batches as records of a journal, so that they outlive the process. Free of I/O but for its journal.
+"""The calls of batches as records of a journal, so that they survive a crash of the process. Free of I/O except for
+the journal.
 
-What is kept before which act: a call before its 202; that it is out before it is handed to the decisions, so before
-any byte of it may leave; its answer before that is told; what a cancel stopped before that is told. What a crash
-leaves is judged from that alone: never out, it waits on; out and harmless twice, it waits on; out else, it is over,
-as aborted that may have run, even if it never left: that errs on the side that never runs a thing twice.
+Write-ahead rules: a call is stored before its 202 is sent; that it goes out is stored before the engine gets it, and
+so before any byte of it may be sent; its answer is stored before it is given out; the calls that a cancel parked are
+stored before that is reported. After a crash only these records decide. A call that never went out waits again, and
+so does one that was out and is repeatable. Any other call that was out is ended as aborted, may have run, even if it
+never left the process: that errs on the side that never runs a call twice.
 
-Wall-clock times decide nothing but how much of a call's own time went by while the process was away; a clock that
-went back gives it no more than it had."""
+Wall-clock times serve only to compute how much of a call's time passed while no process ran. A clock that was set
+back gives a call no more time than it had."""
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
@@ -19,68 +21,70 @@
 from threadshift.storage.disk import Disk
 from threadshift.storage.journal import Journal
 
-FORM = 1                   # of these records
-SPARE = 2_000              # records beyond four times what stands, after which the file begins anew
+FORMAT_VERSION = 1         # written as "form" in each record
+# The file is rewritten once it has more records than RECORDS_PER_CALL times the stored calls and RECORD_SLACK more.
+RECORDS_PER_CALL = 4
+RECORD_SLACK = 2_000
 
 
 class UnsupportedVersion(ThreadshiftError):
-    """A file that a later program wrote."""
+    """A later version of the program wrote the file."""
 
     help = "start the program that wrote it, or a later one; this one leaves the file as it is"
 
 
 @dataclass(slots=True)
 class StoredCall:
-    """One call as its records tell it."""
+    """One call, by its records. The fields have the names of the fields of a "take" record."""
 
     ivk: str
     tenant: str
     batch: str
     order: int
-    at: int                      # wall clock ns, when it was accepted ...
-    left: int                    # ... and its own time from then on
+    at: int                      # when it was accepted, wall-clock ns
+    left: int                    # the time that it had left then, ns
     call: dict[str, Any]
     effect: Effect
     tries: int = 0
     out: bool = False
-    parked: str = ""
+    parked: str = ""             # id of the cancel that parked it
     answer: dict[str, Any] | None = None
-    answered: int = 0            # wall clock ns
-    extra: dict[str, Any] = field(default_factory=dict)      # fields of its record that are not known here
+    answered: int = 0            # when its final answer was stored, wall-clock ns
+    extra: dict[str, Any] = field(default_factory=dict)      # fields of its record that this version does not know
 
     def remaining(self, wall: int) -> int:
-        """What is left of its own time."""
+        """Returns how much time the call has left; negative if it has passed."""
         return self.left - max(0, wall - self.at)
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a crash now would leave it in doubt, where it may not run twice."""
+        """Whether the call may have run, and must not run twice, if the process crashes now."""
         return self.out and self.effect is not Effect.REPEATABLE
 
 
 class BatchStore:
-    """All calls of batches of one front end."""
+    """The stored calls of all batches of one front end."""
 
     def __init__(self, path: Path, disk: Disk | None = None):
-        """Raises what reading it raises, and UnsupportedVersion."""
+        """Reads the file. Raises what reading it raises, and UnsupportedVersion."""
         self.journal = Journal(path, write=True, disk=disk)
         self.calls: dict[str, StoredCall] = {}
         self.last_order = 0
-        self.written = 0
+        self.record_count = 0                    # records in the file
         try:
             for record in self.journal.read():
-                self.written += 1
-                self.take(record)
+                self.record_count += 1
+                self.apply_record(record)
         except BaseException:
             self.journal.close()
             raise
 
-    def take(self, record: dict[str, Any]) -> None:
-        """One record, now or from an earlier life. Raises UnsupportedVersion."""
-        if record.get("form", 0) > FORM:
-            raise UnsupportedVersion(f"a record of form {record['form']}; {FORM} is known here",
+    def apply_record(self, record: dict[str, Any]) -> None:
+        """Applies a record that was read or has just been written. Raises UnsupportedVersion."""
+        if record.get("form", 0) > FORMAT_VERSION:
+            raise UnsupportedVersion(f"a record has form {record['form']}; this program reads up to {FORMAT_VERSION}",
                                      str(self.journal.path))
-        do, it = record.get("do"), self.calls.get(record.get("ivk", ""))
+        do, call = record.get("do"), self.calls.get(record.get("ivk", ""))
         if do == "take":
             known = {name: record[name] for name in (
                 "ivk", "tenant", "batch", "order", "at", "left", "call", "tries", "out", "parked", "answer",
@@ -95,45 +99,47 @@
         elif do == "free":
             for each in self.calls.values():
                 each.parked = "" if each.parked == record["cancel"] else each.parked
-        elif it is None:
+        elif call is None:
             return
         elif do == "out":
-            it.out, it.parked = True, ""
+            call.out, call.parked = True, ""
         elif do == "back":
-            it.out, it.tries, it.parked = False, record["tries"], record.get("parked", "")
+            call.out, call.tries, call.parked = False, record["tries"], record.get("parked", "")
         elif do == "end":
-            it.out, it.parked, it.answer, it.answered = False, "", record["answer"], record["at"]
+            call.out, call.parked, call.answer, call.answered = False, "", record["answer"], record["at"]
         elif do == "forget":
-            del self.calls[it.ivk]
+            del self.calls[call.ivk]
 
     def write(self, records: list[dict[str, Any]]) -> None:
-        """Keeps records, all or none; another thread may. As long as an fsync; raises Unwritten."""
+        """Appends records, all or none, and waits for an fsync; may run on another thread. Raises Unwritten."""
         self.journal.append(*records)
 
     def on_written(self, records: list[dict[str, Any]]) -> list[dict[str, Any]]:
-        """Applies what was kept; what the file should begin anew with, if it has become long."""
-        self.written += len(records)
+        """Applies records that were written. Returns records to rewrite the file with if it has become too long."""
+        self.record_count += len(records)
         for each in records:
-            self.take(each)
-        if self.written <= SPARE + 4 * len(self.calls):
+            self.apply_record(each)
+        if self.record_count <= RECORD_SLACK + RECORDS_PER_CALL * len(self.calls):
             return []
-        self.written = len(self.calls)
-        return list(self.whole())
+        self.record_count = len(self.calls)
+        return list(self.current_records())
 
-    def whole(self) -> Iterator[dict[str, Any]]:
-        """All that stands, as records of a file begun anew."""
+    def current_records(self) -> Iterator[dict[str, Any]]:
+        """Yields one record for each stored call, for a rewritten file."""
         for each in sorted(self.calls.values(), key=lambda each: each.order):
-            yield {"form": FORM, "do": "take", **each.extra, "ivk": each.ivk, "tenant": each.tenant,
+            yield {"form": FORMAT_VERSION, "do": "take", **each.extra, "ivk": each.ivk, "tenant": each.tenant,
                    "batch": each.batch, "order": each.order, "at": each.at, "left": each.left, "call": each.call,
                    "effect": each.effect.value, "tries": each.tries, "out": each.out, "parked": each.parked,
                    "answer": each.answer, "answered": each.answered}
 
-    def of(self, parked: str) -> Iterable[StoredCall]:
-        return [each for each in self.calls.values() if each.parked == parked]
+    def calls_parked_by(self, cancel_id: str) -> Iterable[StoredCall]:
+        """Returns the calls that a cancel parked."""
+        return [each for each in self.calls.values() if each.parked == cancel_id]
 
     def close(self) -> None:
         self.journal.close()
 
 
 def make_record(do: str, **fields: Any) -> dict[str, Any]:
-    return {"form": FORM, "do": do, **fields}
+    """Returns a record of the kind `do`."""
+    return {"form": FORMAT_VERSION, "do": do, **fields}
--- a/threadshift/eviction/node.py
+++ b/threadshift/eviction/node.py
@@ -34,7 +34,7 @@
 class TooSlow(ThreadshiftError):
     """A policy took longer than a decision may take."""
 
-    help = "bound the policy's work: it is asked for each thing that takes memory"
+    help = "limit the policy's work: it is called for each item that takes memory"
 
 
 def call_with_time_limit(act: Callable[[], Any], limit: int) -> Any:
