--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -21,9 +21,9 @@
 ROOT = Path(__file__).resolve().parent.parent
 PROBES = """
 import os, socket, subprocess, sys, threading
-from tests import refusals
+from tests import syscall_filter
 if "free" not in sys.argv:
-    refusals.lay()
+    syscall_filter.install()
 def error_of(call):
     try:
         call()
@@ -59,7 +59,7 @@
             path.write_text(json.dumps(configuration(listen=str(address), coordinator=str(coordinator.address))))
             start, module = shlex.split(deployed()["run"])[-2:]
             self.assertEqual(start, "-m")
-            child = subprocess.Popen([sys.executable, "-m", "tests.refusals", module], cwd=ROOT,
+            child = subprocess.Popen([sys.executable, "-m", "tests.syscall_filter", module], cwd=ROOT,
                                      env=os.environ | {"NODE_CONFIG": str(path)}, stderr=subprocess.PIPE)
             try:
                 self.assertEqual(self.serve(child, address), (200, b"did x"))
