--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -159,10 +159,10 @@
 def restore(count: int) -> None:
     import gevent
 
-    from tests.several import Several
+    from tests.cluster import Cluster
     from tests.test_rollout import Traffic
-    with Several(workers=6, undo="60s") as it:
-        it.until(it.holder)
+    with Cluster(workers=6, undo="60s") as it:
+        it.until(it.leader)
         traffic = Traffic(it, 0.01)
         gevent.sleep(5)
         before, began = dict(traffic.answers), time.monotonic()
@@ -171,27 +171,27 @@
         gevent.joinall(list(taken.values()))
         ids = {name: greenlet.get() for name, greenlet in taken.items()}
         accepted, began = time.monotonic() - began, time.monotonic()
-        _, told = it.ask("f0", "POST", "/v1/batches/eve/cancel")
+        _, told = it.request("f0", "POST", "/v1/batches/eve/cancel")
         cancelled = time.monotonic() - began
         gevent.sleep(1)
         at, began = dict(traffic.answers), time.monotonic()
-        _, back = it.ask("f1", "POST", f"/v1/cancels/{told['cancel']}/restore")
+        _, back = it.request("f1", "POST", f"/v1/cancels/{told['cancel']}/restore")
         restored = time.monotonic() - began
 
         def over():
-            now = it.ask("f2", "GET", "/v1/batches/eve")[1]
+            now = it.request("f2", "GET", "/v1/batches/eve")[1]
             return now["waiting"] + now["out"] == 0 and now
 
         shown = it.until(over, 60)
         drained = time.monotonic() - began
         traffic.stop()
-        ends = Counter(status for name in it.names for status in it.finals(name, ids[name]))
+        ends = Counter(status for name in it.names for status in it.answer_statuses(name, ids[name]))
         say(json.dumps({
             "calls": each * len(it.names), "accepted in s": round(accepted, 2), "stopped": told["stopped"],
             "cancel s": round(cancelled, 2), "restore s": round(restored, 2),
             "waiting or out again": back["waiting"] + back["out"], "done before": back["done"],
             "over s after restore": round(drained, 1), "done": shown["done"], "finals": dict(ends),
-            "most runs of a mark": max(it.runs().values()), "new calls served, before": share(before, {}),
+            "most runs of a mark": max(it.run_counts().values()), "new calls served, before": share(before, {}),
             "after the restore": share(traffic.answers, at), "lost": len(traffic.lost)}, indent=1))
 
 
--- a/tests/several.py
+++ b/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Several front ends as processes, with workers, and a relay on each way between two front ends."""
+"""Several front ends as processes, with workers, and a relay in each direction between two front ends."""
 import json
 import os
 import shutil
@@ -56,8 +56,8 @@
 """
 
 
-class Several:
-    """Started with `with`; f0, f1 ... are front ends, the first of them voters."""
+class Cluster:
+    """Front ends f0, f1 ... (the first are voters) and workers w0, w1 ..., started by a `with` statement."""
 
     def __init__(self, fronts=5, voters=3, workers=3, lease="1s", undo="4s", extra="", memory_mb=4096, package=None,
                  supervised=False):
@@ -66,42 +66,42 @@
         self.rig = Rig(self.folder)
         self.names = [f"f{n}" for n in range(fronts)]
         ports = iter(free_ports(3 * fronts))
-        self.port, self.peer, self.admin = ({name: next(ports) for name in self.names} for _ in range(3))
+        self.port, self.peer_port, self.admin_port = ({name: next(ports) for name in self.names} for _ in range(3))
         self.memory_mb, self.supervised = memory_mb, supervised
-        self.paths = os.environ.get("PYTHONPATH")
+        self.python_path = os.environ.get("PYTHONPATH")
         if package is not None:
             self.install(*package)
-        self.facts = {"fronts": fronts, "voters": voters, "lease": lease, "undo": undo, "extra": extra}
+        self.conf_values = {"fronts": fronts, "voters": voters, "lease": lease, "undo": undo, "extra": extra}
         self.workers = [f"w{n}" for n in range(workers)]
-        self.disks = {}
-        self.marks, self.told = {}, []       # activation: mark; what clients were told of them
+        self.disk_orders = {}
+        self.marks = {}                  # by activation
+        self.client_answers = []         # status of each answer that a client received, with mark and time
 
     def install(self, dist, module, name, text):
-        """A customer's package with one eviction policy, for the processes alone."""
+        """Installs a customer's package with one eviction policy, for the started processes only."""
         folder = self.folder / "site"
         info = folder / f"{dist.replace('-', '_')}-1.0.dist-info"
         info.mkdir(parents=True)
         (info / "METADATA").write_text(f"Metadata-Version: 2.1\nName: {dist}\nVersion: 1.0\n")
         (info / "entry_points.txt").write_text(f"[threadshift.eviction]\n{module} = {module}:{name}\n")
         (folder / f"{module}.py").write_text(text)
-        os.environ["PYTHONPATH"] = f"{folder}{os.pathsep}{self.paths or ''}"
+        os.environ["PYTHONPATH"] = f"{folder}{os.pathsep}{self.python_path or ''}"
 
     def __enter__(self):
         rig = self.rig
         rig.standin("store", "store", load_ms=20, work_ms=5, memory_mb=50)
         rig.standin("roster", "roster")
-        ways = [(one, other) for one in self.names for other in self.names if one != other]
+        links = [(one, other) for one in self.names for other in self.names if one != other]
         rig.start("relay", "standin", "relay", *(
-            f"--route={one}-{other}=127.0.0.1:0=127.0.0.1:{self.peer[other]}" for one, other in ways))
+            f"--route={one}-{other}=127.0.0.1:0=127.0.0.1:{self.peer_port[other]}" for one, other in links))
         for worker in self.workers:
-            rig.standin(worker, "worker", name=worker, memory_mb=self.memory_mb, store=rig.listening("store") if
-            worker == "w0" else
-                        rig.at["store"])
-        self.way = {}
+            rig.standin(worker, "worker", name=worker, memory_mb=self.memory_mb,
+                        store=rig.listening("store") if worker == "w0" else rig.at["store"])
+        self.routes = {}
         with gevent.Timeout(20):
             for each in rig.processes["relay"].process.stdout.readline().decode().split()[1].split(","):
-                name, _, at = each.partition("=")
-                self.way[name] = at
+                name, _, address = each.partition("=")
+                self.routes[name] = address
         rig.listening("roster")
         for worker in self.workers:
             rig.processes["roster"].order(f"worker {worker} {rig.listening(worker)}")
@@ -115,50 +115,51 @@
 
     def __exit__(self, *_):
         self.rig.end()
-        if self.paths is None:
+        if self.python_path is None:
             os.environ.pop("PYTHONPATH", None)
         else:
-            os.environ["PYTHONPATH"] = self.paths
+            os.environ["PYTHONPATH"] = self.python_path
         self.scratch.cleanup()
 
-    def conf(self, name, **changes):
+    def write_conf(self, name, **changes):
+        """Writes the configuration file of a front end; it reaches its peers through the relay."""
         peers = "\n".join(
-            f"    {'voter' if n < self.facts['voters'] else 'follower'} {other} "
-            f"{f'127.0.0.1:{self.peer[other]}' if other == name else self.way[f'{name}-{other}']}"
+            f"    {'voter' if n < self.conf_values['voters'] else 'follower'} {other} "
+            f"{f'127.0.0.1:{self.peer_port[other]}' if other == name else self.routes[f'{name}-{other}']}"
             for n, other in enumerate(self.names))
-        text = CONF.format(port=self.port[name], admin=self.admin[name], name=name, feed=self.rig.at["roster"],
-        peers=peers,
-                           folder=self.folder / name, **{**self.facts, **changes})
+        text = CONF.format(port=self.port[name], admin=self.admin_port[name], name=name, feed=self.rig.at["roster"],
+                           peers=peers, folder=self.folder / name, **{**self.conf_values, **changes})
         path = self.folder / f"{name}.conf"
         path.write_text(text)
         return path
 
     def start(self, name):
         if self.supervised:
-            self.rig.start(f"front-{name}", "run", str(self.conf(name)))
+            self.rig.start(f"front-{name}", "run", str(self.write_conf(name)))
             return
-        more = ["--disk-orders", str(self.disks[name])] if name in self.disks else []
-        self.rig.start(f"front-{name}", "front-end", str(self.conf(name)), *more)
+        more = ["--disk-orders", str(self.disk_orders[name])] if name in self.disk_orders else []
+        self.rig.start(f"front-{name}", "front-end", str(self.write_conf(name)), *more)
 
     def kill(self, name):
         self.rig.kill(f"front-{name}")
 
     def freeze(self, name):
-        self.frozen = self.status(name)["pid"]
-        os.kill(self.frozen, signal.SIGSTOP)
+        """Stops the process of a front end, without ending it."""
+        self.frozen_pid = self.status(name)["pid"]
+        os.kill(self.frozen_pid, signal.SIGSTOP)
 
-    def wake(self, name):
-        os.kill(self.frozen, signal.SIGCONT)
+    def resume(self, name):
+        os.kill(self.frozen_pid, signal.SIGCONT)
 
     def cut(self, names, seconds, way="cut"):
-        """Cuts these off from all others: `forth` lets them hear and not be heard, `back` the other way round."""
+        """Cuts front ends off from all others: `forth` only what they send, `back` only what is sent to them."""
         out = [f"{one}-{other}" for one in names for other in self.names if other not in names]
         into = [f"{other}-{one}" for one in names for other in self.names if other not in names]
         for route in {"cut": out + into, "forth": out, "back": into}[way]:
             self.rig.processes["relay"].order(f"{route} cut {seconds}s")
 
-    def tree(self, name, changes):
-        """A copy of the program, with texts in it replaced."""
+    def copy_program(self, name, changes):
+        """Copies the program and replaces texts in the copy; returns its folder."""
         root = self.folder / name
         shutil.copytree(Path(threadshift.__file__).parent, root / "threadshift",
                         ignore=shutil.ignore_patterns("__pycache__"))
@@ -173,8 +174,8 @@
     def heal(self):
         self.rig.processes["relay"].order("* heal")
 
-    def ask(self, name, method, path, headers=None, body=b"", limit=15, admin=False):
-        client = Client(Address("127.0.0.1", (self.admin if admin else self.port)[name]))
+    def request(self, name, method, path, headers=None, body=b"", limit=15, admin=False):
+        client = Client(Address("127.0.0.1", (self.admin_port if admin else self.port)[name]))
         try:
             with gevent.Timeout(limit, NoAnswer(f"{name}: nothing in {limit} s")):
                 answer = client.request(method, path, headers or {}, body)
@@ -183,30 +184,33 @@
         return answer.status, json.loads(answer.body) if answer.body[:1] == b"{" else answer.body
 
     def status(self, name):
+        """Returns the status page of a front end; None if it does not answer."""
         try:
-            return self.ask(name, "GET", "/v1/status", limit=2)[1]
+            return self.request(name, "GET", "/v1/status", limit=2)[1]
         except NoAnswer:
             return None
 
-    def record(self, name):
+    def log_status(self, name):
+        """Returns what a front end reports about the replicated log; None if it does not answer."""
         status = self.status(name)
         return status["together"]["record"] if status else None
 
-    def holder(self):
-        """Who says that it holds the right; empty where nobody does."""
-        return next((name for name in self.names if (record := self.record(name)) and record["holds"]), "")
+    def leader(self):
+        """Returns the front end that reports to be the leader; empty if there is none."""
+        return next((name for name in self.names if (record := self.log_status(name)) and record["holds"]), "")
 
-    def until(self, true, seconds=15.0):
+    def until(self, condition, seconds=15.0):
+        """Waits until the condition returns a true value, and returns that. Raises AssertionError after `seconds`."""
         end = time.monotonic() + seconds
         while True:
-            if found := true():
+            if found := condition():
                 return found
             if time.monotonic() > end:
                 raise AssertionError(f"not within {seconds} s; logs: {self.logs()[-3000:]}")
             gevent.sleep(0.05)
 
     def submit(self, name, batch, count, function="submit-a", work_ms=50, left=30_000):
-        """The ids of so many calls; each has a mark of its own, by which the workers' records tell of it."""
+        """Submits calls and returns their ids. Each has a mark of its own, which the workers' records show."""
         ids, client = [], Client(Address("127.0.0.1", self.port[name]))
         for n in range(count):
             mark = f"{name}-{batch}-{time.monotonic_ns()}-{n}"
@@ -220,18 +224,18 @@
         client.close()
         return ids
 
-    def finals(self, name, ids):
-        """Each id's answer: a status, or None while there is none."""
+    def answer_statuses(self, name, ids):
+        """Returns the status of each call's final answer, or None while there is none."""
         client, found = Client(Address("127.0.0.1", self.port[name])), []
         for each in ids:
             answer = client.request("GET", f"/v1/calls/{each}")
             found.append(None if answer.status == 202 else answer.status)
-            self.told.append({"mark": self.marks[each], "status": answer.status, "t": time.monotonic_ns()})
+            self.client_answers.append({"mark": self.marks[each], "status": answer.status, "t": time.monotonic_ns()})
         client.close()
         return found
 
-    def runs(self):
-        """How often each mark ran, by the workers' own records."""
+    def run_counts(self):
+        """Returns how often each mark ran, by the workers' records."""
         found = {}
         for worker in self.workers:
             for line in (self.folder / f"{worker}.jsonl").read_text().splitlines():
@@ -240,8 +244,8 @@
                     found[event["mark"]] = found.get(event["mark"], 0) + 1
         return found
 
-    def lines(self, *events):
-        """The workers' lines of these events, in order of time."""
+    def events(self, *events):
+        """Returns the workers' records of these events, in order of time."""
         found = []
         for worker in self.workers:
             for line in (self.folder / f"{worker}.jsonl").read_text().splitlines():
--- a/tests/drawn.py
+++ b/tests/drawn.py
@@ -4,7 +4,7 @@
 
 import gevent
 
-from tests.several import Several
+from tests.cluster import Cluster
 from threadshift.audit import together
 from threadshift.invoke.client import NoAnswer
 
@@ -15,8 +15,8 @@
 def play(seed):
     """What it broke, and a line of what was done. Each step has one fault and one order of a client."""
     draw, said = random.Random(seed), []
-    with Several(undo="5s") as it:
-        it.until(it.holder)
+    with Cluster(undo="5s") as it:
+        it.until(it.leader)
         ids = {name: it.submit(name, "eve", 12, draw.choice(("submit-a", "check-a")), 80, 25_000)
                for name in it.names}
         cancels, frozen = [], ""
@@ -26,7 +26,7 @@
             if fault == "freeze" and not frozen and it.status(name):
                 frozen = name
                 it.freeze(name)
-                gevent.spawn_later(draw.uniform(0.5, 4), it.wake, name)
+                gevent.spawn_later(draw.uniform(0.5, 4), it.resume, name)
             elif fault == "kill" and name != frozen:
                 it.kill(name)
                 it.start(name)
@@ -41,7 +41,7 @@
             path = "/v1/batches/eve/cancel" if order == "cancel" or not cancels else (
                 f"/v1/cancels/{draw.choice(cancels)}/restore")
             try:
-                status, told = it.ask(asks, "POST", path, limit=6)
+                status, told = it.request(asks, "POST", path, limit=6)
                 said.append(f"{asks} {path.split('/')[-1]} {status}")
                 if status == 200 and told["cancel"] not in cancels:
                     cancels.append(told["cancel"])
@@ -53,10 +53,10 @@
         it.heal()
         it.until(lambda: all(it.status(name) for name in it.names), 20)
         end = time.monotonic() + 45
-        while time.monotonic() < end and not all(all(it.finals(name, some)) for name, some in ids.items()):
+        while time.monotonic() < end and not all(all(it.answer_statuses(name, some)) for name, some in ids.items()):
             gevent.sleep(0.2)
         open_ = [f"{name}: {found.count(None)} calls have no answer" for name, some in ids.items()
-                 if None in (found := it.finals(name, some))]
-        runs = [each for each in it.lines("run") if each["mark"]]
-        broken = open_ + [str(each) for each in together.told(it.told, runs)]
+                 if None in (found := it.answer_statuses(name, some))]
+        runs = [each for each in it.events("run") if each["mark"]]
+        broken = open_ + [str(each) for each in together.told(it.client_answers, runs)]
         return broken, f"seed {seed}: {', '.join(said)}; {len(runs)} runs"
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -1,4 +1,4 @@
-"""The queue, the cancels, the shelf and the book, each driven as a table of calls."""
+"""Batches: the queue, the cancels, the store and the replicated state, and whole histories on a virtual clock."""
 import tempfile
 import unittest
 from contextlib import closing
@@ -26,14 +26,15 @@
 PATH = Path("/calls")
 
 
-def call(n, batch="eve", ends=NOW + 60 * SECOND, tenant="t"):
-    return BatchCall(f"c{n}", tenant, batch, n, ends, "check")
+def call(n, batch="eve", deadline=NOW + 60 * SECOND, tenant="t"):
+    return BatchCall(f"c{n}", tenant, batch, n, deadline, "check")
 
 
-def queue(count=6, most=100, room=4.0, **facts):
-    it = BatchQueue(most)
-    it.out_limit = room
-    return it, [it.add(call(n, **facts)) for n in range(count)]
+def make_queue(count=6, max_out=100, out_limit=4.0, **fields):
+    """Returns a queue and the calls that wait in it."""
+    queue = BatchQueue(max_out)
+    queue.out_limit = out_limit
+    return queue, [queue.add(call(n, **fields)) for n in range(count)]
 
 
 def cancel(id_="k", state=OPEN, batch="eve", tenant="t"):
@@ -45,86 +46,87 @@
 
 
 class Queues(unittest.TestCase):
-    def test_calls_go_out_in_order_so_many_at_a_time_and_batches_take_turns(self):
-        it, _ = queue()
-        it.add(call(50, "other"))
-        self.assertEqual(names(it.take_ready(NOW)), ["c0", "c50", "c1", "c2"])
-        self.assertEqual(it.out_count, 4)
-        self.assertEqual(names(it.take_ready(NOW)), [])
-
-    def test_room_grows_with_what_completes_and_halves_with_what_finds_none(self):
-        it, _ = queue(600)
+    def test_calls_go_out_in_order_up_to_the_limit_and_batches_take_turns(self):
+        queue, _ = make_queue()
+        queue.add(call(50, "other"))
+        self.assertEqual(names(queue.take_ready(NOW)), ["c0", "c50", "c1", "c2"])
+        self.assertEqual(queue.out_count, 4)
+        self.assertEqual(names(queue.take_ready(NOW)), [])
+
+    def test_limit_grows_with_completions_and_halves_with_rejections(self):
+        queue, _ = make_queue(600)
         for _ in range(20):
-            for each in list(it.take_ready(NOW)):
-                it.on_returned(each, NOW, True, False, "completed")
-        grown = it.out_limit
+            for each in list(queue.take_ready(NOW)):
+                queue.on_returned(each, NOW, True, False, "completed")
+        grown = queue.out_limit
         self.assertGreater(grown, 8)
-        out = list(it.take_ready(NOW))
+        out = list(queue.take_ready(NOW))
         for each in out:
-            self.assertFalse(it.on_returned(each, NOW, False, True, "no-room"))
-        self.assertEqual(it.out_limit, grown / 2)        # refused together they cut once
+            self.assertFalse(queue.on_returned(each, NOW, False, True, "no-room"))
+        self.assertEqual(queue.out_limit, grown / 2)        # calls rejected together cut the limit once
 
-    def test_it_takes_what_others_leave(self):
-        # Guards what additive increase by completions alone did: 3,000 restored calls left new ones a third.
-        it, _ = queue(4_000, room=1.0)
+    def test_limit_yields_to_other_requests(self):
+        # Guards against a limit that grows with every completion: 3,000 restored calls left new ones only a third of
+        # the capacity.
+        queue, _ = make_queue(4_000, out_limit=1.0)
         now = NOW
         for took, least, most in ((100 * MS, 10, 45), (100 * MS + LATENCY_ALLOWANCE, 20, 80), (300 * MS, 1, 1)):
             for _ in range(30):
                 now += SECOND // 4
-                for each in list(it.take_ready(now)):
-                    it.on_returned(each, now, True, False, "completed", took=took)
-            self.assertGreaterEqual(it.out_limit, least)
-            self.assertLessEqual(it.out_limit, most)
-
-    def test_what_did_not_run_waits_again_at_its_place_after_a_pause(self):
-        it, calls = queue()
-        first = next(iter(it.take_ready(NOW)))
-        self.assertFalse(it.on_returned(first, NOW, False, True, "no-room", retry_after=SECOND))
+                for each in list(queue.take_ready(now)):
+                    queue.on_returned(each, now, True, False, "completed", took=took)
+            self.assertGreaterEqual(queue.out_limit, least)
+            self.assertLessEqual(queue.out_limit, most)
+
+    def test_rejected_call_waits_again_at_its_old_position_after_a_pause(self):
+        queue, calls = make_queue()
+        first = next(iter(queue.take_ready(NOW)))
+        self.assertFalse(queue.on_returned(first, NOW, False, True, "no-room", retry_after=SECOND))
         self.assertEqual((first.state, first.tries, first.reasons), ("waiting", 1, ["no-room"]))
-        self.assertNotIn(first, list(it.take_ready(NOW + RETRY_PAUSE)))
+        self.assertNotIn(first, list(queue.take_ready(NOW + RETRY_PAUSE)))
         for each in calls:
-            it.withdraw(each)
-        self.assertEqual(names(it.take_ready(NOW + SECOND))[0], "c0")
-
-    def test_a_cancel_parks_what_waits_and_its_restore_brings_back_just_that(self):
-        it, calls = queue()
-        out = [next(it.take_ready(NOW)) for _ in range(2)]
-        it.finish(calls[5])                                 # cancelled by itself, before
-        self.assertEqual(it.park(cancel()), out)
-        it.withdraw(out[0])                            # it never began
-        late = it.add(call(7))
-        counts = it.counts("t", "eve", NOW)
+            queue.withdraw(each)
+        self.assertEqual(names(queue.take_ready(NOW + SECOND))[0], "c0")
+
+    def test_cancel_parks_waiting_calls_and_restore_returns_exactly_those(self):
+        queue, calls = make_queue()
+        out = [next(queue.take_ready(NOW)) for _ in range(2)]
+        queue.finish(calls[5])                           # cancelled alone, before its batch
+        self.assertEqual(queue.park(cancel()), out)
+        queue.withdraw(out[0])                           # it never began
+        late = queue.add(call(7))
+        counts = queue.counts("t", "eve", NOW)
         self.assertEqual((counts.parked, counts.out, counts.waiting, counts.done), (5, 1, 0, 1))
-        self.assertEqual(list(it.take_ready(NOW)), [])
-        self.assertEqual(names(it.restore(cancel(state=RESTORED))), ["c0", "c2", "c3", "c4", "c7"])
+        self.assertEqual(list(queue.take_ready(NOW)), [])
+        self.assertEqual(names(queue.restore(cancel(state=RESTORED))), ["c0", "c2", "c3", "c4", "c7"])
         self.assertEqual(late.state, "waiting")
-        self.assertEqual(names(it.take_ready(NOW)), ["c0", "c2", "c3"])
+        self.assertEqual(names(queue.take_ready(NOW)), ["c0", "c2", "c3"])
 
-    def test_told_any_number_of_times_a_cancel_has_one_effect(self):
-        it, _ = queue()
+    def test_applying_a_cancel_repeatedly_has_one_effect(self):
+        queue, _ = make_queue()
         for state, rest in ((OPEN, 6), (RESTORED, 0)):
             for _ in range(3):
-                it.apply_cancel(cancel(state=state))
-                self.assertEqual(it.counts("t", "eve", NOW).parked, rest)
-        it, _ = queue()
-        it.apply_cancel(cancel())
-        self.assertEqual([len(it.apply_cancel(cancel(state=CLOSED))[2]) for _ in range(3)], [6, 0, 0])
-        self.assertEqual(it.counts("t", "eve", NOW).done, 6)
-        it.apply_cancel(cancel(state=RESTORED))                 # restore after close brings nothing back
-        self.assertEqual(list(it.take_ready(NOW)), [])
-
-    def test_a_parked_call_ends_a_moment_before_its_own_time(self):
-        it, calls = queue(2)
-        it.park(cancel())
-        self.assertEqual(it.expire(NOW + 60 * SECOND - FINAL_ANSWER_MARGIN - 1), [])
-        self.assertEqual(it.expire(NOW + 60 * SECOND - FINAL_ANSWER_MARGIN), calls)
-        self.assertEqual((it.restore(cancel(state=RESTORED)), it.counts("t", "eve", NOW).done), ([], 2))
-
-    def test_restored_with_no_time_left_it_is_not_sent_out(self):
-        it, calls = queue(1, ends=NOW + 40 * MS)
-        it.park(cancel())
-        it.restore(cancel(state=RESTORED))
-        self.assertEqual((list(it.take_ready(NOW)), it.expire(NOW)), ([], calls))
+                queue.apply_cancel(cancel(state=state))
+                self.assertEqual(queue.counts("t", "eve", NOW).parked, rest)
+        queue, _ = make_queue()
+        queue.apply_cancel(cancel())
+        self.assertEqual([len(queue.apply_cancel(cancel(state=CLOSED))[2]) for _ in range(3)], [6, 0, 0])
+        self.assertEqual(queue.counts("t", "eve", NOW).done, 6)
+        queue.apply_cancel(cancel(state=RESTORED))       # a restore after close brings nothing back
+        self.assertEqual(list(queue.take_ready(NOW)), [])
+
+    def test_parked_call_ends_shortly_before_its_deadline(self):
+        queue, calls = make_queue(2)
+        queue.park(cancel())
+        self.assertEqual(queue.expire(NOW + 60 * SECOND - FINAL_ANSWER_MARGIN - 1), [])
+        self.assertEqual(queue.expire(NOW + 60 * SECOND - FINAL_ANSWER_MARGIN), calls)
+        self.assertEqual((queue.restore(cancel(state=RESTORED)), queue.counts("t", "eve", NOW).done), ([], 2))
+
+    def test_call_restored_without_time_left_is_not_sent_out(self):
+        queue, calls = make_queue(1, deadline=NOW + 40 * MS)
+        queue.park(cancel())
+        queue.restore(cancel(state=RESTORED))
+        self.assertEqual((list(queue.take_ready(NOW)), queue.expire(NOW)), ([], calls))
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.lists(st.sampled_from("add next done unrun ran back cancel restore close time drop".split()),
@@ -136,7 +138,7 @@
             some = random.choice(out) if out else None
             if act == "add":
                 n += 1
-                it.add(call(n, ends=now + random.randrange(30 * SECOND)))
+                it.add(call(n, deadline=now + random.randrange(30 * SECOND)))
             elif act == "next":
                 out += list(it.take_ready(now))
             elif act in ("done", "unrun", "ran") and some:
@@ -169,18 +171,18 @@
                 self.assertEqual(bool(each.parked_by), open_ is not None and not each.is_out, each)
 
 
-class Records(unittest.TestCase):
+class ReplicatedState(unittest.TestCase):
     def cancels(self, *entries):
-        it = Cancels()
-        for place, (do, fields) in enumerate(entries, 1):
-            it.apply(place, {"do": f"batch.{do}", **fields})
-        return it
+        cancels = Cancels()
+        for position, (do, fields) in enumerate(entries, 1):
+            cancels.apply(position, {"do": f"batch.{do}", **fields})
+        return cancels
 
     @staticmethod
     def asked(id_="k", batch="eve", at=0, part=0.0, tenant="t"):
         return "cancel", {"id": id_, "tenant": tenant, "batch": batch, "window": SECOND, "at": at, "part": part}
 
-    def test_each_order_of_orders_has_an_answer(self):
+    def test_entries_in_every_order_have_a_defined_result(self):
         for entries, state in (
                 ([self.asked()], OPEN), ([self.asked(), ("restore", {"cancel": "k"})], RESTORED),
                 ([self.asked(), ("close", {"cancel": "k"}), ("restore", {"cancel": "k"})], CLOSED),
@@ -188,19 +190,19 @@
                 ([("restore", {"cancel": "k"}), self.asked()], OPEN)):
             self.assertEqual(self.cancels(*entries).all["k"].state, state)
         it = self.cancels(self.asked(), self.asked("k2"))
-        self.assertEqual(list(it.all), ["k"])            # cancelled already: the second stops nothing
+        self.assertEqual(list(it.all), ["k"])        # the second cancel of the batch has no effect
         with self.assertRaises(NoSuchCancel):
             it.find("k", "another tenant")
         self.assertTrue(issubclass(CancelOver, Exception))
 
-    def test_accidents_get_the_longer_window(self):
+    def test_probable_accidents_get_a_longer_window(self):
         it = self.cancels(*(self.asked(f"k{n}", f"b{n}", n * SECOND) for n in range(ACCIDENT_CANCELS)),
                           self.asked("most", "b9", 900 * SECOND, part=0.6),
                           self.asked("usual", "b10", 1800 * SECOND, part=0.4))
         self.assertEqual([each.window // SECOND for each in it.all.values()],
                          [1, 1, ACCIDENT_FACTOR, ACCIDENT_FACTOR, 1])
 
-    def test_a_window_is_counted_by_who_holds_and_anew_by_who_comes_to_hold(self):
+    def test_new_leader_restarts_the_window(self):
         it = self.cancels(self.asked())
         self.assertEqual(it.due_entries(NOW), [])
         self.assertEqual([each["do"] for each in it.due_entries(NOW + SECOND)], ["batch.close"])
@@ -210,7 +212,7 @@
         again.load(it.dump())
         self.assertEqual((again.due_entries(NOW), len(again.due_entries(NOW + SECOND))), ([], 1))
 
-    def test_a_book_applies_an_entry_once_and_keeps_what_it_does_not_know(self):
+    def test_entry_is_applied_once_and_unknown_entries_are_retained(self):
         told = [Told(n, Entry(1, body)) for n, body in enumerate((
             {"do": "hold", "holder": "a"}, {"do": "batch.cancel", **self.asked()[1]},
             {"do": "batch.cancel", **self.asked()[1]}, {"do": "moon.phase", "id": "m"},
@@ -228,9 +230,9 @@
             self.assertEqual((len(new.strange), machines["batches"].all["k"].state, new.place), (left, state, 5))
         without = Book({})
         without.load(old.state())
-        self.assertEqual(without.state()["machines"], old.state()["machines"])      # passed on as it came
+        self.assertEqual(without.state()["machines"], old.state()["machines"])      # passed on unchanged
 
-    def test_a_later_form_is_written_once_every_voter_reads_it(self):
+    def test_later_form_is_written_once_every_voter_reads_it(self):
         class Newer(Cancels):
             words = {**Cancels.words, "batch.restore": 2}
 
@@ -240,22 +242,22 @@
             self.assertEqual(it.may_write("batch.restore"), may)
 
 
-class Shelves(unittest.TestCase):
-    def shelf(self, disk, *records):
-        it = BatchStore(PATH, disk)
+class Stores(unittest.TestCase):
+    def make_store(self, disk, *records):
+        store = BatchStore(PATH, disk)
         for each in records:
-            it.write([each])
-            it.on_written([each])
-        return it
+            store.write([each])
+            store.on_written([each])
+        return store
 
     @staticmethod
     def take(ivk, effect="once-only", **more):
         return make_record("take", ivk=ivk, tenant="t", batch="eve", order=1, at=100 * SECOND, left=10 * SECOND,
                       effect=effect, parked="", call={"type": "submit", "function": "f", "left": 10 * SECOND}, **more)
 
-    def test_what_a_crash_leaves_errs_on_the_side_that_runs_nothing_twice(self):
+    def test_recovery_after_a_crash_runs_nothing_twice(self):
         disk = Plate(lambda: 0.0)
-        self.shelf(disk, self.take("a"), self.take("b"), self.take("c", "repeatable"), self.take("d"),
+        self.make_store(disk, self.take("a"), self.take("b"), self.take("c", "repeatable"), self.take("d"),
                    make_record("out", ivk="b"), make_record("out", ivk="c"), make_record("out", ivk="d"),
                    make_record("back", ivk="d", tries=1), make_record("stop", cancel="k", ivks=["a"]))
         disk.crash()
@@ -264,14 +266,14 @@
                          {"a": (False, False, "k"), "b": (True, True, ""), "c": (True, False, ""),
                           "d": (False, False, "")})
 
-    def test_its_own_time_goes_on_while_it_lies_and_a_clock_set_back_gives_it_no_more(self):
-        it = self.shelf(Plate(), self.take("a"))
+    def test_time_passes_while_no_process_runs_and_a_clock_set_back_adds_none(self):
+        it = self.make_store(Plate(), self.take("a"))
         for wall, left in ((100, 10), (104, 6), (200, -90), (40, 10)):
             self.assertEqual(it.calls["a"].remaining(wall * SECOND), left * SECOND)
 
-    def test_a_long_file_begins_anew_with_all_that_stands_and_what_it_does_not_know(self):
+    def test_long_file_is_rewritten_with_all_calls_and_unknown_fields(self):
         disk = Plate()
-        it = self.shelf(disk, self.take("a", colour="blue"))
+        it = self.make_store(disk, self.take("a", colour="blue"))
         anew = []
         for _ in range(1_200):
             for each in (self.take("b"), make_record("forget", ivk="b")):
@@ -281,70 +283,70 @@
         it.close()
         self.assertEqual(BatchStore(PATH, disk).calls["a"].extra, {"colour": "blue"})
 
-    def test_a_later_form_is_left_alone(self):
+    def test_file_of_a_later_version_is_left_unchanged(self):
         disk = Plate()
-        it = self.shelf(disk)
+        it = self.make_store(disk)
         it.write([{"form": 2, "do": "take"}])
         it.close()
         with self.assertRaisesRegex(UnsupportedVersion, "form 2"):
             BatchStore(PATH, disk)
-        BatchStore(Path("/other"), disk)         # and is not held open
+        BatchStore(Path("/other"), disk)         # the first file is no longer open
 
 
 class Answers(unittest.TestCase):
-    def test_an_answer_that_could_not_be_kept_is_not_told_before_it_is(self):
-        # Guards an answer told and not kept: after a crash the same call was told as aborted.
+    def test_answer_is_not_given_out_before_it_is_stored(self):
+        # Guards against an answer given out but not stored: after a crash the same call was reported as aborted.
         with tempfile.TemporaryDirectory() as folder:
             it = Live(1, extra=f"peers {{\n folder {folder}\n voter front-0 127.0.0.1:{free_port()}\n}}")
             disk = it.front.disk = Faulty()
             with it, closing(it.client()) as client:
                 until(lambda: it.front.replicated_services
                       and it.front.replicated_services.carrier.status()["holds"], 10)
-                batching = it.front.replicated_services.batch_service
+                batch_service = it.front.replicated_services.batch_service
                 answer = client.request("POST", "/v1/functions/check-a/calls", {
                     "Prefer": "respond-async", "Batch": "eve"}, b'{"mark":"m","work_ms":300}')
                 ivk = answer.headers["activation"]
-                until(lambda: batching.pending)
+                until(lambda: batch_service.pending)
                 disk.order("full")
-                until(lambda: batching.failed)
+                until(lambda: batch_service.failed)
                 self.assertEqual(client.request("GET", f"/v1/calls/{ivk}").status, 202)
                 until(lambda: client.request("GET", f"/v1/calls/{ivk}").status == 200)
-                self.assertEqual(batching.store.calls[ivk].answer["final"], "completed")
+                self.assertEqual(batch_service.store.calls[ivk].answer["final"], "completed")
 
 
-class ForgetsThatItWentOut(Front):
+class DoesNotStoreCallsThatGoOut(Front):
     def keep(self, records):
         return super().keep([each for each in records if each["do"] != "out"])
 
 
-class TakesBackWhatBegan(Front):
+class WithdrawsCallsThatBegan(Front):
     def heard(self, cancels):
         self.begun.clear()
         super().heard(cancels)
 
 
-class TellsBeforeItKeeps(Front):
+class AnswersBeforeItStores(Front):
     def final(self, it, final):
         self.world.told(it.id, final)
         super().final(it, final)
 
 
-class ClosesByItsOwnClock(Front):
+class ClosesByLocalClock(Front):
     def tick(self):
         now = self.node.clock(self.world.now)
         for id_ in self.cancels.open.values():
-            it = self.cancels.all[id_]
-            it.heard = it.heard or now
-            if now - it.heard > it.window:
-                for each in self.queue.close(it):
+            cancel = self.cancels.all[id_]
+            cancel.heard = cancel.heard or now
+            if now - cancel.heard > cancel.window:
+                for each in self.queue.close(cancel):
                     self.final(each, "cancelled")
         super().tick()
 
 
-class Drawn(unittest.TestCase):
-    """Five front ends on a virtual clock, cut, frozen and killed (emulator/batches.py)."""
+class EmulatedHistories(unittest.TestCase):
+    """Five front ends on a virtual clock, cut off, stopped and killed (emulator/batches.py)."""
 
-    def test_drawn_histories_keep_all_promises(self):
+    def test_random_histories_keep_all_guarantees(self):
         finals = set()
         for seed in range(6):
             it = Batches(seed, seconds=15)
@@ -353,7 +355,7 @@
         self.assertEqual(finals, {"completed", "rejected", "aborted", "cancelled"})
 
     def test_planted_faults_are_found(self):
-        for front in (ForgetsThatItWentOut, TakesBackWhatBegan, TellsBeforeItKeeps, ClosesByItsOwnClock):
+        for front in (DoesNotStoreCallsThatGoOut, WithdrawsCallsThatBegan, AnswersBeforeItStores, ClosesByLocalClock):
             with self.subTest(front.__name__), mock.patch("threadshift.emulator.batches.Front", front), (
                     self.assertRaises(Broken)):
                 for seed in range(8):
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.several import Several
+from tests.cluster import Cluster
 from threadshift.eviction.active_policy import ActivePolicy, ActivePolicyState
 from threadshift.eviction.conformance import find_violations, random_facts
 from threadshift.eviction.node import HOLDERS_MAX_AGE, MAX_FAILED_DECISIONS, Evictor, last_copy_holder
@@ -13,29 +13,30 @@
 from threadshift.interface import MS, SECOND
 
 
-class Odd(LongestIdle):
-    """A customer's policy that fails as it is told."""
+class FaultyPolicy(LongestIdle):
+    """A customer's policy that fails in the given way."""
 
     name = "odd"
 
-    def __init__(self, how="well"):
-        self.how, self.asked = how, 0
+    def __init__(self, fault="none"):
+        self.fault, self.calls = fault, 0
 
     def score(self, facts, parameters):
-        self.asked += 1
-        if self.how == "raises":
+        self.calls += 1
+        if self.fault == "raises":
             raise ValueError("no")
-        if self.how == "loops":
+        if self.fault == "loops":
             while True:
                 pass
-        return {"half": 0.5, "other": self.asked, "well": -facts.idle}.get(self.how, 0)
+        return {"half": 0.5, "other": self.calls, "none": -facts.idle}.get(self.fault, 0)
 
 
-def node(how="well", name="n", think=20 * MS):
-    policy = Odd(how)
-    it = Evictor(name, {label(BUILT_IN): BUILT_IN, label(policy): policy}, think)
-    it.update_policy(ActivePolicy(7, label(policy), digest(policy)).as_message())
-    return it
+def evictor_with(fault="none", name="n", time_limit=20 * MS):
+    """An evictor whose active policy has the given fault."""
+    policy = FaultyPolicy(fault)
+    evictor = Evictor(name, {label(BUILT_IN): BUILT_IN, label(policy): policy}, time_limit)
+    evictor.update_policy(ActivePolicy(7, label(policy), digest(policy)).as_message())
+    return evictor
 
 
 def thing(name, idle=0, **facts):
@@ -47,12 +48,12 @@
 
 
 class Policies(unittest.TestCase):
-    def test_what_comes_with_the_program_keeps_what_a_policy_must(self):
-        for policy in (LongestIdle(), CostPerByte(), Odd()):
+    def test_built_in_policies_meet_the_requirements(self):
+        for policy in (LongestIdle(), CostPerByte(), FaultyPolicy()):
             self.assertEqual(find_violations(policy), [], label(policy))
-        for how, said in (("half", "score is not an integer"), ("other", "shuffled"),
-                          ("raises", "raised ValueError")):
-            self.assertTrue([each for each in find_violations(Odd(how)) if said in each], how)
+        for fault, message in (("half", "score is not an integer"), ("other", "shuffled"),
+                               ("raises", "raised ValueError")):
+            self.assertTrue([each for each in find_violations(FaultyPolicy(fault)) if message in each], fault)
 
     def test_cost_per_byte_keeps_what_saves_most_load_time_for_its_size(self):
         it = Evictor("n")
@@ -80,38 +81,38 @@
 
 
 class Nodes(unittest.TestCase):
-    def test_pinned_and_busy_things_never_go(self):
+    def test_pinned_and_busy_items_are_never_evicted(self):
         things = [thing("a", pinned=True), thing("b", busy=True), thing("c")]
         self.assertEqual(names(Evictor("n").eviction_order(0, things)), ["c"])
 
-    def test_of_two_epochs_the_later_counts_and_no_word_of_one_is_passed_over(self):
-        it = node()
-        for told in ({"epoch": 6, "policy": "x", "digest": "", "parameters": {}}, {"epoch": "8"}, None, 5,
-                     {"epoch": 9, "policy": 3, "digest": "", "parameters": {}}):
-            self.assertFalse(it.update_policy(told))
+    def test_later_epoch_wins_and_malformed_messages_are_ignored(self):
+        it = evictor_with()
+        for message in ({"epoch": 6, "policy": "x", "digest": "", "parameters": {}}, {"epoch": "8"}, None, 5,
+                        {"epoch": 9, "policy": 3, "digest": "", "parameters": {}}):
+            self.assertFalse(it.update_policy(message))
         self.assertEqual(it.active_policy.epoch, 7)
         self.assertTrue(it.update_policy(ActivePolicy(8, "gone@1", "ff").as_message()))
         self.assertIn("not installed", it.policy_mismatch)
         self.assertTrue(it.update_policy(ActivePolicy(9, "odd@1", "another text").as_message()))
         self.assertIn("another source text", it.policy_mismatch)
-        # the built-in one decides
+        # The built-in policy decides.
         self.assertEqual(names(it.eviction_order(0, [thing("a", 1), thing("b", 2)])), ["b", "a"])
 
-    def test_a_policy_that_misbehaves_costs_one_decision_a_bounded_time_and_is_then_not_asked(self):
+    def test_misbehaving_policy_costs_limited_time_and_is_then_not_called(self):
         things = [thing("a", 1), thing("b", 2)]
-        for how, said in (("raises", "raised ValueError"), ("half", "score is not an integer"),
-                          ("loops", "too slow"), ("other", "score is not deterministic")):
-            it, began = node(how), time.monotonic()
+        for fault, message in (("raises", "raised ValueError"), ("half", "score is not an integer"),
+                               ("loops", "too slow"), ("other", "score is not deterministic")):
+            it, began = evictor_with(fault), time.monotonic()
             while not it.complaint:
                 self.assertEqual(set(names(it.eviction_order(0, things))), {"a", "b"})
                 self.assertLess(it.decisions, 40)
             self.assertLess(time.monotonic() - began, 1)
-            self.assertIn(said, it.complaint)
-            asked = it.policies["odd@1"].asked
+            self.assertIn(message, it.complaint)
+            calls = it.policies["odd@1"].calls
             self.assertEqual(names(it.eviction_order(0, things)), ["b", "a"])
-            self.assertEqual((it.policies["odd@1"].asked, it.failures.total()), (asked, MAX_FAILED_DECISIONS))
+            self.assertEqual((it.policies["odd@1"].calls, it.failures.total()), (calls, MAX_FAILED_DECISIONS))
 
-    def test_the_last_copy_goes_last_and_exactly_one_holder_keeps_it(self):
+    def test_exactly_one_holder_keeps_the_last_copy_until_the_end(self):
         nodes = {name: Evictor(name) for name in ("w0", "w1", "w2")}
         for at, it in nodes.items():
             it.update_holders(1, {"f": [other for other in nodes if other != at]})
@@ -119,7 +120,7 @@
         first = {at: names(it.eviction_order(2, things))[0] for at, it in nodes.items()}
         keeps = last_copy_holder("f", nodes)
         self.assertEqual({at for at, name in first.items() if name == "g"}, {keeps})
-        for it in nodes.values():                       # what was told is old: all err towards keeping
+        for it in nodes.values():                       # the reports are too old: all err towards keeping
             self.assertEqual(names(it.eviction_order(HOLDERS_MAX_AGE + 2, things)), ["g", "f", "g"])
 
     def test_of_several_copies_at_one_node_all_but_one_are_spare(self):
@@ -142,8 +143,8 @@
             self.assertEqual(set().union(*holds.values()), {"f", "g", "h"})
 
 
-class Records(unittest.TestCase):
-    def test_complaints_of_several_nodes_take_a_policy_out_and_one_sick_node_does_not(self):
+class ReplicatedState(unittest.TestCase):
+    def test_complaints_of_several_nodes_deactivate_a_policy_and_those_of_one_do_not(self):
         it = ActivePolicyState()
         it.apply(5, {"do": "evict.set", "policy": "odd@1", "digest": "d", "parameters": {"a": 1}, "why": "try"})
         complaint = {"do": "evict.complaint", "epoch": 5, "what": "raised", "of": 12}
@@ -171,27 +172,27 @@
 class Processes(unittest.TestCase):
     """Three front ends and four workers with little memory, as processes."""
 
-    def test_one_policy_on_all_nodes_past_a_frozen_holder_and_a_bad_one_is_taken_out_by_several(self):
-        with Several(fronts=3, workers=4, memory_mb=120, package=("bad-policy", "bad", "Bad", PACKAGE)) as it:
-            holder = it.until(it.holder)
-            other = next(name for name in it.names if name != holder)
-            it.until(lambda: it.ask(other, "GET", "/v1/eviction", admin=True)[1].get("nodes") == 7)
-            status, told = it.ask(other, "POST", "/v1/eviction", body=b'{"policy": "none@1"}', admin=True)
+    def test_all_nodes_use_one_policy_despite_a_stopped_leader_and_deactivate_a_bad_one(self):
+        with Cluster(fronts=3, workers=4, memory_mb=120, package=("bad-policy", "bad", "Bad", PACKAGE)) as it:
+            leader = it.until(it.leader)
+            other = next(name for name in it.names if name != leader)
+            it.until(lambda: it.request(other, "GET", "/v1/eviction", admin=True)[1].get("nodes") == 7)
+            status, told = it.request(other, "POST", "/v1/eviction", body=b'{"policy": "none@1"}', admin=True)
             self.assertEqual((status, told["title"]), (409, "Lacking"))
-            status, told = it.ask(other, "POST", "/v1/eviction", admin=True,
+            status, told = it.request(other, "POST", "/v1/eviction", admin=True,
                                   body=b'{"policy": "cost-per-byte@1", "parameters": {"young-ms": 500}}')
             self.assertEqual((status, told["policy"]), (200, "cost-per-byte@1"))
-            # Every node goes by it within a beat of a follower and a word to each worker.
-            it.until(lambda: not it.ask(other, "GET", "/v1/eviction", admin=True)[1]["behind"], 5)
-            it.freeze(holder)
+            # Every node uses it once its front end has heard the next heartbeat and has sent to its workers.
+            it.until(lambda: not it.request(other, "GET", "/v1/eviction", admin=True)[1]["behind"], 5)
+            it.freeze(leader)
             set_ = b'{"policy": "bad@1", "silent-too": true}'
-            it.until(lambda: it.ask(other, "POST", "/v1/eviction", body=set_, admin=True)[0] == 200, 20)
-            it.wake(holder)
-            for n in range(60):         # copies of many functions: memory is short, and the bad policy is asked
-                it.ask(other, "POST", f"/v1/functions/check-{n % 15}/calls", body=b"x")
-                if it.ask(other, "GET", "/v1/eviction", admin=True)[1]["policy"] != "bad@1":
+            it.until(lambda: it.request(other, "POST", "/v1/eviction", body=set_, admin=True)[0] == 200, 20)
+            it.resume(leader)
+            for n in range(60):         # copies of many functions: memory gets short, so the bad policy is called
+                it.request(other, "POST", f"/v1/functions/check-{n % 15}/calls", body=b"x")
+                if it.request(other, "GET", "/v1/eviction", admin=True)[1]["policy"] != "bad@1":
                     break
-            shown = it.until(lambda: (now := it.ask(holder, "GET", "/v1/eviction", admin=True)[1])[
+            shown = it.until(lambda: (now := it.request(leader, "GET", "/v1/eviction", admin=True)[1])[
                 "policy"] == "longest-idle@1" and not now["behind"] and now)
             self.assertIn("raised ValueError", shown["why"])
             self.assertIn("bad@1 taken out of force", shown["why"])
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.several import Several
+from tests.cluster import Cluster
 from threadshift.audit import together
 from threadshift.conf.patch import patched, text
 from threadshift.conf.reading import Mistake, parse
@@ -23,10 +23,10 @@
 
 
 def rollouts(*entries):
-    it = Rollouts()
-    for place, (do, fields) in enumerate(entries, 1):
-        it.apply(place, {"do": f"rollout.{do}", "rollout": "r", **fields})
-    return it
+    state = Rollouts()
+    for position, (do, fields) in enumerate(entries, 1):
+        state.apply(position, {"do": f"rollout.{do}", "rollout": "r", **fields})
+    return state
 
 
 START = "start", {"id": "r", "what": {}, "stages": [0.0, 0.5, 1.0], "hold": 1, "who": "t"}
@@ -36,13 +36,13 @@
     return "take", {"stage": stage, "after": after, "names": list(names)}
 
 
-class Plans(unittest.TestCase):
-    def test_entries_move_it_only_on_from_where_it_stands(self):
+class ReplicatedState(unittest.TestCase):
+    def test_entries_apply_only_to_the_current_state(self):
         for entries, state, taken in (
                 ([START], "checking", []),
                 ([START, take(0, 0, "a")], "going", ["a"]),
-                ([START, take(0, 0, "a"), take(0, 0, "b")], "going", ["a"]),       # by a holder that knew less
-                ([START, take(0, 0, "a"), take(2, 1, "b")], "going", ["a"]),       # a stage left out
+                ([START, take(0, 0, "a"), take(0, 0, "b")], "going", ["a"]),       # by a leader that knew less
+                ([START, take(0, 0, "a"), take(2, 1, "b")], "going", ["a"]),       # a stage is left out
                 ([START, take(0, 0, "a"), ("pause", {}), take(1, 1, "b")], "paused", ["a"]),
                 ([START, take(0, 0, "a"), ("pause", {}), ("resume", {}), take(1, 1, "b")], "going", ["a", "b"]),
                 ([START, take(0, 0, "a"), ("done", {})], "going", ["a"]),
@@ -55,7 +55,7 @@
             again.load(it.dump())
             self.assertEqual(again.dump(), it.dump())
 
-    def test_a_second_one_is_refused_and_there_is_never_a_third_version(self):
+    def test_second_rollout_is_refused_so_there_are_at_most_two_versions(self):
         it = rollouts(START, take(0, 0, "a"), ("start", {**START[1], "id": "other"}))
         self.assertEqual(list(it.all), ["r"])
         self.assertEqual((it.version_of("a").name, it.version_of("b").name), ("r", ""))
@@ -65,7 +65,7 @@
         self.assertEqual({it.version_of(name) for name in "ab"}, {it.version_of("c")})
         self.assertEqual(it.version_of("a").name, "")
 
-    def test_a_file_is_changed_directive_by_directive(self):
+    def test_configuration_file_is_patched_by_directive(self):
         lines = parse('listen 127.0.0.1:1\ntype a {\n    utility 1\n}\nlog "js on" info\n', "f")
         found = text(patched(lines, [("type a", "utility", ["2"]), ("type a", "effect", ["x"]),
                                      ("bounds", "drain", ["1s"]), ("", "zone", ["east"])], "f"))
@@ -78,46 +78,46 @@
                 patched(lines, [change], "f")
 
 
-class Swaps(unittest.TestCase):
-    """A kill at any step between taken, started, ready and counted ends in one of the two versions."""
+class Replacements(unittest.TestCase):
+    """A process that dies at any step of its replacement leaves one of the two versions running."""
 
     old, new = TargetVersion(1, "", "old.conf"), TargetVersion(5, "r", "new.conf", "tree")
 
-    def swap(self):
-        it = ProcessReplacement(self.old)
-        self.assertEqual(it.on_target(NOW, self.new), [ReplacementAction.START])
-        return it
+    def started(self):
+        replacement = ProcessReplacement(self.old)
+        self.assertEqual(replacement.on_target(NOW, self.new), [ReplacementAction.START])
+        return replacement
 
-    def test_it_takes_over_once_ready_and_an_older_word_is_refused(self):
-        it = self.swap()
+    def test_process_takes_over_once_ready_and_an_older_target_is_ignored(self):
+        it = self.started()
         self.assertEqual((it.on_target(NOW, self.new), it.running), ([], self.old))
         self.assertEqual((it.on_ready(NOW), it.running), ([ReplacementAction.TAKE_OVER], self.new))
         self.assertEqual((it.on_target(NOW, TargetVersion(4, "")), it.on_target(NOW, TargetVersion(5, ""))), ([], []))
         # The way back.
         self.assertEqual(it.on_target(NOW, TargetVersion(6, "", "old.conf")), [ReplacementAction.START])
 
-    def test_one_that_dies_or_is_not_ready_in_time_is_given_up_and_not_tried_again(self):
+    def test_process_that_dies_or_is_not_ready_in_time_is_given_up_for_good(self):
         for act in (lambda it: it.on_incoming_died(), lambda it: it.tick(NOW + READY_TIMEOUT)):
-            it = self.swap()
+            it = self.started()
             self.assertEqual((act(it), it.running, it.failed_version), ([ReplacementAction.GIVE_UP], self.old, "r"))
             self.assertEqual(it.on_target(NOW, TargetVersion(7, "r")), [])
 
-    def test_one_that_dies_soon_after_taking_over_is_brought_back_here_alone(self):
-        it = self.swap()
+    def test_repeated_crashes_soon_after_the_takeover_restore_the_previous_version(self):
+        it = self.started()
         it.on_ready(NOW)
         it.on_died(NOW + SECOND)
         self.assertEqual(it.running, self.new)
         for _ in range(CRASHES_TO_GIVE_UP - 1):
             it.on_died(NOW + 2 * SECOND)
         self.assertEqual((it.running, it.failed_version), (self.old, "r"))
-        it = self.swap()
+        it = self.started()
         it.on_ready(NOW)
         for _ in range(9):
             it.on_died(NOW + PROVING_TIME)
-        self.assertEqual(it.running, self.new)          # proven: it is started again like any
+        self.assertEqual(it.running, self.new)          # proven: it is started again like any other
 
-    def test_taken_back_while_it_starts(self):
-        it = self.swap()
+    def test_target_is_withdrawn_while_its_process_starts(self):
+        it = self.started()
         self.assertEqual(it.on_target(NOW, TargetVersion(6, "")), [ReplacementAction.GIVE_UP])
         self.assertEqual((it.running, it.incoming, it.on_ready(NOW)), (self.old, None, []))
 
@@ -139,13 +139,15 @@
                 self.assertNotEqual(it.running.version, "r")
 
 
-class Judges(unittest.TestCase):
-    def play(self, worse, blocks=60, seed=1, usual=(0.0, 0.05, 0.02, 0.0)):
+class CanaryAnalyses(unittest.TestCase):
+    def first_verdict(self, increase, blocks=60, seed=1, usual=(0.0, 0.05, 0.02, 0.0)):
+        """Returns the block after which front end f1 is found to be worse, None if it is not. It runs the new version
+        from block 16 on, with bad calls more frequent by `increase`."""
         chance, analysis = random.Random(seed), CanaryAnalysis()
         for block in range(blocks):
             rows = {}
             for n, rate in enumerate(usual):
-                bad = rate + (worse if n == 1 and block > 15 else 0)
+                bad = rate + (increase if n == 1 and block > 15 else 0)
                 count = chance.randrange(20, 80)
                 latencies = [0] * LATENCY_BUCKETS
                 latencies[chance.randrange(10, 20)] = count
@@ -156,45 +158,47 @@
                 return block
         return None
 
-    def test_a_front_end_that_always_fared_worse_is_not_taken_for_a_bad_version(self):
-        # Guards what the first judge did, which set groups against each other: a fifth of good rollouts were stopped.
-        # Here all calls of a block have one latency and two of four never fail, which is harder than any fleet is.
-        stopped = [seed for seed in range(40) if self.play(0, 100, seed)]
+    def test_front_end_that_was_always_worse_does_not_count_as_a_bad_version(self):
+        # Guards against a comparison of new with old front ends without their baselines, which stopped a fifth of all
+        # good rollouts. Here all calls of a block have one latency and two of four front ends never fail, which is
+        # harder than real fleets are.
+        stopped = [seed for seed in range(40) if self.first_verdict(0, 100, seed)]
         self.assertLessEqual(len(stopped), 2, stopped)
 
-    def test_worse_is_found_and_the_more_so_the_sooner(self):
-        found = [sorted(self.play(worse, 200, seed) or 999 for seed in range(9))[4] for worse in (0.06, 0.15, 0.5)]
+    def test_worse_version_is_found_the_sooner_the_worse_it_is(self):
+        found = [sorted(self.first_verdict(increase, 200, seed) or 999 for seed in range(9))[4]
+                 for increase in (0.06, 0.15, 0.5)]
         self.assertEqual(found, sorted(found, reverse=True))
         self.assertLess(found[0], 200)
         self.assertLess(found[2], 24)
 
 
-class Drawn(unittest.TestCase):
-    """Whole rollouts over modelled front ends (emulator/changes.py): 1,000 of each kind in benchmarks/rollouts.py."""
+class EmulatedRollouts(unittest.TestCase):
+    """Whole rollouts over modelled front ends (emulator/changes.py); benchmarks/together.py runs more of them."""
 
-    def test_good_ones_end_and_bad_ones_go_back(self):
+    def test_good_rollouts_complete_and_bad_ones_go_back(self):
         ends = [Trial(seed).run() for seed in range(10, 18)]
         self.assertEqual(set(ends), {"done"})
-        for change, said in ((Change(crash=0.05), "started again"), (Change(errors=0.05), "errors"),
-                             (Change(starts=False), "could not start")):
+        for change, reason in ((Change(crash=0.05), "started again"), (Change(errors=0.05), "errors"),
+                               (Change(starts=False), "could not start")):
             for seed in range(6):
-                self.assertIn(said, Trial(seed, change).run())
+                self.assertIn(reason, Trial(seed, change).run())
 
-    def test_silence_moves_nothing(self):
+    def test_silent_front_end_holds_up_the_rollout(self):
         it = Trial(1, faults=0.0)
         report, it.report = it.report, lambda front: None if front.name == "f5" else report(front)
         self.assertEqual((it.run(200), it.rollouts.all["r"].taken), ("stands", []))
 
 
 class Traffic:
-    """Calls at all front ends, one after the other, until stopped."""
+    """Sends calls to all front ends, to each one after the other, until it is stopped."""
 
-    def __init__(self, it, pause=0.02):
-        self.it, self.pause, self.good, self.lost, self.answers = it, pause, 0, [], {}
-        self.greenlets = [gevent.spawn(self.run, name) for name in it.names]
+    def __init__(self, cluster, pause=0.02):
+        self.cluster, self.pause, self.good, self.lost, self.answers = cluster, pause, 0, [], {}
+        self.greenlets = [gevent.spawn(self.run, name) for name in cluster.names]
 
     def run(self, name):
-        client, n = Client(Address("127.0.0.1", self.it.port[name])), 0
+        client, n = Client(Address("127.0.0.1", self.cluster.port[name])), 0
         while True:
             n += 1
             try:
@@ -212,12 +216,13 @@
 class Processes(unittest.TestCase):
     """Five front ends under supervisors, three of them voters."""
 
-    def order(self, it, name, path, told=None, wanted=200):
+    def order(self, it, name, path, body=None, wanted=200):
+        """Sends an operator's order, again until the replicated log can be reached; returns the answer."""
         found = []
 
         def given():
             try:
-                found[:] = it.ask(name, "POST", path, body=json.dumps(told or {}).encode(), admin=True)
+                found[:] = it.request(name, "POST", path, body=json.dumps(body or {}).encode(), admin=True)
             except NoAnswer:
                 return False
             return found[0] != 409 or found[1]["title"] != "NotHeard"
@@ -226,14 +231,15 @@
         return found[1]
 
     def shown(self, it, name="f4"):
+        """Returns what a front end shows of the rollout; empty if it does not answer."""
         try:
-            status, told = it.ask(name, "GET", "/v1/rollouts", admin=True)
+            status, told = it.request(name, "GET", "/v1/rollouts", admin=True)
         except NoAnswer:
             return {}
         return told if status == 200 else {}
 
     def follow(self, it, names, states, seconds):
-        """Until it has ended so; the most that ran it at any look."""
+        """Waits for one of the states. Returns what is shown, and the largest number of front ends that ran it."""
         most = [0]
 
         def looked():
@@ -244,39 +250,39 @@
             return told.get("state") in states and told
         return it.until(looked, seconds), most[0]
 
-    def test_settings_in_stages_past_a_holder_that_stands_still_and_no_call_is_lost(self):
-        with Several(supervised=True, workers=4) as it:
-            holder = it.until(it.holder)
-            it.until(lambda: all(it.record(name) for name in it.names))
+    def test_settings_rollout_survives_a_stopped_leader_and_loses_no_call(self):
+        with Cluster(supervised=True, workers=4) as it:
+            leader = it.until(it.leader)
+            it.until(lambda: all(it.log_status(name) for name in it.names))
             traffic = Traffic(it)
             self.order(it, "f4", "/v1/rollouts", {"settings": [["bounds", "keep-results", ["50s"]]], "hold-s": 1.5,
                                                   "stages": [0, 0.4, 1]})
             self.order(it, "f3", "/v1/rollouts", {"settings": [["bounds", "idle", ["50s"]]]}, wanted=409)
             it.until(lambda: self.shown(it).get("taken"), 30)
-            holder = it.until(it.holder)
-            it.freeze(holder)
+            leader = it.until(it.leader)
+            it.freeze(leader)
             gevent.sleep(3)
-            it.wake(holder)
+            it.resume(leader)
             told, _ = self.follow(it, ["f4", "f3", "f0"], ("done", "back"), 90)
             self.assertEqual((told["state"], sorted(told["taken"])), ("done", it.names), told)
             it.until(lambda: all((it.status(name) or {"together": None})["together"] and it.status(name)["together"][
                 "version"] == told["rollout"] for name in it.names), 30)
             traffic.stop()
             self.assertGreater(traffic.good, 300)
-            self.assertEqual([each for each in traffic.lost if each[0] != holder], [])
+            self.assertEqual([each for each in traffic.lost if each[0] != leader], [])
 
-    def test_a_program_that_does_not_start_and_one_that_fails_calls_go_back(self):
-        with Several(supervised=True, fronts=4, workers=4) as it:
-            it.until(it.holder)
-            it.until(lambda: all(it.record(name) for name in it.names))
+    def test_programs_that_do_not_start_or_that_fail_calls_go_back(self):
+        with Cluster(supervised=True, fronts=4, workers=4) as it:
+            it.until(it.leader)
+            it.until(lambda: all(it.log_status(name) for name in it.names))
             traffic = Traffic(it)
-            crashes = it.tree("crashes", [("gateway/front_end.py", "        self.ready()\n",
-                                           "        os._exit(3)\n")])
+            crashes = it.copy_program("crashes", [("gateway/front_end.py", "        self.ready()\n",
+                                                   "        os._exit(3)\n")])
             self.order(it, "f3", "/v1/rollouts", {"tree": str(crashes), "hold-s": 2})
             told, most = self.follow(it, ["f3", "f0"], ("done", "back"), 60)
             self.assertEqual((told["state"], most), ("back", 0), told)
             self.assertIn("could not start it", told["why"])
-            fails = it.tree("fails", [("invoke/api.py", "        call = requests.parse_call(", """
+            fails = it.copy_program("fails", [("invoke/api.py", "        call = requests.parse_call(", """
         if time.time_ns() // 1000 % 3 == 0:
             raise self.turned_away(503, 'planted', 'one call in three', tenant)
         call = requests.parse_call(""")])
--- a/threadshift/eviction/active_policy.py
+++ b/threadshift/eviction/active_policy.py
@@ -48,6 +48,7 @@
         self.complaints: dict[str, str] = {}         # node: its complaint in this epoch
 
     def apply(self, place: int, body: dict[str, Any]) -> ActivePolicy:
+        """Applies an entry. Returns the policy that is active after it."""
         if body["do"] == "evict.set":
             self.complaints = {}
             self.active = ActivePolicy(place, body["policy"], body["digest"], dict(body["parameters"]),
--- a/threadshift/rollout/coordinator.py
+++ b/threadshift/rollout/coordinator.py
@@ -24,7 +24,7 @@
 WARM_UP_TIME = 5 * SECOND      # a started front end is compared after this: by then it has links and found copies
 START_TIMEOUT = 60 * SECOND    # from being taken to running the new version; after it the rollout goes back
 SILENCE_TIMEOUT = 30 * SECOND  # a front end that was taken and is silent for so long makes the rollout go back
-CRASHES_TO_ROLL_BACK = 2       # of front ends that run the new version; a single crash may have any cause
+CRASHES_TO_ROLL_BACK = 2       # restarts of front ends that run the new version; a single one may have any cause
 WAVE_DIVISOR = 10              # one front end, plus one in so many, may be changing over at once
 # The rollout goes back if the loads per call of the whole fleet grow by more than this factor. An increase that is
 # harmless at one front end is not at many.
@@ -202,7 +202,7 @@
                 return f"{name} could not start it"
         crashes = sum(len(incarnations) - 1 for incarnations in seen.incarnations.values())
         if crashes >= CRASHES_TO_ROLL_BACK:
-            return f"{crashes} front ends that ran it crashed and were started again"
+            return f"{crashes} front ends that ran it were started again"
         for name in rollout.taken:
             since = seen.taken_since.get(name, now)
             if name not in seen.incarnations and now - max(since, seen.started_at) >= START_TIMEOUT:
--- a/threadshift/rollout/process_replacement.py
+++ b/threadshift/rollout/process_replacement.py
@@ -1,9 +1,9 @@
 """Replaces the process of a front end by one of another version; used by the supervisor. Free of I/O.
 
 The new process starts beside the old one, which keeps serving until the new one is ready; then the old one drains. A
-new process that does not become ready, or that dies repeatedly soon after it took over, is given up, and the previous
-version runs again. The supervisor decides that alone, whether or not the replicated log can be reached. `running` is
-at each moment the version that really runs."""
+new process that does not become ready, or that crashes repeatedly soon after it took over, is given up, and the
+previous version runs again. The supervisor decides that alone, whether or not the replicated log can be reached.
+`running` is at each moment the version that really runs."""
 from __future__ import annotations
 
 from enum import Enum
@@ -12,8 +12,8 @@
 from threadshift.interface import SECOND
 
 READY_TIMEOUT = 20 * SECOND    # from the start of a process until it is ready: many times what it usually takes
-PROVING_TIME = 20 * SECOND     # deaths so soon after taking over count against the new version
-CRASHES_TO_GIVE_UP = 2         # so many of these deaths make the supervisor return to the previous version
+PROVING_TIME = 20 * SECOND     # crashes so soon after taking over count against the new version
+CRASHES_TO_GIVE_UP = 2         # so many of these crashes make the supervisor return to the previous version
 
 
 class TargetVersion(NamedTuple):
@@ -34,7 +34,7 @@
 
 
 class ProcessReplacement:
-    """Which version runs, and which is starting. Each method returns the actions to take, in order."""
+    """Keeps track of which version runs and which is starting. Methods return the actions to take, in order."""
 
     def __init__(self, running: TargetVersion):
         self.running, self.place = running, running.place
