--- a/threadshift/batches/queue.py
+++ b/threadshift/batches/queue.py
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, eq=False)
 class BatchCall:
-    """One call of a batch, also its client as the engine sees it. Times are by the monotonic clock of this process."""
+    """One call of a batch, and the client that the engine knows for it. Times are by the monotonic clock."""
 
     id: str
     tenant: str
