--- a/threadshift/gateway/batch_service.py
+++ b/threadshift/gateway/batch_service.py
@@ -16,8 +16,8 @@
 from gevent.event import Event
 
 from threadshift.batches.cancels import CLOSED, OPEN, Cancel, CancelOver, Cancels, NoSuchCancel
-from threadshift.batches.queue import Counts, Queue, Waiting
-from threadshift.batches.shelf import Kept, Shelf, record
+from threadshift.batches.queue import BatchCall, BatchCounts, BatchQueue
+from threadshift.batches.store import BatchStore, StoredCall, make_record
 from threadshift.choice import NEVER_RAN
 from threadshift.conf.installation import Installation
 from threadshift.engine.engine import Answer, Call, FinalKind, PendingRequest, RequestEngine
@@ -72,15 +72,15 @@
                  disk: Any = None):
         """Raises what opening the store raises."""
         self.front, self.carrier, self.cancels, self.undo_window = front, carrier, cancels, undo_window
-        self.store = Shelf(folder / f"{front.name}.calls", disk)
-        self.queue = Queue(max(1, front.config.bounds.activations // CAPACITY_DIVISOR))
-        self.calls: dict[str, tuple[Waiting, Call, DeferredCall]] = {}
+        self.store = BatchStore(folder / f"{front.name}.calls", disk)
+        self.queue = BatchQueue(max(1, front.config.bounds.activations // CAPACITY_DIVISOR))
+        self.calls: dict[str, tuple[BatchCall, Call, DeferredCall]] = {}
         self.pending: dict[str, PendingRequest] = {}
         self.writes: list[tuple[list[dict[str, Any]], Callable[[bool], None]]] = []
         self.wake = Event()
         self.last_failure = ""
         self.started_at, self.swept_at, self.requests_under_way = time.monotonic_ns(), 0, 0
-        self.last_order = self.store.orders
+        self.last_order = self.store.last_order
         self.greenlet: gevent.Greenlet | None = None
         self.recover()
 
@@ -118,7 +118,7 @@
         """Writes records on a thread; whether they were stored. Logs each new failure once."""
         pool = gevent.get_hub().threadpool
         problem = pool.apply(exception_of, (self.store.write, records))
-        if problem is None and (renewal := self.store.wrote(records)):
+        if problem is None and (renewal := self.store.on_written(records)):
             problem = pool.apply(exception_of, (self.store.journal.renew, *renewal))
         if problem is not None:
             if str(problem) != self.last_failure:
@@ -136,12 +136,12 @@
             if kept.answer is not None:
                 self.front.deferred_calls.finish(now, deferred_call, stored_answer(kept.answer))
                 continue
-            entry = Waiting(kept.ivk, kept.tenant, kept.batch, kept.order, now + kept.remaining(wall),
-                            kept.call["type"], kept.tries + kept.out, parked=kept.parked)
+            entry = BatchCall(kept.ivk, kept.tenant, kept.batch, kept.order, now + kept.remaining(wall),
+                            kept.call["type"], kept.tries + kept.out, parked_by=kept.parked)
             self.calls[kept.ivk] = entry, stored_call(kept), deferred_call
             self.queue.add(entry)
             if kept.may_have_run:
-                self.queue.end(entry)
+                self.queue.finish(entry)
                 self.finish(entry, Answer(FinalKind.ABORTED, "front-end-died", may_have_run=True))
         if self.store.calls:
             self.front.note("calls-recovered", calls=len(self.calls), in_doubt=len(self.writes))
@@ -154,11 +154,11 @@
             raise Problem(503, "cannot-be-kept", "the disk on which batches are stored fails")
         now, activation_id = time.monotonic_ns(), self.front.api.new_id()
         self.last_order += 1
-        entry = Waiting(activation_id, call.tenant, batch, self.last_order, now + call.left, call.type)
+        entry = BatchCall(activation_id, call.tenant, batch, self.last_order, now + call.left, call.type)
         deferred_call = self.front.deferred_calls.add(activation_id, call.tenant)
         effect = next(each.effect for each in self.front.config.deployment.types if each.name == call.type)
-        stopped = self.queue.stopped.get((call.tenant, batch))
-        taken = record("take", ivk=activation_id, tenant=call.tenant, batch=batch, order=entry.order,
+        stopped = self.queue.open_cancels.get((call.tenant, batch))
+        taken = make_record("take", ivk=activation_id, tenant=call.tenant, batch=batch, order=entry.order,
                        at=time.time_ns(), left=call.left, effect=effect.value,
                        parked=stopped.id if stopped else "", call=call._asdict())
 
@@ -176,82 +176,83 @@
         self.persist([taken], on_written)
 
     def tick(self, now: int) -> None:
-        for entry in self.queue.ended(now):
-            self.finish(entry, Answer(FinalKind.REJECTED, "cancelled") if entry.parked
+        for entry in self.queue.expire(now):
+            self.finish(entry, Answer(FinalKind.REJECTED, "cancelled") if entry.parked_by
                        else Answer(FinalKind.REJECTED, "time-up"))
         if not self.front.api.closing and (
                 self.carrier.member.age(clock()) is not None or now - self.started_at >= RECORD_WAIT):
             out = []
-            for entry in self.queue.next(now):
+            for entry in self.queue.take_ready(now):
                 if not self.front.api.capacity.has_room(entry.tenant):
-                    self.queue.taken_back(entry)
+                    self.queue.withdraw(entry)
                     break
                 self.front.api.capacity.acquire(entry.tenant)
                 out.append(entry)
             if out:
-                self.persist([record("out", ivk=each.ivk) for each in out],
+                self.persist([make_record("out", ivk=each.id) for each in out],
                              lambda is_stored: self.dispatch(out, is_stored))
         if now - self.swept_at >= SWEEP_INTERVAL:
             self.swept_at = now
             self.forget_old_answers()
 
-    def dispatch(self, out: list[Waiting], is_stored: bool) -> None:
+    def dispatch(self, out: list[BatchCall], is_stored: bool) -> None:
         """Passes calls to the engine, except those that a cancel withdrew meanwhile."""
         self.front.read_updates()
         now = time.monotonic_ns()
         for entry in out:
-            if entry.over or not entry.out or not is_stored:
+            if entry.is_done or not entry.is_out or not is_stored:
                 self.front.api.capacity.release(entry.tenant)
-                if not entry.over:
-                    self.queue.taken_back(entry)
+                if not entry.is_done:
+                    self.queue.withdraw(entry)
                     self.requeue(entry)
                 continue
-            _, call, _ = self.calls[entry.ivk]
-            name = f"{entry.ivk}~{entry.tries}" if entry.tries else entry.ivk
+            _, call, _ = self.calls[entry.id]
+            name = f"{entry.id}~{entry.tries}" if entry.tries else entry.id
             # The call may be answered before admit() returns.
-            self.pending.pop(entry.ivk, None)
-            pending = self.front.engine.admit(now, name, call._replace(left=entry.ends - now, again=False), entry)
-            if entry.out and not pending.is_settled:
-                self.pending[entry.ivk] = pending
+            self.pending.pop(entry.id, None)
+            pending = self.front.engine.admit(now, name, call._replace(left=entry.deadline - now, again=False), entry)
+            if entry.is_out and not pending.is_settled:
+                self.pending[entry.id] = pending
 
     def owns(self, pending: PendingRequest) -> bool:
-        return isinstance(pending.client, Waiting)
+        return isinstance(pending.client, BatchCall)
 
     def on_answered(self, pending: PendingRequest) -> None:
         """The final answer of the engine to one try of a call."""
         entry, answer = pending.client, pending.answer
         assert answer is not None
-        self.pending.pop(entry.ivk, None)
+        self.pending.pop(entry.id, None)
         now = time.monotonic_ns()
-        if self.queue.returned(entry, now, answer.final is FinalKind.COMPLETED, answer.final is FinalKind.REJECTED,
+        if self.queue.on_returned(entry, now, answer.final is FinalKind.COMPLETED, answer.final is FinalKind.REJECTED,
                                answer.reason, answer.retry_after, now - pending.admitted_at):
             self.finish(entry, answer)
         else:
             self.requeue(entry)
 
-    def requeue(self, entry: Waiting) -> None:
+    def requeue(self, entry: BatchCall) -> None:
         """Lets a call wait again. If this cannot be stored, the call counts as possibly run, which is safe."""
-        self.persist([record("back", ivk=entry.ivk, tries=entry.tries, parked=entry.parked)], lambda is_stored: None)
+        self.persist([make_record("back", ivk=entry.id, tries=entry.tries, parked=entry.parked_by)],
+                     lambda is_stored: None)
 
-    def finish(self, entry: Waiting, answer: Answer) -> None:
+    def finish(self, entry: BatchCall, answer: Answer) -> None:
         """Stores the final answer of a call, then gives it to its client."""
-        _, _, deferred_call = self.calls.pop(entry.ivk)
+        _, _, deferred_call = self.calls.pop(entry.id)
         self.persist_answer(entry, answer, deferred_call)
 
-    def persist_answer(self, entry: Waiting, answer: Answer, deferred_call: DeferredCall) -> None:
+    def persist_answer(self, entry: BatchCall, answer: Answer, deferred_call: DeferredCall) -> None:
         """Stores an answer and then gives it to the client. Retries while the disk fails and the call has time left.
 
         An answer that was given but not stored could be followed by a different one after a crash."""
-        end = record("end", ivk=entry.ivk, at=time.time_ns(), answer={
+        end = make_record("end", ivk=entry.id, at=time.time_ns(), answer={
             "final": answer.final.value, "reason": answer.reason, "body": answer.body, "error": answer.error,
             "may_have_run": answer.may_have_run})
 
         def on_written(is_stored: bool) -> None:
-            if not is_stored and time.monotonic_ns() + ANSWER_RETRY_DELAY < entry.ends:
+            if not is_stored and time.monotonic_ns() + ANSWER_RETRY_DELAY < entry.deadline:
                 gevent.spawn_later(ANSWER_RETRY_DELAY / SECOND, self.persist_answer, entry, answer, deferred_call)
                 return
             for exchange in self.front.deferred_calls.finish(time.monotonic_ns(), deferred_call, answer):
-                exchange.respond(requests.final_response(answer, entry.ivk))
+                exchange.respond(requests.final_response(answer, entry.id))
 
         self.persist([end], on_written)
 
@@ -260,28 +261,28 @@
         before = time.time_ns() - self.front.config.bounds.keep_results
         old = [each.ivk for each in self.store.calls.values() if each.answer is not None and each.answered < before]
         if old:
-            self.persist([record("forget", ivk=each) for each in old], lambda is_stored: None)
+            self.persist([make_record("forget", ivk=each) for each in old], lambda is_stored: None)
 
     def cancel_call(self, activation_id: str) -> Answer | None:
         """Cancels one call: its final answer, or None if it may have begun. Raises KeyError."""
         entry, _, _ = self.calls[activation_id]
-        if entry.out and not self.withdraw(entry):
+        if entry.is_out and not self.withdraw(entry):
             return None
-        self.queue.end(entry)
+        self.queue.finish(entry)
         answer = Answer(FinalKind.REJECTED, "cancelled")
         self.finish(entry, answer)
         return answer
 
-    def withdraw(self, entry: Waiting) -> bool:
+    def withdraw(self, entry: BatchCall) -> bool:
         """Withdraws a call from the engine if it certainly never began; returns whether it was withdrawn."""
-        pending = self.pending.get(entry.ivk)
+        pending = self.pending.get(entry.id)
         if pending is not None:
             if any(sent.outcome not in NEVER_RAN for sent in pending.sends):
                 return False
-            self.pending.pop(entry.ivk)
+            self.pending.pop(entry.id)
             pending.on_client_gone(time.monotonic_ns())
             self.front.api.capacity.release(entry.tenant)
-        self.queue.taken_back(entry)
+        self.queue.withdraw(entry)
         return True
 
     # Changes of the record.
@@ -289,21 +290,21 @@
     def on_cancels_changed(self, cancels: list[Cancel]) -> None:
         """Acts on the current state of these cancels; may be called any number of times for the same state."""
         for cancel in cancels:
-            before = set(self.queue.under.get(cancel.id, ()))
-            out, restored, closed = self.queue.heard(cancel)
+            before = set(self.queue.parked.get(cancel.id, ()))
+            out, restored, closed = self.queue.apply_cancel(cancel)
             withdrawn = [each for each in out if self.withdraw(each)]
             if cancel.state == OPEN:
-                new = [ivk for ivk in self.queue.under.get(cancel.id, ()) if ivk not in before]
+                new = [ivk for ivk in self.queue.parked.get(cancel.id, ()) if ivk not in before]
                 late = time.time_ns() - cancel.at
                 if new or out:
-                    self.persist([record("stop", cancel=cancel.id, ivks=new)], lambda is_stored: None)
-                    self.persist([record("back", ivk=each.ivk, tries=each.tries, parked=each.parked)
+                    self.persist([make_record("stop", cancel=cancel.id, ivks=new)], lambda is_stored: None)
+                    self.persist([make_record("back", ivk=each.id, tries=each.tries, parked=each.parked_by)
                                   for each in withdrawn], lambda is_stored: None)
                     self.front.note("batch-stopped", cancel=cancel.id, batch=cancel.batch, parked=len(new),
                                     out=len(out) - len(withdrawn),
                                     heard_late_ms=late // MS if late > LATE_CANCEL else 0)
             elif restored:
-                self.persist([record("free", cancel=cancel.id)], lambda is_stored: None)
+                self.persist([make_record("free", cancel=cancel.id)], lambda is_stored: None)
                 self.front.note("batch-restored", cancel=cancel.id, batch=cancel.batch, calls=len(restored))
             for each in closed:
                 self.finish(each, Answer(FinalKind.REJECTED, "cancelled"))
@@ -316,15 +317,15 @@
         """Answers a peer: the counts of a batch here, and how many calls of the tenant wait in all."""
         counts = self.queue.counts(str(request["tenant"]), str(request["batch"]), time.monotonic_ns())
         return {**{each: getattr(counts, each) for each in COUNT_NAMES}, "nearest": counts.nearest,
-                "of-tenant": self.queue.waiting_of(str(request["tenant"]))}
+                "of-tenant": self.queue.waiting_count(str(request["tenant"]))}
 
-    def total_counts(self, tenant: str, batch: str) -> tuple[Counts, int, list[str]]:
+    def total_counts(self, tenant: str, batch: str) -> tuple[BatchCounts, int, list[str]]:
         """Asks all front ends. Returns the counts of a batch, the number of calls of its tenant that wait, and
         the names of the front ends that did not answer."""
         request = {"tenant": tenant, "batch": batch}
         found = self.carrier.ask_all("batch", request, PEER_TIMEOUT)
         reports = [each for each in found.values() if each is not None and "nearest" in each]
-        total = Counts(**{name: sum(each[name] for each in reports) for name in COUNT_NAMES})
+        total = BatchCounts(**{name: sum(each[name] for each in reports) for name in COUNT_NAMES})
         total.nearest = min((each["nearest"] for each in reports if each["nearest"]), default=0)
         silent = sorted(name for name, each in found.items() if each is None or "nearest" not in each)
         return total, sum(each["of-tenant"] for each in reports), silent
@@ -402,8 +403,8 @@
                 "undo-ms": max(0, left) // MS if cancel.state == OPEN else 0}
 
     def status(self) -> dict[str, Any]:
-        return {"calls": len(self.calls), "out": self.queue.out, "room": round(self.queue.room, 1),
-                "parked": sum(map(len, self.queue.under.values())), "open-cancels": len(self.cancels.open),
+        return {"calls": len(self.calls), "out": self.queue.out_count, "room": round(self.queue.out_limit, 1),
+                "parked": sum(map(len, self.queue.parked.values())), "open-cancels": len(self.cancels.open),
                 "writes-waiting": len(self.writes), "problem": self.last_failure}
 
     def state_of(self, activation_id: str) -> dict[str, Any] | None:
@@ -411,9 +412,9 @@
         if activation_id not in self.calls:
             return None
         entry = self.calls[activation_id][0]
-        more: dict[str, Any] = {"tries": entry.tries, "left-ms": max(0, entry.ends - time.monotonic_ns()) // MS}
-        if entry.parked and entry.parked in self.cancels.all:
-            more["cancel"] = self.cancel_fields(self.cancels.all[entry.parked])
+        more: dict[str, Any] = {"tries": entry.tries, "left-ms": max(0, entry.deadline - time.monotonic_ns()) // MS}
+        if entry.parked_by and entry.parked_by in self.cancels.all:
+            more["cancel"] = self.cancel_fields(self.cancels.all[entry.parked_by])
         return {"batch": entry.batch, "state": entry.state, **more}
 
 
@@ -426,7 +427,7 @@
     return None
 
 
-def count_fields(counts: Counts) -> dict[str, Any]:
+def count_fields(counts: BatchCounts) -> dict[str, Any]:
     return {**{name: getattr(counts, name) for name in COUNT_NAMES}, "nearest-end-ms": counts.nearest // MS}
 
 
@@ -435,7 +436,7 @@
     return "".join(f"-{letter.lower()}" if letter.isupper() else letter for letter in type(error).__name__).strip("-")
 
 
-def stored_call(kept: Kept) -> Call:
+def stored_call(kept: StoredCall) -> Call:
     return Call(**{name: value for name, value in kept.call.items() if name in Call._fields})
 
 
--- a/threadshift/gateway/eviction_service.py
+++ b/threadshift/gateway/eviction_service.py
@@ -10,8 +10,8 @@
 
 import gevent
 
-from threadshift.eviction.force import Force, Forces, Lacking
-from threadshift.eviction.node import FRESH, Evictor
+from threadshift.eviction.active_policy import ActivePolicy, ActivePolicyState, Lacking
+from threadshift.eviction.node import HOLDERS_MAX_AGE, Evictor
 from threadshift.eviction.policies import digest
 from threadshift.interface import SECOND
 from threadshift.links.codec import Frame
@@ -35,8 +35,8 @@
 class EvictionService:
     """Keeps the workers of one front end informed of the active eviction policy."""
 
-    def __init__(self, front: FrontEndLinks, carrier: Carrier, forces: Forces):
-        self.front, self.carrier, self.forces = front, carrier, forces
+    def __init__(self, front: FrontEndLinks, carrier: Carrier, policy_state: ActivePolicyState):
+        self.front, self.carrier, self.policy_state = front, carrier, policy_state
         self.evictor = Evictor(front.name)
         self.worker_policies: dict[str, dict[str, str]] = {}    # by worker: its policies and their digests
         self.epochs: dict[str, int] = {}                        # by worker: the epoch that it applies
@@ -53,14 +53,14 @@
         _, names = self.copies.get(worker, (0, []))
         holders = {name: [other for other in self.holders[name] if other != worker][:MAX_HOLDERS]
                    for name in names if len(self.holders.get(name, ())) > 1}
-        return {"eviction": self.forces.now.told(), "holders": holders}
+        return {"eviction": self.policy_state.active.as_message(), "holders": holders}
 
     def update_holders(self, now: int) -> None:
         """Computes from recent reports which workers hold which functions; once for all workers, as all are updated
         at the same time."""
         self.holders = {}
         for worker, (at, names) in sorted(self.copies.items()):
-            if now - at <= FRESH:
+            if now - at <= HOLDERS_MAX_AGE:
                 for name in names:
                     self.holders.setdefault(name, []).append(worker)
 
@@ -82,7 +82,7 @@
 
     def report_complaint(self, node: str, what: str) -> None:
         """Enters a node's complaint about the active policy into the record, once for each epoch."""
-        epoch = self.forces.now.epoch
+        epoch = self.policy_state.active.epoch
         if (node, epoch) in self.complained or self.epochs.get(node, epoch) != epoch:
             return
         self.complained.add((node, epoch))
@@ -100,11 +100,11 @@
 
     # Called by the front end and the record.
 
-    def on_policy_changed(self, force: Force) -> None:
+    def on_policy_changed(self, policy: ActivePolicy) -> None:
         """Another policy became active: passes it to the workers at once."""
-        if self.evictor.hear(force.told()):
-            self.front.note("policy-in-force", epoch=force.epoch, policy=force.policy, why=force.why,
-                            lacks=self.evictor.lacks)
+        if self.evictor.update_policy(policy.as_message()):
+            self.front.note("policy-in-force", epoch=policy.epoch, policy=policy.policy, why=policy.why,
+                            lacks=self.evictor.policy_mismatch)
             self.update_workers()
 
     def tick(self, now: int) -> None:
@@ -128,7 +128,7 @@
         """Answers a peer: the policies and epochs of this front end and of its workers."""
         own = {each: digest(policy) for each, policy in self.evictor.policies.items()}
         return {"nodes": {self.front.name: own, **self.worker_policies},
-                "epochs": {self.front.name: self.evictor.force.epoch, **self.epochs}}
+                "epochs": {self.front.name: self.evictor.active_policy.epoch, **self.epochs}}
 
     def gather_policies(self) -> tuple[dict[str, dict[str, str]], dict[str, int], list[str]]:
         """Asks all front ends. Returns the policies of all nodes, the epochs that these apply, and the front ends
@@ -168,7 +168,7 @@
 
     def show(self) -> dict[str, Any]:
         _, epochs, silent = self.gather_policies()
-        active = self.forces.now
-        return {**active.told(), "why": active.why,
+        active = self.policy_state.active
+        return {**active.as_message(), "why": active.why,
                 "behind": sorted(node for node, epoch in epochs.items() if epoch < active.epoch),
-                "nodes": len(epochs), "complaints": self.forces.complaints, "not-heard": silent}
+                "nodes": len(epochs), "complaints": self.policy_state.complaints, "not-heard": silent}
--- a/threadshift/gateway/replicated_services.py
+++ b/threadshift/gateway/replicated_services.py
@@ -13,7 +13,7 @@
 from threadshift.conf.peering import Peering
 from threadshift.consensus.book import Machine
 from threadshift.consensus.member import Told
-from threadshift.eviction.force import Forces
+from threadshift.eviction.active_policy import ActivePolicyState
 from threadshift.gateway.batch_service import BatchService, Front
 from threadshift.gateway.eviction_service import EvictionService
 from threadshift.gateway.rollout_service import RolloutService
@@ -33,25 +33,26 @@
         """Raises what opening its files raises."""
         self.front, self.peering = front, peering
         self.forms_checked_at = 0
-        self.cancels, self.forces, self.rollouts = Cancels(), Forces(), Rollouts()
-        machines: dict[str, Machine] = {"batches": self.cancels, "eviction": self.forces, "rollouts": self.rollouts}
+        self.cancels, self.policy_state, self.rollouts = Cancels(), ActivePolicyState(), Rollouts()
+        machines: dict[str, Machine] = {"batches": self.cancels, "eviction": self.policy_state,
+                                        "rollouts": self.rollouts}
         self.carrier = Carrier(peering, front.name, machines, self, front.chance, disk)
-        self.eviction_service = EvictionService(front, self.carrier, self.forces)
+        self.eviction_service = EvictionService(front, self.carrier, self.policy_state)
         self.carrier.answers["policies"] = self.eviction_service.local_policies
-        front.deferred_calls.eviction_order = self.eviction_service.evictor.order
+        front.deferred_calls.eviction_order = self.eviction_service.evictor.eviction_order
         self.rollout_service = RolloutService(front, peering, self.carrier, self.rollouts, self.eviction_service,
                                              version, front.api.call_recorder)
         self.carrier.answers["report"] = self.rollout_service.report
         self.carrier.duties.append(self.rollout_service.duties)
-        self.carrier.began.append(self.rollout_service.conductor.new_holder)
+        self.carrier.began.append(self.rollout_service.coordinator.on_became_leader)
         try:
             self.batch_service = BatchService(front, self.carrier, self.cancels, peering.folder, peering.undo, disk)
         except BaseException:
             self.carrier.stop()
             raise
         self.carrier.answers["batch"] = self.batch_service.local_counts
-        self.carrier.duties.append(self.cancels.due)
-        self.carrier.began.append(self.cancels.new_holder)
+        self.carrier.duties.append(self.cancels.due_entries)
+        self.carrier.began.append(self.cancels.on_became_leader)
 
     def start(self) -> None:
         """Raises OSError, with nothing left open."""
@@ -80,12 +81,12 @@
         """Called when an entry of the record was applied, or a snapshot of all of them."""
         if told.state is not None:
             self.batch_service.on_cancels_changed(list(self.cancels.all.values()))
-            self.eviction_service.on_policy_changed(self.forces.now)
+            self.eviction_service.on_policy_changed(self.policy_state.active)
             self.rollout_service.on_rollouts_changed()
         elif changed and str(told.entry.body.get("do")).startswith("rollout."):
             self.rollout_service.on_rollouts_changed()
         elif changed and str(told.entry.body.get("do")).startswith("evict."):
-            self.eviction_service.on_policy_changed(self.forces.now)
+            self.eviction_service.on_policy_changed(self.policy_state.active)
             self.rollout_service.on_rollouts_changed()
         elif changed and str(told.entry.body.get("do")).startswith("rollout."):
             self.rollout_service.on_rollouts_changed()
@@ -129,9 +130,10 @@
         self.carrier.stop()
 
     def status(self) -> dict[str, Any]:
-        force = self.forces.now
+        policy = self.policy_state.active
         return {"record": self.carrier.status(), "batches": self.batch_service.status(), "at": now(),
-                "eviction": {"epoch": force.epoch, "policy": force.policy,
-                             "own": self.eviction_service.evictor.force.epoch,
-                             "lacks": self.eviction_service.evictor.lacks, "workers": self.eviction_service.epochs},
+                "eviction": {"epoch": policy.epoch, "policy": policy.policy,
+                             "own": self.eviction_service.evictor.active_policy.epoch,
+                             "lacks": self.eviction_service.evictor.policy_mismatch,
+                             "workers": self.eviction_service.epochs},
                 "version": self.rollout_service.version}
--- a/threadshift/gateway/rollout_service.py
+++ b/threadshift/gateway/rollout_service.py
@@ -1,5 +1,5 @@
 """Rollouts at one front end: runs the version that the record assigns to it, reports on itself, and, while it is the
-leader, enters the decisions of the conductor.
+leader, enters the decisions of the coordinator.
 
 This module takes no decisions.
 """
@@ -29,10 +29,10 @@
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.api import CallRecorder
 from threadshift.peers.carrier import Carrier, now
-from threadshift.rollout.conduct import Conductor, Report
-from threadshift.rollout.judge import BUCKETS, Sums, bucket
-from threadshift.rollout.plan import CHECKING, DONE, STAGES, NoRollout, Rollout, Rollouts, UnderWay
-from threadshift.rollout.swap import Wanted
+from threadshift.rollout.canary_analysis import LATENCY_BUCKETS, CallStats, latency_bucket
+from threadshift.rollout.coordinator import FrontEndReport, RolloutCoordinator
+from threadshift.rollout.plan import CHECKING, DEFAULT_STAGES, DONE, NoRollout, Rollout, Rollouts, UnderWay
+from threadshift.rollout.process_replacement import TargetVersion
 
 REPORT_INTERVAL = SECOND             # between two rounds of reports
 PEER_TIMEOUT = 800 * MS              # for peers to report
@@ -60,7 +60,7 @@
         self.front, self.peering, self.carrier, self.rollouts = front, peering, carrier, rollouts
         self.eviction_service, self.version, self.call_recorder = eviction_service, version, call_recorder
         self.versions = VersionFiles(peering.folder, front.name)
-        self.conductor = Conductor(rollouts, peering.peers)
+        self.coordinator = RolloutCoordinator(rollouts, peering.peers)
         self.due_entries: list[dict[str, Any]] = []
         self.sums: dict[str, list[Any]] = {}
         self.problems: dict[str, str] = {}     # by rollout: why it cannot run here; empty: it can; "?": not known yet
@@ -85,7 +85,7 @@
         self.call_recorder.record(now, pending)
         if pending.answer is None:
             return
-        sums = self.sums.setdefault(pending.call.type, [0, 0, 0, 0, 0, [0] * BUCKETS])
+        sums = self.sums.setdefault(pending.call.type, [0, 0, 0, 0, 0, [0] * LATENCY_BUCKETS])
         duration = now - pending.admitted_at
         sums[0] += 1
         sums[1] += pending.answer.final is FinalKind.REJECTED
@@ -93,7 +93,7 @@
         sums[3] += bool(pending.answer.error)
         if pending.answer.final is FinalKind.COMPLETED:
             sums[4] += duration > pending.activation.type_stats.target_latency
-            sums[5][bucket(duration)] += 1
+            sums[5][latency_bucket(duration)] += 1
 
     # Reports.
 
@@ -104,7 +104,7 @@
         sums = {type_: [*row[:5], list(row[5])] for type_, row in self.sums.items()}
         refused = sum(count for kind, count in self.front.api.refusal_counters.totals().items()
                      if not kind.startswith(FINAL_ANSWER_PREFIXES))
-        sums[REFUSED_STRATUM] = [refused + self.front.engine.counts["taken"], refused, 0, 0, 0, [0] * BUCKETS]
+        sums[REFUSED_STRATUM] = [refused + self.front.engine.counts["taken"], refused, 0, 0, 0, [0] * LATENCY_BUCKETS]
         return {"version": self.version, "life": self.carrier.life, "failed": self.versions.read_failed(),
                 "up": time.monotonic_ns() - self.started_at if is_connected else 0,
                 "can": self.problems.get(rollout.id, "?") if rollout is not None else "",
@@ -112,13 +112,13 @@
                 "loads": self.front.engine.counts["orders"] + self.front.engine.counts["cold"]}
 
     @staticmethod
-    def parse_report(fields: dict[str, Any] | None) -> Report | None:
+    def parse_report(fields: dict[str, Any] | None) -> FrontEndReport | None:
         if not fields or "version" not in fields:
             return None
-        sums = {type_: Sums(row[0], row[1], row[2], row[3], row[4], tuple(row[5]))
+        sums = {type_: CallStats(row[0], row[1], row[2], row[3], row[4], tuple(row[5]))
                 for type_, row in fields["sums"].items()}
-        return Report(fields["version"], fields["life"], fields["up"], fields["can"], fields["failed"], sums,
-                      fields["loads"])
+        return FrontEndReport(fields["version"], fields["life"], fields["up"], fields["can"], fields["failed"], sums,
+                              fields["loads"])
 
     # Changes of the record.
 
@@ -146,7 +146,7 @@
         self.front.note("rollout-checked", rollout=rollout.id, can=not self.problems[rollout.id],
                         problem=self.problems[rollout.id])
 
-    def prepare(self, ids: tuple[str, ...]) -> tuple[Wanted, str]:
+    def prepare(self, ids: tuple[str, ...]) -> tuple[TargetVersion, str]:
         """Returns what to run for these rollouts, and what is wrong with it; empty if nothing is.
 
         Raises Mistake, OSError, BadChange."""
@@ -166,7 +166,8 @@
         process = subprocess.run([*program_command(tree), "check", str(path)], capture_output=True,
                                  timeout=CHECK_TIMEOUT_S, env=program_environment(tree))
         errors = process.stderr.decode(errors="replace").strip()[-300:]
-        return Wanted(0, version, str(path), tree), "" if process.returncode == 0 else errors or "its check failed"
+        return (TargetVersion(0, version, str(path), tree),
+                "" if process.returncode == 0 else errors or "its check failed")
 
     def change_version(self, place: int, ids: tuple[str, ...]) -> None:
         """Writes down which version should run, and wakes the supervisor. In a rollback, front ends take turns."""
@@ -178,7 +179,7 @@
         try:
             target, problem = self.prepare(ids)
         except (ThreadshiftError, Mistake, OSError) as error:
-            target, problem = Wanted(), str(error)
+            target, problem = TargetVersion(), str(error)
         if problem:
             self.front.note("version-not-taken", level="error", version="+".join(ids), problem=problem,
                             help=BadChange.help)
@@ -201,7 +202,7 @@
     # As the leader.
 
     def duties(self, at: int) -> list[dict[str, Any]]:
-        """The entries that the conductor decided on from the latest reports. Called at each tick of the leader."""
+        """The entries that the coordinator decided on from the latest reports. Called at each tick of the leader."""
         if self.rollouts.under_way is not None and at - self.gathered_at >= REPORT_INTERVAL:
             self.gathered_at = at
             gevent.spawn(self.gather)
@@ -214,12 +215,12 @@
         return entries
 
     def gather(self) -> None:
-        """Collects the reports of all front ends for the conductor."""
+        """Collects the reports of all front ends for the coordinator."""
         found = self.carrier.ask_all("report", {}, PEER_TIMEOUT)
         at = now()
         if self.carrier.member.holds(at):
-            self.conductor.fed(at, {name: self.parse_report(fields) for name, fields in found.items()})
-            self.due_entries = self.conductor.due(at)
+            self.coordinator.record_reports(at, {name: self.parse_report(fields) for name, fields in found.items()})
+            self.due_entries = self.coordinator.due_entries(at)
 
     # Operators.
 
@@ -239,7 +240,7 @@
                 str(name): int(value) for name, value in request["eviction"].get("parameters", {}).items()})
         if not what:
             raise BadChange("the request changes nothing: it must have settings, tree or eviction")
-        stages = [float(each) for each in request.get("stages", STAGES)]
+        stages = [float(each) for each in request.get("stages", DEFAULT_STAGES)]
         if not stages or stages != sorted(stages) or stages[-1] != 1.0 or stages[0] < 0:
             raise BadChange("stages must be shares in ascending order, with 1 as the last")
         rollout_id = self.carrier.new_id("rollout")
--- a/threadshift/gateway/supervisor.py
+++ b/threadshift/gateway/supervisor.py
@@ -36,22 +36,22 @@
         self.ready_fd = -1                      # on which the incoming process reports that it is ready
         self.draining: list[tuple[subprocess.Popen, int]] = []      # and when each is killed
         self.restart_at = 0
-        self.swap = None
+        self.replacement = None
         if config.peering is not None:
             # Imported only where front ends have peers.
             from threadshift.gateway.version_files import VersionFiles
-            from threadshift.rollout.swap import Swap, Wanted
+            from threadshift.rollout.process_replacement import ProcessReplacement, TargetVersion
             self.versions = VersionFiles(config.peering.folder, self.name)
-            self.installed = Wanted(conf=config.file)
+            self.installed = TargetVersion(conf=config.file)
             wanted = self.versions.read_wanted()
             is_usable = (wanted is not None and wanted.version != self.versions.read_failed()
                          and os.path.exists(wanted.conf))
-            self.swap = Swap(wanted if wanted is not None and is_usable else self.installed)
+            self.replacement = ProcessReplacement(wanted if wanted is not None and is_usable else self.installed)
 
     def spawn(self, conf: str, version: str = "", tree: str = "", ready_fd: int = -1) -> subprocess.Popen:
         """Starts a process that runs this front end."""
         command = ["front-end", conf or self.config.file, "--index", str(self.index)]
-        if self.swap is None:
+        if self.replacement is None:
             return subprocess.Popen([sys.executable, "-m", "threadshift", *command], stdin=subprocess.PIPE)
         from threadshift.gateway.rollout_service import program_command, program_environment
         more = ["--version", version, *(["--ready-fd", str(ready_fd)] if ready_fd >= 0 else [])]
@@ -60,10 +60,10 @@
 
     def start(self) -> None:
         self.restart_backoff.on_started(time.monotonic_ns())
-        if self.swap is None:
+        if self.replacement is None:
             self.process = self.spawn(self.config.file)
         else:
-            running = self.swap.running
+            running = self.replacement.running
             self.process = self.spawn(running.conf, running.version, running.tree)
 
     @property
@@ -80,11 +80,11 @@
                 self.restart_at = self.restart_backoff.on_died(now)
                 self.log.note("front-end-died", level="error", index=self.index, code=code,
                               again_ms=(self.restart_at - now) // MS)
-                if self.swap is not None:
-                    version = self.swap.running.version
-                    self.execute(self.swap.died(now), now)
+                if self.replacement is not None:
+                    version = self.replacement.running.version
+                    self.execute(self.replacement.on_died(now), now)
                     self.note_failed(version)
-        if self.swap is not None and not is_ending:
+        if self.replacement is not None and not is_ending:
             self.check_version(now)
         for each in [each for each in self.draining if each[0].poll() is not None]:
             self.draining.remove(each)
@@ -96,50 +96,50 @@
 
     def check_version(self, now: int) -> None:
         """Checks which version should run, and whether the incoming process is ready or has died."""
-        swap = self.swap
-        assert swap is not None
-        actions = swap.tick(now)
+        replacement = self.replacement
+        assert replacement is not None
+        actions = replacement.tick(now)
         if (wanted := self.versions.read_wanted()) is not None:
-            actions += swap.wanted(now, wanted)
+            actions += replacement.on_target(now, wanted)
         if self.incoming is not None:
             if self.incoming.poll() is not None:
-                actions += swap.incoming_died()
+                actions += replacement.on_incoming_died()
             elif select.select([self.ready_fd], [], [], 0)[0]:
-                actions += swap.ready(now) if os.read(self.ready_fd, 1) else []
+                actions += replacement.on_ready(now) if os.read(self.ready_fd, 1) else []
         self.execute(actions, now)
 
     def execute(self, actions: list, now: int) -> None:
         """Carries out the actions that the swap decided on."""
-        from threadshift.rollout.swap import Act
-        swap = self.swap
-        assert swap is not None
+        from threadshift.rollout.process_replacement import ReplacementAction
+        replacement = self.replacement
+        assert replacement is not None
         for action in actions:
-            if action is Act.START and swap.incoming is not None:
-                incoming = swap.incoming
+            if action is ReplacementAction.START and replacement.incoming is not None:
+                incoming = replacement.incoming
                 self.log.note("version-starts", index=self.index, version=incoming.version, place=incoming.place)
                 self.ready_fd, child_fd = os.pipe()
                 self.incoming = self.spawn(incoming.conf, incoming.version, incoming.tree, child_fd)
                 os.close(child_fd)
-            elif action is Act.TAKE_OVER:
-                self.log.note("version-runs", index=self.index, version=swap.running.version)
+            elif action is ReplacementAction.TAKE_OVER:
+                self.log.note("version-runs", index=self.index, version=replacement.running.version)
                 if self.process is not None:
                     self.process.send_signal(signal.SIGTERM)
                     self.draining.append((self.process, now + self.config.bounds.drain + KILL_GRACE))
                 self.process, self.incoming = self.incoming, None
                 self.restart_backoff.on_started(now)
                 os.close(self.ready_fd)
-            elif action is Act.GIVE_UP and self.incoming is not None:
+            elif action is ReplacementAction.GIVE_UP and self.incoming is not None:
                 self.incoming.kill()
                 self.incoming.wait()
                 self.incoming = None
                 os.close(self.ready_fd)
-                self.note_failed(swap.failed)
+                self.note_failed(replacement.failed_version)
 
     def note_failed(self, version: str) -> None:
         """Writes down that a version failed, for the front end to include it in its reports."""
-        if self.swap is not None and version and self.swap.failed == version:
+        if self.replacement is not None and version and self.replacement.failed_version == version:
             self.log.note("version-failed", level="error", index=self.index, version=version,
-                          runs=self.swap.running.version, help="see the log of the process that did not start")
+                          runs=self.replacement.running.version, help="see the log of the process that did not start")
             with suppress(OSError):
                 self.versions.write_failed(version)
 
