--- a/tests/test_bgp_session.py
+++ b/tests/test_bgp_session.py
@@ -5,11 +5,11 @@
 from threadshift.bgp.pace import PER_SECOND, SAVED, Pace
 from threadshift.bgp.path import Capabilities, Family
 from threadshift.bgp.session import (
-    CONNECT_RETRY, FIRST_IDLE, MOST_IDLE, OPEN_WAIT, STEADY, Neighbour, State, Them, Us)
+    CONNECT_RETRY, FIRST_IDLE, MOST_IDLE, OPEN_WAIT, STEADY, LocalSpeaker, Neighbour, RemotePeer, State)
 from threadshift.interface import SECOND
 
 CAN = Capabilities(frozenset(Family), 65001)
-US = Us(65001, 100, 9, CAN)
+US = LocalSpeaker(65001, 100, 9, CAN)
 IDLE, CONNECT, ACTIVE, OPEN_SENT, OPEN_CONFIRM, ESTABLISHED = State
 
 
@@ -56,7 +56,8 @@
 
     def __init__(self, state=IDLE, passive=False, chance=lambda: 0.0):
         self.log, self.routes, self.now = [], Routes(), 0
-        self.it = Neighbour(US, Them("r", 65000, passive), self.routes, lambda neighbour: Wire(self.log), chance)
+        self.it = Neighbour(US, RemotePeer("r", 65000, passive), self.routes,
+                            lambda neighbour: Wire(self.log), chance)
         if state is IDLE:
             return
         self.it.start(0)
--- a/threadshift/bgp/session.py
+++ b/threadshift/bgp/session.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Us:
+class LocalSpeaker:
     """This speaker."""
 
     asn: int
@@ -56,15 +56,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Them:
+class RemotePeer:
     """A configured peer."""
 
     name: str
     asn: int
     passive: bool = False        # waits to be dialled
 
-    def internal(self, us: Us) -> bool:
-        return self.asn == us.asn
+    def is_internal(self, local: LocalSpeaker) -> bool:
+        return self.asn == local.asn
 
 
 class Wire(Protocol):
@@ -130,11 +130,11 @@
         if self.state not in (State.CONNECT, State.ACTIVE):
             return
         self.timers.clear()
-        us = self.neighbour.us
+        local = self.neighbour.local
         self.reader = codec.Reader(self)
         self.enter(State.OPEN_SENT)
         self.set("hold", OPEN_WAIT, jitter=False)
-        self.wire.send(codec.write_open(us.asn, us.hold, us.router, us.can))
+        self.wire.send(codec.write_open(local.asn, local.hold, local.router, local.can))
 
     def tcp_failed(self, now: int) -> None:
         """TcpConnectionFails, in any state."""
@@ -195,14 +195,14 @@
     def opened(self, asn: int, hold: int, router: int, can: Capabilities) -> None:
         if self.state is not State.OPEN_SENT:
             raise self.out_of_order("OPEN")
-        us, them = self.neighbour.us, self.neighbour.them
-        if asn != them.asn:
-            raise Fault(codec.OPEN_ERROR, codec.BAD_PEER_AS, text=f"AS {asn} answers, {them.asn} was expected")
-        if router == us.router and them.internal(us):
+        local, remote = self.neighbour.local, self.neighbour.remote
+        if asn != remote.asn:
+            raise Fault(codec.OPEN_ERROR, codec.BAD_PEER_AS, text=f"AS {asn} answers, {remote.asn} was expected")
+        if router == local.router and remote.is_internal(local):
             raise Fault(codec.OPEN_ERROR, codec.BAD_IDENTIFIER, text="the peer has our router id")
         if hold == 0:
             raise Fault(codec.OPEN_ERROR, codec.BAD_HOLD_TIME, text="a hold time of 0 keeps a dead peer's routes")
-        self.router, self.can, self.hold = router, can, min(us.hold, hold) * SECOND
+        self.router, self.can, self.hold = router, can, min(local.hold, hold) * SECOND
         self.reader.four_octets = can.four_octets is not None
         self.enter(State.OPEN_CONFIRM)
         if not self.neighbour.resolve(self):
@@ -285,10 +285,10 @@
 class Neighbour:
     """One configured peer. `wire(dials)` makes a port for a session."""
 
-    def __init__(self, us: Us, them: Them, routes: Routes, wire: Callable[[Neighbour], Wire],
+    def __init__(self, local: LocalSpeaker, remote: RemotePeer, routes: Routes, wire: Callable[[Neighbour], Wire],
                  chance: Callable[[], float]):
-        self.us, self.them, self.routes, self.wire, self.chance = us, them, routes, wire, chance
-        self.session = Session(self, wire(self), not them.passive)
+        self.local, self.remote, self.routes, self.wire, self.chance = local, remote, routes, wire, chance
+        self.session = Session(self, wire(self), not remote.passive)
         self.second: Session | None = None
         self.wanted = False
         self.idle_until: int | None = None
@@ -306,7 +306,7 @@
 
     def begin(self, now: int) -> None:
         """As start(), in its turn among all peers that want to dial (pace.py)."""
-        if self.them.passive:
+        if self.remote.passive:
             self.start(now)
         else:
             self.now, self.wanted, self.idle_until = now, True, now
@@ -343,7 +343,7 @@
 
     def dials_at(self) -> int | None:
         """When its timers would have it dial."""
-        if self.them.passive:
+        if self.remote.passive:
             return None
         return self.idle_until if self.idle_until is not None else self.session.timers.get("connect-retry")
 
@@ -368,8 +368,8 @@
         other = self.second if session is self.session else self.session
         if other is None or other.state is not State.OPEN_CONFIRM:
             return True
-        ours_stays = self.us.router > session.router or self.us.router == session.router and (
-            self.us.asn > self.them.asn)            # RFC 6286, section 2.3
+        ours_stays = self.local.router > session.router or self.local.router == session.router and (
+            self.local.asn > self.remote.asn)            # RFC 6286, section 2.3
         dialled, came = (self.session, self.second) if self.second else (self.session, None)
         keep, drop = (dialled, came) if ours_stays else (came, dialled)
         assert keep is not None and drop is not None
@@ -406,7 +406,7 @@
             self.idle_until = session.now + int(self.pause * (1 - JITTER * self.chance()))
 
     def renew(self) -> None:
-        self.session = Session(self, self.wire(self), not self.them.passive)
+        self.session = Session(self, self.wire(self), not self.remote.passive)
 
     @property
     def state(self) -> State:
--- a/threadshift/bgp/speaker.py
+++ b/threadshift/bgp/speaker.py
@@ -19,7 +19,7 @@
 from threadshift.bgp.pace import Pace
 from threadshift.bgp.path import Family, Path, Prefix
 from threadshift.bgp.rib import Heard, Told
-from threadshift.bgp.session import Neighbour, Session, State, Them, Us
+from threadshift.bgp.session import Neighbour, Session, State, LocalSpeaker, RemotePeer
 from threadshift.conf.values import Address
 from threadshift.interface import MS, SECOND
 from threadshift.links.sockets import READ, listener
@@ -37,7 +37,7 @@
 class PeerAddress(NamedTuple):
     """Where a peer is, and how it is dialled."""
 
-    them: Them
+    remote: RemotePeer
     address: Address
     source: str = ""             # our address on this connection; empty: the system's choice
     ttl_security: bool = False
@@ -177,14 +177,15 @@
 class Speaker:
     """All neighbours of one front end. tick() is wanted a few times a second; stop() ends every greenlet."""
 
-    def __init__(self, us: Us, peers: Sequence[PeerAddress], listen: Address | None,
-                 wanted: Callable[[Them], dict[Prefix, Path]], note: Callable[..., Any], chance: Callable[[], float]):
-        self.us, self.listen, self.wanted, self.note = us, listen, wanted, note
-        self.peers = {peer.them.name: peer for peer in peers}
+    def __init__(self, local: LocalSpeaker, peers: Sequence[PeerAddress], listen: Address | None,
+                 wanted: Callable[[RemotePeer], dict[Prefix, Path]], note: Callable[..., Any],
+                 chance: Callable[[], float]):
+        self.local, self.listen, self.wanted, self.note = local, listen, wanted, note
+        self.peers = {peer.remote.name: peer for peer in peers}
         self.heard = Heard(MOST_HEARD)
         self.told: dict[str, Told] = {}
         self.sent = 0
-        self.neighbours = {name: Neighbour(us, peer.them, self, self.wire_to(peer), chance)
+        self.neighbours = {name: Neighbour(local, peer.remote, self, self.wire_to(peer), chance)
                            for name, peer in self.peers.items()}
         self.greenlets = Group()
         self.refusals = Pool(MOST_REFUSED)
@@ -219,7 +220,7 @@
             if peer is None:
                 sock.close()
                 continue
-            neighbour = self.neighbours[peer.them.name]
+            neighbour = self.neighbours[peer.remote.name]
             if neighbour.incoming(time.monotonic_ns(), TcpWire(self, peer, sock)) is not None:
                 continue
             if self.refusals.free_count():
@@ -248,7 +249,7 @@
         for name, told in self.told.items():
             session = self.neighbours[name].established_session
             if session is not None:
-                for data in told.changes(self.wanted(self.peers[name].them)):
+                for data in told.changes(self.wanted(self.peers[name].remote)):
                     session.wire.send(data)
 
     def stop(self, reason: str) -> None:
@@ -269,40 +270,40 @@
     # What neighbours tell.
 
     def up(self, now: int, neighbour: Neighbour) -> None:
-        name = neighbour.them.name
+        name = neighbour.remote.name
         session = neighbour.session
-        told = self.told[name] = Told(session.can.families & self.us.can.families, session.reader.four_octets)
+        told = self.told[name] = Told(session.can.families & self.local.can.families, session.reader.four_octets)
         self.note("bgp-up", peer=name, hold_s=session.hold // SECOND)
-        for data in told.first(self.wanted(neighbour.them)):
+        for data in told.first(self.wanted(neighbour.remote)):
             session.wire.send(data)
 
     def down(self, now: int, neighbour: Neighbour, why: str) -> None:
-        self.told.pop(neighbour.them.name, None)
-        self.heard.lost(neighbour.them.name)
-        self.note("bgp-down", level="warning", peer=neighbour.them.name, why=why)
+        self.told.pop(neighbour.remote.name, None)
+        self.heard.lost(neighbour.remote.name)
+        self.note("bgp-down", level="warning", peer=neighbour.remote.name, why=why)
 
     def announced(self, neighbour: Neighbour, prefixes: Sequence[Prefix], path: Path) -> None:
-        if not self.heard.announced(neighbour.them.name, prefixes, path):
+        if not self.heard.announced(neighbour.remote.name, prefixes, path):
             raise codec.Fault(codec.CEASE, codec.MAX_PREFIXES, text=f"more than {MOST_HEARD} routes")
 
     def withdrawn(self, neighbour: Neighbour, prefixes: Sequence[Prefix]) -> None:
-        self.heard.withdrawn(neighbour.them.name, prefixes)
+        self.heard.withdrawn(neighbour.remote.name, prefixes)
 
     def end_of_rib(self, neighbour: Neighbour, family: Family) -> None:
         """Nothing here waits for it."""
 
     def refresh_asked(self, neighbour: Neighbour, family: Family) -> None:
-        told, session = self.told.get(neighbour.them.name), neighbour.established_session
+        told, session = self.told.get(neighbour.remote.name), neighbour.established_session
         if told is not None and session is not None:
             for data in told.again(family):
                 session.wire.send(data)
 
     def noted(self, neighbour: Neighbour, problem: str) -> None:
-        self.note("bgp-mended", peer=neighbour.them.name, problem=problem)
+        self.note("bgp-mended", peer=neighbour.remote.name, problem=problem)
 
     def status(self, now: int) -> dict[str, Any]:
         return {name: {
-            "state": it.state.value, "as": it.them.asn, "address": str(self.peers[name].address),
+            "state": it.state.value, "as": it.remote.asn, "address": str(self.peers[name].address),
             "up-s": round((now - it.since) / SECOND, 1) if it.state is State.ESTABLISHED else None,
             "again-ms": max(0, it.idle_until - now) // MS if it.idle_until else None,
             "ups": it.ups, "downs": it.downs, "last": it.last,
--- a/threadshift/gateway/service_announcer.py
+++ b/threadshift/gateway/service_announcer.py
@@ -10,7 +10,7 @@
 from threadshift.bgp.announcer import Announcer, Preference, ServiceAddress
 from threadshift.bgp.drain import Drain, Stage
 from threadshift.bgp.path import Capabilities, Family, Path, Prefix
-from threadshift.bgp.session import Them, Us
+from threadshift.bgp.session import LocalSpeaker, RemotePeer
 from threadshift.bgp.speaker import PeerAddress, Speaker
 from threadshift.gateway.fitness import fitness
 from threadshift.interface import MS
@@ -54,8 +54,8 @@
         # No graceful restart is offered: its helper would keep the routes of a front end that is dead.
         can = Capabilities(frozenset(Family(1 if hop.version == 4 else 2) for hop in told.next_hops), told.asn, True)
         self.speaker = Speaker(
-            Us(told.asn, told.router, told.hold, can),
-            [PeerAddress(Them(each.name, each.asn, each.passive), each.address, each.source, each.ttl_security)
+            LocalSpeaker(told.asn, told.router, told.hold, can),
+            [PeerAddress(RemotePeer(each.name, each.asn, each.passive), each.address, each.source, each.ttl_security)
              for each in told.peers],
             told.listen, self.wanted, front.note, front.chance)
         self.next = 0
@@ -90,8 +90,8 @@
             asked_per_s=front.recent.per_second(now), refused=front.admission.refused_share,
             service=front.recent.service(now), drain=self.drain.standing)
 
-    def wanted(self, them: Them) -> dict[Prefix, Path]:
-        return self.announcer.wanted(them.internal(self.speaker.us))
+    def wanted(self, remote: RemotePeer) -> dict[Prefix, Path]:
+        return self.announcer.wanted(remote.is_internal(self.speaker.local))
 
     def leave(self, now: int) -> None:
         self.drain.begin(now, self.front.arrivals.per_second(now))
--- a/threadshift/standins/router.py
+++ b/threadshift/standins/router.py
@@ -18,7 +18,7 @@
 
 from threadshift.bgp import codec
 from threadshift.bgp.path import Capabilities, Family, Path, Prefix
-from threadshift.bgp.session import Them, Us
+from threadshift.bgp.session import LocalSpeaker, RemotePeer
 from threadshift.bgp.speaker import PeerAddress, Speaker
 from threadshift.conf.values import Address
 from threadshift.interface import MS, SECOND
@@ -42,8 +42,8 @@
         self.faults = Faults()
         can = Capabilities(frozenset(Family), asn, True)
         self.speaker = Speaker(
-            Us(asn, 0x7F000001, hold, can),
-            [PeerAddress(Them(name, number, passive=True), Address(host, 0)) for name, host, number in peers],
+            LocalSpeaker(asn, 0x7F000001, hold, can),
+            [PeerAddress(RemotePeer(name, number, passive=True), Address(host, 0)) for name, host, number in peers],
             listen, self.reflected, self.note, lambda: 0.5)
         self.best: dict[Prefix, list[Path]] = {}         # chosen
         self.steers: dict[Prefix, list[Path]] = {}       # in effect, the convergence delay later
@@ -114,15 +114,15 @@
         self.record.note("steers", routes={str(prefix): [str(path.next_hop) for path in paths]
                                            for prefix, paths in best.items()})
 
-    def reflected(self, them: Them) -> dict[Prefix, Path]:
+    def reflected(self, remote: RemotePeer) -> dict[Prefix, Path]:
         """The best of what others announce, for one neighbour."""
         found = {}
         for prefix in self.prefixes():
             paths = [routes[prefix] for name, routes in self.speaker.heard.routes.items()
-                     if name != them.name and prefix in routes]
+                     if name != remote.name and prefix in routes]
             if chosen := self.choose(paths):
-                found[prefix] = Path(chosen[0].next_hop, (self.speaker.us.asn, *chosen[0].as_path), chosen[0].origin,
-                                     chosen[0].med, None, chosen[0].communities, chosen[0].large)
+                found[prefix] = Path(chosen[0].next_hop, (self.speaker.local.asn, *chosen[0].as_path),
+                                     chosen[0].origin, chosen[0].med, None, chosen[0].communities, chosen[0].large)
         return found
 
     # Steering.
