--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -205,7 +205,7 @@
 def coding(count):
     """UPDATEs a second both ways, memory of 10,000 routes, and damaged messages."""
     route = Route(ipaddress.ip_address("127.0.1.1"), (65001, 65002), med=1, local_pref=2, communities=(1, 2),
-                  large=((1, 2, 3),))
+                  large_communities=((1, 2, 3),))
     prefixes = [ipaddress.ip_network((10 << 24 | n, 32)) for n in range(10_000)]
     began = time.perf_counter()
     messages = [codec.write_routes([prefix], route, True)[0] for prefix in prefixes]
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -63,8 +63,8 @@
         self.live.__exit__()
 
     @property
-    def held(self):
-        return self.live.front.service_announcer.announcer.held[NET]
+    def state(self):
+        return self.live.front.service_announcer.announcer.states[NET]
 
     @property
     def neighbour(self):
@@ -110,18 +110,18 @@
 
     def test_with_no_worker_the_last_resort_stays_and_a_cold_fleet_is_not_full(self):
         with Hall(fleet="    cold-time 60s\n    cold-share 20%\n    fall-multiple 9\n") as hall:
-            until(lambda: hall.held.verdict.reason == "cold")            # both workers have only just started
-            self.assertEqual(hall.held.verdict.standing, Standing.POOR)
+            until(lambda: hall.state.decision.reason == "cold")            # both workers have only just started
+            self.assertEqual(hall.state.decision.standing, Standing.POOR)
             for name in hall.live.workers:
                 hall.live.feed.obey(["drop", name])
             until(lambda: hall.route().med == 900)
-            self.assertEqual(hall.held.verdict.reason, "no-worker")
+            self.assertEqual(hall.state.decision.reason, "no-worker")
             self.assertEqual(hall.call("submit-x").headers["final"], "rejected")
             for name, worker in hall.live.workers.items():
                 hall.live.list(name, worker.address)
-            until(lambda: hall.live.front.service_announcer.signs(time.monotonic_ns()).fit == 2)
+            until(lambda: hall.live.front.service_announcer.health(time.monotonic_ns()).fit == 2)
             self.assertEqual(hall.route().med, 900)                      # slow up
-            until(lambda: hall.held.wish and hall.held.wish.reason == "cold")
+            until(lambda: hall.state.candidate and hall.state.candidate.reason == "cold")
 
     def test_workers_that_die_unseen_by_the_roster_count_as_unfit(self):
         with Hall() as hall:
--- a/tests/test_bgp_codec.py
+++ b/tests/test_bgp_codec.py
@@ -189,7 +189,8 @@
     """Damages messages in all ways; returns how many were faults. Anything but a Fault is an error of ours."""
     can = Capabilities(frozenset(Family), 65001, True, 120, False, frozenset({FOUR}))
     seeds = [codec.write_open(65001, 9, 7, can), update(GOOD, NLRI), update(gone=NLRI), codec.write_keepalive(),
-             *codec.write_routes([NET6], Path(HOP6, (1, 2), med=3, communities=(1, 2), large=((1, 2, 3),)), True),
+             *codec.write_routes([NET6], Path(HOP6, (1, 2), med=3, communities=(1, 2),
+                                             large_communities=((1, 2, 3),)), True),
              *codec.write_withdrawals([NET6]), codec.write_notification(6, 2, codec.write_reason("bye")),
              codec.write_refresh(SIX), codec.write_end_of_rib(SIX)]
     faults = 0
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -193,7 +193,7 @@
         it.run()
         start = next(line["start"] for line in it.records["conductor"] if line["e"] == "day")
         self.assertEqual([line for line in it.records["router"] if line["e"] == "chosen" and line["t"] > start], [])
-        self.assertEqual({front.hall.announcer.held[PREFIX].changes for front in it.fronts.values()}, {1})
+        self.assertEqual({front.hall.announcer.states[PREFIX].changes for front in it.fronts.values()}, {1})
         done = sum(line["e"] == "answer" and line["final"] == "completed" for line in it.records["clients"])
         self.assertGreater(done / 64, 0.6 * 6 * 2 / 0.05)       # of six workers of two cores, 50 ms a call
 
--- a/threadshift/bgp/codec.py
+++ b/threadshift/bgp/codec.py
@@ -433,8 +433,8 @@
         real = struct.pack(">BB", SEQUENCE, len(path.as_path[:255])) + b"".join(
             struct.pack(">I", each) for each in path.as_path[:255])
         out += attribute(A_AS4_PATH, real)
-    if path.large:
-        out += attribute(A_LARGE, b"".join(struct.pack(">III", *each) for each in path.large))
+    if path.large_communities:
+        out += attribute(A_LARGE, b"".join(struct.pack(">III", *each) for each in path.large_communities))
     return out
 
 
--- a/threadshift/bgp/drain.py
+++ b/threadshift/bgp/drain.py
@@ -1,7 +1,7 @@
-"""Leaving in order: worst preference, until traffic has faded; withdrawal; then a while of answering; then the end.
+"""The stages of a drain: last resort until traffic has faded, withdrawal, a time of still answering, and the end.
 
-Free of I/O. Clients that resolve or connect by the old route still come after a withdrawal, until routers have
-converged; a listener closed before that refuses them.
+Free of I/O. Clients that resolved or connect by the old route still arrive after a withdrawal, until routers have
+converged; a listener that was closed earlier would refuse them.
 """
 from __future__ import annotations
 
@@ -10,40 +10,46 @@
 from threadshift.bgp.announce import Standing
 from threadshift.interface import MS, SECOND
 
-FADED = 0.05               # of the connections a second that came when the drain began: the rest are stragglers
-QUIET = 500 * MS           # without a new connection traffic has faded, whatever its rate was
-FADE_MOST = 5 * SECOND     # routes that are not heeded (nobody else announces) must not hold a drain up
-CONVERGE = 2 * SECOND      # from the withdrawal to the last connection that can still come; BGP in one site
+FADED_SHARE = 0.05         # of the rate of new connections when the drain began; the remaining ones are stragglers
+QUIET_TIME = 500 * MS      # without a new connection, traffic has faded whatever its rate was
+MAX_FADE_TIME = 5 * SECOND     # if no other front end announces the address, routers ignore the lower preference
+CONVERGE_TIME = 2 * SECOND     # from the withdrawal to the last connection that can still arrive; BGP within one site
 
 
 class Stage(Enum):
+    """Stages of a drain, in their order."""
+
     SERVING = "serving"
-    FADING = "fading"            # last resort
-    WITHDRAWN = "withdrawn"      # still listening
+    FADING = "fading"            # announced at last resort
+    WITHDRAWN = "withdrawn"      # not announced, still listening
     DONE = "done"                # the listener may close
 
 
 class Drain:
-    """How far a drain has come. `rate` is new connections a second at the listener, `last` when the last one came."""
+    """The progress of a drain. `rate` is the number of new connections a second at the listener."""
 
-    def __init__(self, converge: int = CONVERGE, fade_most: int = FADE_MOST):
-        self.converge, self.fade_most = converge, fade_most
+    def __init__(self, converge: int = CONVERGE_TIME, max_fade_time: int = MAX_FADE_TIME):
+        self.converge, self.max_fade_time = converge, max_fade_time
         self.stage, self.since, self.rate = Stage.SERVING, 0, 0.0
 
     def begin(self, now: int, rate: float) -> None:
+        """Starts the drain; further calls change nothing."""
         if self.stage is Stage.SERVING:
             self.stage, self.since, self.rate = Stage.FADING, now, rate
 
     def tick(self, now: int, rate: float, last: int, established: bool) -> None:
-        """`established`: whether any session is up; with none there is nothing to withdraw or to wait for."""
+        """Moves to the next stage when it is due. `last` is the time of the latest new connection, `established` says
+        whether any BGP session is up; without one there is nothing to withdraw and nothing to wait for."""
         waited = now - self.since
         if self.stage is Stage.FADING and (
-                not established or waited >= self.fade_most
-                or waited >= QUIET and (rate <= FADED * self.rate or now - max(last, self.since) >= QUIET)):
+                not established or waited >= self.max_fade_time
+                or waited >= QUIET_TIME and (
+                    rate <= FADED_SHARE * self.rate or now - max(last, self.since) >= QUIET_TIME)):
             self.stage, self.since = Stage.WITHDRAWN, now
         elif self.stage is Stage.WITHDRAWN and (not established or waited >= self.converge):
             self.stage, self.since = Stage.DONE, now
 
     @property
     def standing(self) -> Standing | None:
+        """The standing at the present stage; None while serving."""
         return {Stage.SERVING: None, Stage.FADING: Standing.LAST}.get(self.stage, Standing.WITHDRAWN)
--- a/threadshift/bgp/path.py
+++ b/threadshift/bgp/path.py
@@ -38,7 +38,7 @@
     med: int | None = None
     local_pref: int | None = None
     communities: tuple[int, ...] = ()        # RFC 1997, four octets each
-    large: tuple[tuple[int, int, int], ...] = ()     # RFC 8092
+    large_communities: tuple[tuple[int, int, int], ...] = ()     # RFC 8092
     as_sets: tuple[frozenset[int], ...] = ()     # only ever heard, and only counted for length
 
 
--- a/threadshift/emulator/router.py
+++ b/threadshift/emulator/router.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from threadshift.bgp.announce import Signs, Standing
+from threadshift.bgp.announce import ServiceHealth, Standing
 from threadshift.bgp.announcer import Announcer, ServiceAddress
 from threadshift.bgp.drain import Drain, Stage
 from threadshift.bgp.path import Path
@@ -47,8 +47,8 @@
             return
         if front.backlog is None:
             self.drain.tick(now, self.arrivals.per_second(now), self.arrivals.last, True)
-            self.announcer.tick(now, self.signs(now), lambda prefix: self.router.reflected(self.n))
-            self.tell(self.announcer.wanted(False).get(PREFIX))
+            self.announcer.tick(now, self.health(now), lambda prefix: self.router.reflected(self.n))
+            self.tell(self.announcer.routes(False).get(PREFIX))
             if self.drain.stage is Stage.DONE:
                 front.close()
         self.clock.after(CHECK_INTERVAL, self.tick)
@@ -58,18 +58,18 @@
             self.told = path
             self.clock.after(self.router.delay(), self.router.heard, self, path)
 
-    def signs(self, now: int) -> Signs:
+    def health(self, now: int) -> ServiceHealth:
         """As gateway/service_announcer.py gathers them; connections to workers stand unless a dial just failed."""
         front = self.front
-        return Signs(
-            listening=not front.closing, lag=int(front.admission.smoothed_lag),
+        return ServiceHealth(
+            listening=not front.closing, loop_lag=int(front.admission.smoothed_lag),
             **fitness(front.engine.dispatcher, front.linked, now)._asdict(),
-            asked_per_s=self.recent.per_second(now), refused=front.admission.refused_share,
-            service=self.recent.service(now), drain=self.drain.standing)
+            calls_per_second=self.recent.per_second(now), refused_share=front.admission.refused_share,
+            call_stats=self.recent.call_stats(now), drain=self.drain.standing)
 
     def say(self, standing: Standing | None) -> None:
         """The operator's word."""
-        self.announcer.say(PREFIX, standing)
+        self.announcer.set_override(PREFIX, standing)
 
 
 class ModelRouter:
@@ -115,7 +115,7 @@
 
     @staticmethod
     def wanted(hall: ModelHall) -> Path | None:
-        return hall.announcer.wanted(False).get(PREFIX)
+        return hall.announcer.routes(False).get(PREFIX)
 
     def choose(self) -> None:
         if self.it.steer == "routes":
--- a/threadshift/gateway/recent_calls.py
+++ b/threadshift/gateway/recent_calls.py
@@ -3,7 +3,7 @@
 
 from collections import deque
 
-from threadshift.bgp.announce import Service
+from threadshift.bgp.announce import CallStats
 from threadshift.engine.engine import FinalKind, PendingRequest
 from threadshift.interface import SECOND, Outcome
 
@@ -57,14 +57,14 @@
         while self.buckets and self.buckets[0][0] <= second - BUCKETS:
             self.buckets.popleft()
 
-    def service(self, now: int) -> dict[str, Service]:
+    def call_stats(self, now: int) -> dict[str, CallStats]:
         """What was served lately, by namespace type."""
         self.drop_old_buckets(now // SECOND)
         sums: dict[str, list[float]] = {}
         for _, rows in self.buckets:
             for name, row in rows.items():
                 sums[name] = [one + other for one, other in zip(sums.get(name, [0] * 5), row, strict=True)]
-        return {name: Service(int(row[0]), row[1], row[2], int(row[3]), int(row[4])) for name, row in sums.items()}
+        return {name: CallStats(int(row[0]), row[1], row[2], int(row[3]), int(row[4])) for name, row in sums.items()}
 
     def per_second(self, now: int) -> float:
         """Calls in the busiest of these seconds.
--- a/threadshift/gateway/service_announcer.py
+++ b/threadshift/gateway/service_announcer.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from threadshift.bgp.announce import Signs, Standing
+from threadshift.bgp.announce import ServiceHealth, Standing
 from threadshift.bgp.announcer import Announcer, Preference, ServiceAddress
 from threadshift.bgp.drain import Drain, Stage
 from threadshift.bgp.path import Capabilities, Family, Path, Prefix
@@ -71,27 +71,27 @@
         self.drain.tick(now, self.front.arrivals.per_second(now), self.front.arrivals.last,
                         bool(self.speaker.established))
         heard = self.speaker.heard.of if self.told.reflects else None
-        changes = self.announcer.tick(now, self.signs(now), heard)
+        changes = self.announcer.tick(now, self.health(now), heard)
         for change in changes:
-            self.front.note("announcement", level="warning" if change.verdict.standing > change.before else "info",
+            self.front.note("announcement", level="warning" if change.decision.standing > change.before else "info",
                             prefix=str(change.prefix), before=change.before.name.lower(),
-                            now=change.verdict.standing.name.lower(), reason=change.verdict.reason)
+                            now=change.decision.standing.name.lower(), reason=change.decision.reason)
         if changes:
             self.speaker.announce()
         self.speaker.tick(now)
 
-    def signs(self, now: int) -> Signs:
+    def health(self, now: int) -> ServiceHealth:
         """What this front end knows of itself."""
         front = self.front
         fleet = fitness(front.engine.dispatcher, lambda name: name in front.links and front.links[name].up, now)
-        return Signs(
-            listening=all(sock.fileno() >= 0 for sock in front.listeners), lag=int(front.admission.smoothed_lag),
+        return ServiceHealth(
+            listening=all(sock.fileno() >= 0 for sock in front.listeners), loop_lag=int(front.admission.smoothed_lag),
             roster_age=now - front.list_applied_at if front.roster_lost else 0, **fleet._asdict(),
-            asked_per_s=front.recent.per_second(now), refused=front.admission.refused_share,
-            service=front.recent.service(now), drain=self.drain.standing)
+            calls_per_second=front.recent.per_second(now), refused_share=front.admission.refused_share,
+            call_stats=front.recent.call_stats(now), drain=self.drain.standing)
 
     def wanted(self, remote: RemotePeer) -> dict[Prefix, Path]:
-        return self.announcer.wanted(remote.is_internal(self.speaker.local))
+        return self.announcer.routes(remote.is_internal(self.speaker.local))
 
     def leave(self, now: int) -> None:
         self.drain.begin(now, self.front.arrivals.per_second(now))
@@ -108,7 +108,7 @@
                 raise KeyError(prefix)
             wanted = [one]
         for each in wanted:
-            self.announcer.say(each, OPERATOR_ORDERS[word])
+            self.announcer.set_override(each, OPERATOR_ORDERS[word])
         self.next = 0
         self.tick(time.monotonic_ns())
         return [str(each) for each in wanted]
@@ -116,9 +116,10 @@
     def status(self, now: int) -> dict[str, Any]:
         return {
             "addresses": {str(prefix): {
-                "standing": held.verdict.standing.name.lower(), "reason": held.verdict.reason,
+                "standing": held.decision.standing.name.lower(), "reason": held.decision.reason,
                 "for-s": round((now - held.since) / 1e9, 1), "changes": held.changes, "flaps": held.flaps,
-                "operator": self.announcer.word[prefix].name.lower() if prefix in self.announcer.word else None,
-                "others": self.announcer.others(self.speaker.heard.of(prefix)) if self.told.reflects else None,
-            } for prefix, held in self.announcer.held.items()},
+                "operator": self.announcer.overrides[prefix].name.lower()
+                if prefix in self.announcer.overrides else None,
+                "others": self.announcer.count_others(self.speaker.heard.of(prefix)) if self.told.reflects else None,
+            } for prefix, held in self.announcer.states.items()},
             "drain": self.drain.stage.value, "peers": self.speaker.status(now)}
--- a/threadshift/standins/router.py
+++ b/threadshift/standins/router.py
@@ -122,7 +122,8 @@
                      if name != remote.name and prefix in routes]
             if chosen := self.choose(paths):
                 found[prefix] = Path(chosen[0].next_hop, (self.speaker.local.asn, *chosen[0].as_path),
-                                     chosen[0].origin, chosen[0].med, None, chosen[0].communities, chosen[0].large)
+                                     chosen[0].origin, chosen[0].med, None, chosen[0].communities,
+                                     chosen[0].large_communities)
         return found
 
     # Steering.
