--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -32,7 +32,7 @@
 from threadshift.audit import records
 from threadshift.bgp import codec
 from threadshift.bgp.path import Path as Route
-from threadshift.bgp.rib import Heard
+from threadshift.bgp.rib import AdjRibIn
 from threadshift.conf.values import Address
 from threadshift.days import day as days_of
 from threadshift.invoke.client import Client
@@ -165,7 +165,7 @@
         process.signal(signal.SIGKILL)
         process.process.wait()
         self.list_workers(0)
-        self.wait(lambda: victim not in self.hops() and "front-0" not in self.router.speaker.told, 10)
+        self.wait(lambda: victim not in self.hops() and "front-0" not in self.router.speaker.adj_ribs_out, 10)
         self.steered.clear()
         return (changed - began) * 1000, max(0.0, last - began) * 1000
 
@@ -212,20 +212,20 @@
     coded = time.perf_counter() - began
     ears = Ears()
     reader = codec.Reader(ears)
-    reader.four_octets = True
+    reader.four_octet_as = True
     began = time.perf_counter()
     for data in messages:
         reader.feed(data)
     decoded = time.perf_counter() - began
     calls, ears.calls = ears.calls, []
     tracemalloc.start()
-    heard = Heard(20_000)
-    reader.hears = ears
+    heard = AdjRibIn(20_000)
+    reader.handler = ears
     before = tracemalloc.get_traced_memory()[0]
     for data in messages:
         reader.feed(data)
         _, there, path = ears.calls.pop()
-        heard.announced("peer", there, path)
+        heard.add("peer", there, path)
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     assert len(calls) == len(prefixes)
--- a/tests/test_announce.py
+++ b/tests/test_announce.py
@@ -50,10 +50,11 @@
             self.assertEqual((got.standing, got.reason), (standing, reason), health)
 
     def test_an_address_is_judged_by_its_own_types(self):
-        health, capacity = ServiceHealth(call_stats={"a": UNREACHED, "b": GOOD}), DemonstratedCapacity()
-        self.assertEqual(decide(health, capacity, frozenset({"a"}), 1, WITHDRAW_DELAY).standing, GONE)
-        self.assertEqual(decide(health, capacity, frozenset({"a"}), 1, WITHDRAW_DELAY - 1).standing, LAST)
-        self.assertEqual(decide(health, capacity, frozenset({"b"}), 1).standing, FULL)
+        health = ServiceHealth(call_stats={"a": UNREACHED, "b": GOOD})
+        self.assertEqual(decide(health, DemonstratedCapacity(), frozenset({"a"}), 1, WITHDRAW_DELAY).standing, GONE)
+        self.assertEqual(
+            decide(health, DemonstratedCapacity(), frozenset({"a"}), 1, WITHDRAW_DELAY - 1).standing, LAST)
+        self.assertEqual(decide(health, DemonstratedCapacity(), frozenset({"b"}), 1).standing, FULL)
 
     def test_far_fewer_workers_than_recently(self):
         capacity = DemonstratedCapacity()
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -1,4 +1,4 @@
-"""Front ends with speakers against a router of our own, over TCP on loopback."""
+"""Front ends with BGP speakers against the stand-in router, over TCP on loopback."""
 import ipaddress
 import json
 import signal
@@ -39,13 +39,13 @@
 }}
 admin 127.0.0.1:{admin}
 """
-ONE = "    address 192.0.2.1/32 {\n    }\n"
+ADDRESS_BLOCK = "    address 192.0.2.1/32 {\n    }\n"
 
 
-class Hall:
-    """One front end, its workers, and a router."""
+class Setup:
+    """One front end with its workers, and a router."""
 
-    def __init__(self, addresses=ONE, hold="9s", converge=50_000_000, **facts):
+    def __init__(self, addresses=ADDRESS_BLOCK, hold="9s", converge=50_000_000, **facts):
         self.admin, port = free_port(), free_port()
         self.live = Live(host="127.0.1.1", extra=BGP.format(
             hold=hold, router=port, addresses=addresses, admin=self.admin), **facts)
@@ -71,161 +71,163 @@
         return self.live.front.service_announcer.speaker.neighbours["hall"]
 
     def route(self):
-        """The route that the router holds, None where there is none."""
-        return next(iter(self.router.speaker.heard.of(NET)), None)
+        """The route that the router received; None if there is none."""
+        return next(iter(self.router.speaker.adj_rib_in.paths(NET)), None)
 
     def call(self, function="f"):
-        """A call by a client of the service address."""
+        """Makes a call to the service address."""
         with closing(Client(self.router.services[0][1])) as client:
             return client.request("POST", f"/v1/functions/{function}/calls", {}, b"x")
 
     def order(self, word, body=""):
+        """Gives an operator's order to the front end."""
         with closing(Client(Address("127.0.0.1", self.admin))) as client:
             return client.request("POST", f"/v1/bgp/{word}", {}, body.encode())
 
 
 class Announced(unittest.TestCase):
-    def test_served_by_route_then_left_in_order(self):
-        with Hall() as hall:
-            self.assertEqual(hall.call().status, 200)
-            self.assertEqual((hall.route().med, hall.route().as_path), (100, (65001,)))
-            hall.live.front.end()
-            until(lambda: hall.route() is None or hall.route().med == 900)
-            self.assertEqual(hall.live.call("f").status, 200)           # what still arrives is answered
-            until(lambda: hall.route() is None)
-            self.assertEqual(hall.live.call("f").status, 200)
-            hall.live.running.join(5)
+    def test_serves_while_announced_and_drains(self):
+        with Setup() as setup:
+            self.assertEqual(setup.call().status, 200)
+            self.assertEqual((setup.route().med, setup.route().as_path), (100, (65001,)))
+            setup.live.front.end()
+            until(lambda: setup.route() is None or setup.route().med == 900)
+            self.assertEqual(setup.live.call("f").status, 200)           # late connections are still served
+            until(lambda: setup.route() is None)
+            self.assertEqual(setup.live.call("f").status, 200)
+            setup.live.running.join(5)
             with self.assertRaises(NoAnswer):
-                hall.live.call("f")
-            until(lambda: "drained" in hall.router.speaker.neighbours["front-0"].last)
+                setup.live.call("f")
+            until(lambda: "drained" in setup.router.speaker.neighbours["front-0"].last_end_reason)
 
-    def test_sessions_that_flap_during_a_drain_do_not_hold_it_up(self):
-        with Hall() as hall:
+    def test_flapping_sessions_do_not_delay_a_drain(self):
+        with Setup() as setup:
             began = time.monotonic()
-            hall.live.front.end()
-            until(lambda: hall.live.front.service_announcer.drain.standing is Standing.LAST)
-            hall.router.obey(["reset", "front-0"])
-            hall.live.running.join(5)
+            setup.live.front.end()
+            until(lambda: setup.live.front.service_announcer.drain.standing is Standing.LAST)
+            setup.router.obey(["reset", "front-0"])
+            setup.live.running.join(5)
             self.assertLess(time.monotonic() - began, 2)
 
-    def test_with_no_worker_the_last_resort_stays_and_a_cold_fleet_is_not_full(self):
-        with Hall(fleet="    cold-time 60s\n    cold-share 20%\n    fall-multiple 9\n") as hall:
-            until(lambda: hall.state.decision.reason == "cold")            # both workers have only just started
-            self.assertEqual(hall.state.decision.standing, Standing.POOR)
-            for name in hall.live.workers:
-                hall.live.feed.obey(["drop", name])
-            until(lambda: hall.route().med == 900)
-            self.assertEqual(hall.state.decision.reason, "no-worker")
-            self.assertEqual(hall.call("submit-x").headers["final"], "rejected")
-            for name, worker in hall.live.workers.items():
-                hall.live.list(name, worker.address)
-            until(lambda: hall.live.front.service_announcer.health(time.monotonic_ns()).fit == 2)
-            self.assertEqual(hall.route().med, 900)                      # slow up
-            until(lambda: hall.state.candidate and hall.state.candidate.reason == "cold")
-
-    def test_workers_that_die_unseen_by_the_roster_count_as_unfit(self):
-        with Hall() as hall:
-            for worker in hall.live.workers.values():
+    def test_no_worker_means_last_resort_and_a_cold_fleet_less_than_full(self):
+        with Setup(fleet="    cold-time 60s\n    cold-share 20%\n    fall-multiple 9\n") as setup:
+            until(lambda: setup.state.decision.reason == "cold")          # both workers have just started
+            self.assertEqual(setup.state.decision.standing, Standing.POOR)
+            for name in setup.live.workers:
+                setup.live.feed.obey(["drop", name])
+            until(lambda: setup.route().med == 900)
+            self.assertEqual(setup.state.decision.reason, "no-worker")
+            self.assertEqual(setup.call("submit-x").headers["final"], "rejected")
+            for name, worker in setup.live.workers.items():
+                setup.live.list(name, worker.address)
+            until(lambda: setup.live.front.service_announcer.health(time.monotonic_ns()).fit == 2)
+            self.assertEqual(setup.route().med, 900)                      # the standing rises slowly
+            until(lambda: setup.state.candidate and setup.state.candidate.reason == "cold")
+
+    def test_stopped_workers_that_are_still_listed_are_unfit(self):
+        with Setup() as setup:
+            for worker in setup.live.workers.values():
                 worker.stop()
-            until(lambda: hall.route().med == 900)
-
-    def test_the_operators_word(self):
-        with Hall() as hall:
-            self.assertEqual(json.loads(hall.order("withdraw").body)["addresses"], [str(NET)])
-            until(lambda: hall.route() is None)
-            hall.order("last-resort", "192.0.2.1/32")
-            until(lambda: hall.route() and hall.route().med == 900)
-            hall.order("auto")
-            until(lambda: hall.route().med == 100)
+            until(lambda: setup.route().med == 900)
+
+    def test_operator_orders(self):
+        with Setup() as setup:
+            self.assertEqual(json.loads(setup.order("withdraw").body)["addresses"], [str(NET)])
+            until(lambda: setup.route() is None)
+            setup.order("last-resort", "192.0.2.1/32")
+            until(lambda: setup.route() and setup.route().med == 900)
+            setup.order("auto")
+            until(lambda: setup.route().med == 100)
             for word, body, status in (("withdraw", "192.0.2.9/32", 400), ("withdraw", "x", 400), ("dance", "", 404)):
-                self.assertEqual(hall.order(word, body).status, status)
-            # A withdrawal that races an announcement: the last word counts.
+                self.assertEqual(setup.order(word, body).status, status)
+            # Of several orders in quick succession the last one counts.
             for word in ("withdraw", "announce", "withdraw", "auto", "withdraw", "announce"):
-                hall.order(word)
-            until(lambda: hall.route() and hall.route().med == 100)
+                setup.order(word)
+            until(lambda: setup.route() and setup.route().med == 100)
 
     def test_five_hundred_addresses(self):
-        addresses = "".join(f"    address 10.9.{n // 250}.{n % 250}/32 {{\n    }}\n" for n in range(499)) + ONE
-        with Hall(addresses) as hall:
-            until(lambda: len(hall.router.speaker.heard.routes["front-0"]) == 500)
-            self.assertLess(hall.live.front.service_announcer.speaker.sent, 12)
-            hall.order("withdraw")
-            until(lambda: not hall.router.speaker.heard.routes["front-0"])
+        addresses = "".join(
+            f"    address 10.9.{n // 250}.{n % 250}/32 {{\n    }}\n" for n in range(499)) + ADDRESS_BLOCK
+        with Setup(addresses) as setup:
+            until(lambda: len(setup.router.speaker.adj_rib_in.routes["front-0"]) == 500)
+            self.assertLess(setup.live.front.service_announcer.speaker.messages_sent, 12)
+            setup.order("withdraw")
+            until(lambda: not setup.router.speaker.adj_rib_in.routes["front-0"])
 
 
 
 class Peers(unittest.TestCase):
-    """The speaker survives its peers, and calls do not notice."""
+    """Faults of peers end in a new session at most, and affect no call."""
 
-    def test_each_fault_ends_in_a_new_session_or_goes_on(self):
-        with Hall() as hall:
+    def test_each_fault_ends_in_a_new_session_or_none(self):
+        with Setup() as setup:
             for fault, ends in (("reset", True), ("garbage", True), ("malformed", False), ("refresh", False),
                                 ("down", True)):
-                ups = hall.neighbour.ups
-                hall.router.obey([fault, "front-0"])
+                ups = setup.neighbour.ups
+                setup.router.obey([fault, "front-0"])
                 if ends:
-                    until(lambda ups=ups: hall.neighbour.downs >= ups)
+                    until(lambda ups=ups: setup.neighbour.downs >= ups)
                 if fault == "down":
-                    hall.router.obey(["up", "front-0"])
-                hall.neighbour.pause = 0                # damping has a test of its own
-                if hall.neighbour.idle_until:
-                    hall.neighbour.idle_until = time.monotonic_ns()
-                peer = hall.router.speaker.neighbours["front-0"]
+                    setup.router.obey(["up", "front-0"])
+                setup.neighbour.pause = 0                # damping is tested in test_bgp_session
+                if setup.neighbour.idle_until:
+                    setup.neighbour.idle_until = time.monotonic_ns()
+                peer = setup.router.speaker.neighbours["front-0"]
                 if peer.idle_until:
                     peer.pause, peer.idle_until = 0, time.monotonic_ns()
-                until(lambda: hall.neighbour.state is State.ESTABLISHED and hall.route() is not None, 15)
-                self.assertEqual(hall.neighbour.ups, ups + ends, fault)
-                self.assertEqual(hall.live.call("f").status, 200)
+                until(lambda: setup.neighbour.state is State.ESTABLISHED and setup.route() is not None, 15)
+                self.assertEqual(setup.neighbour.ups, ups + ends, fault)
+                self.assertEqual(setup.live.call("f").status, 200)
 
-    def test_a_peer_that_falls_silent_is_let_go_at_the_hold_time(self):
-        with Hall(hold="3s") as hall:
+    def test_a_silent_peer_is_disconnected_at_the_hold_time(self):
+        with Setup(hold="3s") as setup:
             began = time.monotonic()
-            hall.router.obey(["stall", "front-0"])
-            until(lambda: hall.neighbour.downs, 8)
+            setup.router.obey(["stall", "front-0"])
+            until(lambda: setup.neighbour.downs, 8)
             self.assertTrue(1.9 < time.monotonic() - began < 4.5)
-            self.assertIn("hold time", hall.neighbour.last)
-
-    def test_a_machine_that_vanished_and_is_back_within_the_hold_time(self):
-        """The router still holds its old session and refuses the new one, until the hold time has ended the old."""
-        with Hall(hold="3s") as hall:
-            hall.router.obey(["stall", "front-0"])      # as if every packet from here on were lost
-            hall.neighbour.session.wire.connection.sock.shutdown(2)
-            began, peer = time.monotonic(), hall.router.speaker.neighbours["front-0"]
-            until(lambda: "6/7" in hall.neighbour.last, 3)
+            self.assertIn("hold time", setup.neighbour.last_end_reason)
+
+    def test_a_machine_that_restarts_within_the_hold_time(self):
+        """The router refuses the new session until the hold time has ended the previous one."""
+        with Setup(hold="3s") as setup:
+            setup.router.obey(["stall", "front-0"])      # as if all further packets were lost
+            setup.neighbour.session.transport.connection.sock.shutdown(2)
+            began, peer = time.monotonic(), setup.router.speaker.neighbours["front-0"]
+            until(lambda: "6/7" in setup.neighbour.last_end_reason, 3)
             self.assertEqual(peer.downs, 0)
             until(lambda: peer.downs, 5)
-            until(lambda: hall.neighbour.state is State.ESTABLISHED and hall.route() is not None, 6)
+            until(lambda: setup.neighbour.state is State.ESTABLISHED and setup.route() is not None, 6)
             self.assertLess(time.monotonic() - began, 3 + 4)
 
-    def test_peers_that_accept_and_say_nothing_slow_no_call(self):
+    def test_peers_that_accept_and_stay_silent_slow_no_call(self):
         silent = [gevent.server.StreamServer(("127.0.0.1", 0), lambda sock, _: gevent.sleep(60)) for _ in range(20)]
         for server in silent:
             server.start()
         peers = "".join(f"    peer p{n} {{\n    address 127.0.0.1:{server.server_port}\n    as 65000\n    }}\n"
                         for n, server in enumerate(silent))
-        with Hall(ONE + peers) as hall:
+        with Setup(ADDRESS_BLOCK + peers) as setup:
             for _ in range(20):
-                self.assertEqual(hall.call().status, 200)
+                self.assertEqual(setup.call().status, 200)
         for server in silent:
             server.stop()
 
 
 class Standstills(unittest.TestCase):
-    def test_a_front_end_that_stands_still_past_its_hold_time_is_left(self):
-        """SIGSTOP for 4 s: with a hold time of 3 s its route goes and comes back, with 30 s it stays."""
+    def test_a_front_end_stopped_for_longer_than_its_hold_time_loses_its_route(self):
+        """SIGSTOP for 4 s: with a hold time of 3 s its route is withdrawn and returns, with 30 s it stays."""
         with tempfile.TemporaryDirectory() as folder, Rig(Path(folder)) as rig:
             port, holds = free_port(), {"front-0": 3, "front-1": 30}
             router = Router(65000, Address("127.0.0.1", port), [
                 (name, f"127.0.1.{n + 1}", 65001 + n) for n, name in enumerate(holds)], [], 0, 90, Record(None))
             router.start()
             for n, (name, hold) in enumerate(holds.items()):
-                text = BGP.format(hold=f"{hold}s", router=port, addresses=ONE, admin=free_port()).replace(
+                text = BGP.format(hold=f"{hold}s", router=port, addresses=ADDRESS_BLOCK, admin=free_port()).replace(
                     "127.0.1.1", f"127.0.1.{n + 1}").replace("local-as 65001", f"local-as {65001 + n}")
                 conf = Path(folder) / f"{name}.conf"
                 conf.write_text(f"listen 127.0.1.{n + 1}:{free_port()}\nroster file none\ntype a {{\n"
                                 f"target-latency 1s\naction-timeout 1s\neffect repeatable\n}}\n{text}")
                 rig.front_end(name, conf)
-            routes = router.speaker.heard.routes
+            routes = router.speaker.adj_rib_in.routes
             until(lambda: all(routes.get(name) for name in holds), 15)
             for name in holds:
                 rig.processes[name].signal(signal.SIGSTOP)
--- a/threadshift/bgp/path.py
+++ b/threadshift/bgp/path.py
@@ -1,4 +1,4 @@
-"""Routes as BGP knows them: prefixes, path attributes, and the address families spoken here."""
+"""BGP routes: prefixes, path attributes, and the supported address families."""
 from __future__ import annotations
 
 import ipaddress
@@ -18,7 +18,7 @@
 
 
 class Family(IntEnum):
-    """Unicast, by its address family identifier (RFC 4760)."""
+    """Unicast address families, by address family identifier (RFC 4760)."""
 
     IPV4 = 1
     IPV6 = 2
@@ -30,25 +30,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Path:
-    """What is announced of some prefixes."""
+    """The path attributes shared by the prefixes of an announcement."""
 
     next_hop: NextHop
-    as_path: tuple[int, ...] = ()            # one sequence; the first is the neighbour's
+    as_path: tuple[int, ...] = ()            # a single AS_SEQUENCE; the neighbour's number comes first
     origin: Origin = Origin.IGP
     med: int | None = None
     local_pref: int | None = None
     communities: tuple[int, ...] = ()        # RFC 1997, four octets each
     large_communities: tuple[tuple[int, int, int], ...] = ()     # RFC 8092
-    as_sets: tuple[frozenset[int], ...] = ()     # only ever heard, and only counted for length
+    as_sets: tuple[frozenset[int], ...] = ()     # only received, and used only for the length of the path
 
 
 @dataclass(frozen=True, slots=True)
 class Capabilities:
-    """What one side of a session can do (RFC 5492)."""
+    """The capabilities of one side of a session (RFC 5492)."""
 
     families: frozenset[Family] = frozenset({Family.IPV4})
-    four_octets: int | None = None           # RFC 6793: the real AS number
-    refresh: bool = False                    # RFC 2918
-    restart_time: int | None = None          # RFC 4724: seconds; None where it is not offered
+    four_octet_asn: int | None = None        # RFC 6793: the AS number, which OPEN may be unable to hold
+    route_refresh: bool = False              # RFC 2918
+    restart_time: int | None = None          # RFC 4724: seconds; None if graceful restart is not advertised
     restarting: bool = False
-    kept: frozenset[Family] = frozenset()    # families whose forwarding state was kept over a restart
+    forwarding_preserved: frozenset[Family] = frozenset()    # families whose forwarding state survived a restart
--- a/threadshift/bgp/session.py
+++ b/threadshift/bgp/session.py
@@ -1,13 +1,13 @@
-"""The BGP state machine (RFC 4271, section 8), free of sockets: events come in with `now`, acts go out to ports.
+"""The BGP state machine (RFC 4271, section 8), without sockets: events come in with `now`, actions go to ports.
 
-A `Session` is one connection's machine; a `Neighbour` is one configured peer, with the session it dials or waits for
-and, for a moment, the one of a second connection until the collision is resolved (section 6.8). Times are ns.
+A `Session` is the state machine of one connection. A `Neighbour` is one configured peer; it has one session, and a
+second one for a moment if both sides connect, until the collision is resolved (section 6.8). Times are ns.
 
-What is as the RFC has it and what is chosen: connect-retry, hold and keepalive timers with jitter of 0.75 to 1;
-damping of peers that fail again and again (idle-hold, section 8.1.1), doubling from FIRST_IDLE to MOST_IDLE;
-a connection that comes in while one is established is closed as a collision; DelayOpen is not offered. A hold time
-of 0 (never expire) is refused: a dead front end must not keep its routes. TCP MD5 is not offered: its keys need
-privileges.
+Choices within the RFC: the connect-retry and keepalive timers are shortened by jitter of up to a quarter. Peers that
+fail repeatedly are damped (idle hold, section 8.1.1) with a pause that doubles from MIN_PAUSE to MAX_PAUSE. An
+incoming connection while a session is established is closed as a collision. DelayOpen is not supported. A hold
+time of 0 (never expire) is refused, since it would keep the routes of a dead front end. TCP MD5 is not supported, as
+setting its keys needs privileges.
 """
 from __future__ import annotations
 
@@ -17,19 +17,22 @@
 from typing import Protocol
 
 from threadshift.bgp import codec
-from threadshift.bgp.codec import Fault
+from threadshift.bgp.codec import ProtocolError
 from threadshift.bgp.path import Capabilities, Family, Path, Prefix
 from threadshift.interface import SECOND
 
-CONNECT_RETRY = 5 * SECOND     # the RFC's 120 s is for routers; a hall's router is back within seconds
-OPEN_WAIT = 10 * SECOND        # from TCP up to the peer's OPEN; the RFC's 4 minutes would hide a peer that stalls
-KEEPALIVE_PART = 3             # keepalives a hold time (section 10)
-FIRST_IDLE, MOST_IDLE = SECOND, 60 * SECOND      # pause after a failure, doubling; a peer mended waits a minute
-STEADY = 30 * SECOND           # established so long, its earlier failures are forgiven
-JITTER = 0.25                  # section 10: timers take 0.75 to 1 of their length
+CONNECT_RETRY_TIME = 5 * SECOND    # RFC 4271 suggests 120 s for routers; the router of a zone is back within seconds
+OPEN_TIMEOUT = 10 * SECOND         # for the peer's OPEN; the RFC's 4 minutes would hide a peer that stalls
+KEEPALIVES_PER_HOLD_TIME = 3       # RFC 4271, section 10
+MIN_PAUSE = SECOND                 # after a failure; doubles with each further one
+MAX_PAUSE = 60 * SECOND            # also the longest wait for a peer that has recovered
+STABLE_AFTER = 30 * SECOND         # a session established for this long clears the earlier failures
+TIMER_JITTER = 0.25                # RFC 4271, section 10: timers take 0.75 to 1 of their length
 
 
 class State(Enum):
+    """States of RFC 4271, section 8.2.2."""
+
     IDLE = "idle"
     CONNECT = "connect"
     ACTIVE = "active"
@@ -38,37 +41,37 @@
     ESTABLISHED = "established"
 
 
-# A peer that still holds the session of our last life, until its hold time ends it, says one of these: it is well,
-# and damping it would keep us away for long after.
-NOT_YET = (codec.REJECTED, codec.COLLISION)
+# Subcodes of CEASE that a healthy peer sends while it still holds the session of our previous process, until its hold
+# time ends that session. Damping such a peer would keep this front end away for long afterwards.
+UNDAMPED_CEASES = (codec.CONNECTION_REJECTED, codec.CONNECTION_COLLISION)
 
-FSM_SUBCODE = {State.OPEN_SENT: 1, State.OPEN_CONFIRM: 2, State.ESTABLISHED: 3}      # RFC 6608
+FSM_ERROR_SUBCODES = {State.OPEN_SENT: 1, State.OPEN_CONFIRM: 2, State.ESTABLISHED: 3}       # RFC 6608
 
 
 @dataclass(frozen=True, slots=True)
 class LocalSpeaker:
-    """This speaker."""
+    """The configuration of this BGP speaker."""
 
     asn: int
-    router: int                  # id, by which collisions are resolved
-    hold: int                    # s, offered
-    can: Capabilities
+    router_id: int               # decides which of two colliding connections stays
+    hold_time_s: int             # offered
+    capabilities: Capabilities
 
 
 @dataclass(frozen=True, slots=True)
 class RemotePeer:
-    """A configured peer."""
+    """The configuration of a peer."""
 
     name: str
     asn: int
-    passive: bool = False        # waits to be dialled
+    passive: bool = False        # the peer dials
 
     def is_internal(self, local: LocalSpeaker) -> bool:
         return self.asn == local.asn
 
 
-class Wire(Protocol):
-    """One connection's bytes. dial() ends in tcp_up() or tcp_failed() of its session later."""
+class Transport(Protocol):
+    """The TCP connection of a session. dial() leads to tcp_up() or tcp_failed() of the session later."""
 
     session: Session
 
@@ -77,8 +80,8 @@
     def close(self) -> None: ...
 
 
-class Routes(Protocol):
-    """Who is told of a neighbour's session and of what it announces."""
+class NeighbourObserver(Protocol):
+    """Is notified of a neighbour's session and of its announcements."""
 
     def up(self, now: int, neighbour: Neighbour) -> None: ...
     def down(self, now: int, neighbour: Neighbour, why: str) -> None: ...
@@ -90,16 +93,16 @@
 
 
 class Session:
-    """One connection's machine. It hears messages itself, from its own reader."""
+    """The state machine of one connection, and the message handler of its reader."""
 
-    def __init__(self, neighbour: Neighbour, wire: Wire, dials: bool):
-        self.neighbour, self.wire, self.dials = neighbour, wire, dials
-        wire.session = self
+    def __init__(self, neighbour: Neighbour, transport: Transport, dials: bool):
+        self.neighbour, self.transport, self.dials = neighbour, transport, dials
+        transport.session = self
         self.state = State.IDLE
         self.timers: dict[str, int] = {}
-        self.hold = 0                    # ns, agreed on
-        self.router = 0                  # the peer's id, once heard
-        self.can = Capabilities()        # the peer's
+        self.hold_time = 0                       # ns, negotiated
+        self.router_id = 0                       # the peer's, from its OPEN
+        self.capabilities = Capabilities()       # the peer's
         self.now = 0
         self.reader = codec.Reader(self)
 
@@ -112,20 +115,20 @@
             return
         if self.dials:
             self.enter(State.CONNECT)
-            self.set("connect-retry", CONNECT_RETRY)
-            self.wire.dial()
+            self.start_timer("connect-retry", CONNECT_RETRY_TIME)
+            self.transport.dial()
         else:
             self.enter(State.ACTIVE)
 
     def stop(self, now: int, subcode: int, reason: str) -> None:
-        """ManualStop: a CEASE with a shutdown communication where a peer listens, then idle."""
+        """ManualStop: sends a CEASE with a shutdown communication if the peer is connected."""
         self.now = now
-        if self.state in FSM_SUBCODE:
-            self.wire.send(codec.write_notification(codec.CEASE, subcode, codec.write_reason(reason)))
+        if self.state in FSM_ERROR_SUBCODES:
+            self.transport.send(codec.write_notification(codec.CEASE, subcode, codec.write_reason(reason)))
         self.end(f"stopped here: {reason}", failed=False)
 
     def tcp_up(self, now: int) -> None:
-        """TcpConnectionConfirmed, or an incoming connection that was given to this session."""
+        """TcpConnectionConfirmed, or an incoming connection assigned to this session."""
         self.now = now
         if self.state not in (State.CONNECT, State.ACTIVE):
             return
@@ -133,280 +136,297 @@
         local = self.neighbour.local
         self.reader = codec.Reader(self)
         self.enter(State.OPEN_SENT)
-        self.set("hold", OPEN_WAIT, jitter=False)
-        self.wire.send(codec.write_open(local.asn, local.hold, local.router, local.can))
+        self.start_timer("hold", OPEN_TIMEOUT, jitter=False)
+        self.transport.send(codec.write_open(local.asn, local.hold_time_s, local.router_id, local.capabilities))
 
     def tcp_failed(self, now: int) -> None:
         """TcpConnectionFails, in any state."""
         self.now = now
         if self.state is State.CONNECT:
             self.enter(State.ACTIVE)
-            self.set("connect-retry", CONNECT_RETRY)
+            self.start_timer("connect-retry", CONNECT_RETRY_TIME)
         elif self.state is State.OPEN_SENT and self.dials:
             self.timers.clear()
             self.enter(State.ACTIVE)
-            self.set("connect-retry", CONNECT_RETRY)
+            self.start_timer("connect-retry", CONNECT_RETRY_TIME)
         elif self.state is not State.IDLE and not (self.state is State.ACTIVE and not self.dials):
             self.end("the connection ended")
 
-    def data(self, now: int, data: bytes) -> None:
-        """Bytes from the peer."""
+    def receive(self, now: int, data: bytes) -> None:
+        """Processes bytes from the peer."""
         self.now = now
-        if self.state not in FSM_SUBCODE:
+        if self.state not in FSM_ERROR_SUBCODES:
             return
         try:
             self.reader.feed(data)
-        except Fault as fault:
-            self.fail(fault)
+        except ProtocolError as error:
+            self.fail(error)
 
-    def due(self) -> int | None:
+    def next_timeout(self) -> int | None:
         return min(self.timers.values(), default=None)
 
     def tick(self, now: int) -> None:
+        """Runs the timers that have expired, in order."""
         self.now = now
         for name in sorted(self.timers, key=lambda each: (self.timers[each], each)):
             if name in self.timers and self.timers[name] <= now:
                 del self.timers[name]
-                self.lapse(name)
+                self.on_timer(name)
 
     # Timers.
 
-    def set(self, name: str, length: int, jitter: bool = True) -> None:
-        part = 1 - JITTER * self.neighbour.chance() if jitter else 1.0
-        self.timers[name] = self.now + int(length * part)
+    def start_timer(self, name: str, length: int, jitter: bool = True) -> None:
+        factor = 1 - TIMER_JITTER * self.neighbour.chance() if jitter else 1.0
+        self.timers[name] = self.now + int(length * factor)
 
-    def lapse(self, name: str) -> None:
+    def on_timer(self, name: str) -> None:
         if name == "hold":
-            self.fail(Fault(codec.HOLD_EXPIRED, 0, text="nothing heard within the hold time"))
+            self.fail(ProtocolError(codec.HOLD_TIMER_EXPIRED, 0, text="no message within the hold time"))
         elif name == "keepalive":
-            self.wire.send(codec.write_keepalive())
-            self.set("keepalive", self.hold // KEEPALIVE_PART)
+            self.transport.send(codec.write_keepalive())
+            self.start_timer("keepalive", self.hold_time // KEEPALIVES_PER_HOLD_TIME)
         elif self.state is State.CONNECT:
-            self.wire.close()
-            self.set("connect-retry", CONNECT_RETRY)
-            self.wire.dial()
+            self.transport.close()
+            self.start_timer("connect-retry", CONNECT_RETRY_TIME)
+            self.transport.dial()
         elif self.state is State.ACTIVE and self.dials:
             self.enter(State.CONNECT)
-            self.set("connect-retry", CONNECT_RETRY)
-            self.wire.dial()
+            self.start_timer("connect-retry", CONNECT_RETRY_TIME)
+            self.transport.dial()
 
     # Messages, called by the reader.
 
-    def opened(self, asn: int, hold: int, router: int, can: Capabilities) -> None:
+    def opened(self, asn: int, hold_time: int, router_id: int, capabilities: Capabilities) -> None:
+        """OPEN; `hold_time` is in seconds."""
         if self.state is not State.OPEN_SENT:
-            raise self.out_of_order("OPEN")
+            raise self.unexpected("OPEN")
         local, remote = self.neighbour.local, self.neighbour.remote
         if asn != remote.asn:
-            raise Fault(codec.OPEN_ERROR, codec.BAD_PEER_AS, text=f"AS {asn} answers, {remote.asn} was expected")
-        if router == local.router and remote.is_internal(local):
-            raise Fault(codec.OPEN_ERROR, codec.BAD_IDENTIFIER, text="the peer has our router id")
-        if hold == 0:
-            raise Fault(codec.OPEN_ERROR, codec.BAD_HOLD_TIME, text="a hold time of 0 keeps a dead peer's routes")
-        self.router, self.can, self.hold = router, can, min(local.hold, hold) * SECOND
-        self.reader.four_octets = can.four_octets is not None
+            raise ProtocolError(codec.OPEN_ERROR, codec.BAD_PEER_AS,
+                                text=f"the peer is AS {asn}, {remote.asn} is configured")
+        if router_id == local.router_id and remote.is_internal(local):
+            raise ProtocolError(codec.OPEN_ERROR, codec.BAD_BGP_IDENTIFIER, text="the peer has our router id")
+        if hold_time == 0:
+            raise ProtocolError(codec.OPEN_ERROR, codec.UNACCEPTABLE_HOLD_TIME,
+                                text="a hold time of 0 would keep the routes of a dead peer")
+        self.router_id, self.capabilities, self.hold_time = (
+            router_id, capabilities, min(local.hold_time_s, hold_time) * SECOND)
+        self.reader.four_octet_as = capabilities.four_octet_asn is not None
         self.enter(State.OPEN_CONFIRM)
-        if not self.neighbour.resolve(self):
+        if not self.neighbour.resolve_collision(self):
             return
-        self.wire.send(codec.write_keepalive())
-        self.set("keepalive", self.hold // KEEPALIVE_PART)
-        self.set("hold", self.hold, jitter=False)
+        self.transport.send(codec.write_keepalive())
+        self.start_timer("keepalive", self.hold_time // KEEPALIVES_PER_HOLD_TIME)
+        self.start_timer("hold", self.hold_time, jitter=False)
 
     def kept_alive(self) -> None:
+        """KEEPALIVE."""
         if self.state is State.OPEN_SENT:
-            raise self.out_of_order("KEEPALIVE")
-        self.set("hold", self.hold, jitter=False)
+            raise self.unexpected("KEEPALIVE")
+        self.start_timer("hold", self.hold_time, jitter=False)
         if self.state is State.OPEN_CONFIRM:
             self.enter(State.ESTABLISHED)
-            self.neighbour.established(self)
+            self.neighbour.on_established(self)
 
     def notified(self, code: int, subcode: int, data: bytes) -> None:
+        """NOTIFICATION."""
         reason = codec.read_reason(data) if code == codec.CEASE and subcode in (
             codec.ADMIN_SHUTDOWN, codec.ADMIN_RESET) else ""
         self.reader.ended = True
-        self.end(f"the peer says error {code}/{subcode}{': ' + reason if reason else ''}",
-                 damped=code != codec.CEASE or subcode not in NOT_YET)
+        self.end(f"the peer sent error {code}/{subcode}{': ' + reason if reason else ''}",
+                 damped=code != codec.CEASE or subcode not in UNDAMPED_CEASES)
 
-    def update(self) -> None:
-        """What every UPDATE does, whatever it says."""
+    def on_update(self) -> None:
+        """Checks the state and restarts the hold timer, for every UPDATE."""
         if self.state is not State.ESTABLISHED:
-            raise self.out_of_order("UPDATE")
-        self.set("hold", self.hold, jitter=False)
+            raise self.unexpected("UPDATE")
+        self.start_timer("hold", self.hold_time, jitter=False)
 
     def announced(self, prefixes: Sequence[Prefix], path: Path) -> None:
-        self.update()
-        self.neighbour.routes.announced(self.neighbour, prefixes, path)
+        self.on_update()
+        self.neighbour.observer.announced(self.neighbour, prefixes, path)
 
     def withdrawn(self, prefixes: Sequence[Prefix]) -> None:
-        self.update()
-        self.neighbour.routes.withdrawn(self.neighbour, prefixes)
+        self.on_update()
+        self.neighbour.observer.withdrawn(self.neighbour, prefixes)
 
     def end_of_rib(self, family: Family) -> None:
-        self.update()
-        self.neighbour.routes.end_of_rib(self.neighbour, family)
+        self.on_update()
+        self.neighbour.observer.end_of_rib(self.neighbour, family)
 
     def refresh_asked(self, family: Family) -> None:
+        """ROUTE-REFRESH."""
         if self.state is not State.ESTABLISHED:
-            raise self.out_of_order("ROUTE-REFRESH")
-        self.neighbour.routes.refresh_asked(self.neighbour, family)
+            raise self.unexpected("ROUTE-REFRESH")
+        self.neighbour.observer.refresh_asked(self.neighbour, family)
 
     def noted(self, problem: str) -> None:
-        self.neighbour.routes.noted(self.neighbour, problem)
+        """A malformed part of a message that was ignored."""
+        self.neighbour.observer.noted(self.neighbour, problem)
 
-    # Ends.
+    # The end of the session.
 
-    def out_of_order(self, what: str) -> Fault:
-        return Fault(codec.FSM_ERROR, FSM_SUBCODE[self.state], text=f"{what} came in state {self.state.value}")
+    def unexpected(self, message: str) -> ProtocolError:
+        return ProtocolError(codec.FSM_ERROR, FSM_ERROR_SUBCODES[self.state],
+                             text=f"{message} is not allowed in state {self.state.value}")
 
-    def fail(self, fault: Fault) -> None:
+    def fail(self, error: ProtocolError) -> None:
+        """Ends the session with the NOTIFICATION of an error."""
         self.reader.ended = True
-        self.wire.send(codec.write_notification(fault.code, fault.subcode, fault.data))
-        self.end(f"{fault} (sent {fault.code}/{fault.subcode})")
+        self.transport.send(codec.write_notification(error.code, error.subcode, error.data))
+        self.end(f"{error} (sent {error.code}/{error.subcode})")
 
-    def dropped(self) -> None:
-        """Lost a collision (section 6.8)."""
+    def close_as_collision(self) -> None:
+        """Closes the connection that does not stay after a collision (section 6.8)."""
         self.reader.ended = True
-        if self.state in FSM_SUBCODE:
-            self.wire.send(codec.write_notification(codec.CEASE, codec.COLLISION))
+        if self.state in FSM_ERROR_SUBCODES:
+            self.transport.send(codec.write_notification(codec.CEASE, codec.CONNECTION_COLLISION))
         self.timers.clear()
         self.state = State.IDLE
-        self.wire.close()
+        self.transport.close()
 
     def end(self, why: str, failed: bool = True, damped: bool = True) -> None:
-        was = self.state
+        """Closes the connection and goes to idle; see Neighbour.on_session_ended."""
+        previous = self.state
         self.timers.clear()
         self.state = State.IDLE
-        self.wire.close()
-        self.neighbour.ended(self, was, why, failed, damped)
+        self.transport.close()
+        self.neighbour.on_session_ended(self, previous, why, failed, damped)
 
     def enter(self, state: State) -> None:
         self.state = state
 
 
 class Neighbour:
-    """One configured peer. `wire(dials)` makes a port for a session."""
-
-    def __init__(self, local: LocalSpeaker, remote: RemotePeer, routes: Routes, wire: Callable[[Neighbour], Wire],
-                 chance: Callable[[], float]):
-        self.local, self.remote, self.routes, self.wire, self.chance = local, remote, routes, wire, chance
-        self.session = Session(self, wire(self), not remote.passive)
-        self.second: Session | None = None
-        self.wanted = False
-        self.idle_until: int | None = None
-        self.pause = 0
-        self.since = 0                   # established since, 0: not
+    """One configured peer. `new_transport` makes the transport of a session that dials."""
+
+    def __init__(self, local: LocalSpeaker, remote: RemotePeer, observer: NeighbourObserver,
+                 new_transport: Callable[[Neighbour], Transport], chance: Callable[[], float]):
+        self.local, self.remote, self.observer, self.new_transport, self.chance = (
+            local, remote, observer, new_transport, chance)
+        self.session = Session(self, new_transport(self), not remote.passive)
+        self.second_session: Session | None = None
+        self.is_started = False
+        self.idle_until: int | None = None       # end of the present pause
+        self.pause = 0                           # latest length before jitter
+        self.since = 0                           # when the session was established; 0 if it is not
         self.now = 0
-        self.last = ""                   # why the last session ended
+        self.last_end_reason = ""               # of the last session
         self.ups = self.downs = 0
 
-    # Events.
+    # Events from outside.
 
     def start(self, now: int) -> None:
-        self.now, self.wanted, self.idle_until = now, True, None
+        """Starts a session at once."""
+        self.now, self.is_started, self.idle_until = now, True, None
         self.session.start(now)
 
-    def begin(self, now: int) -> None:
-        """As start(), in its turn among all peers that want to dial (pace.py)."""
+    def start_limited(self, now: int) -> None:
+        """Like start(), but dials only when the limiter of all dials allows it (dial_limiter.py)."""
         if self.remote.passive:
             self.start(now)
         else:
-            self.now, self.wanted, self.idle_until = now, True, now
+            self.now, self.is_started, self.idle_until = now, True, now
 
     def stop(self, now: int, subcode: int, reason: str) -> None:
-        self.now, self.wanted, self.idle_until = now, False, None
-        if self.second is not None:
-            second, self.second = self.second, None
+        """Ends both sessions with a CEASE; starts none until start()."""
+        self.now, self.is_started, self.idle_until = now, False, None
+        if self.second_session is not None:
+            second, self.second_session = self.second_session, None
             second.stop(now, subcode, reason)
         self.session.stop(now, subcode, reason)
 
-    def incoming(self, now: int, wire: Wire) -> Session | None:
-        """A connection from this peer: the session that has it now, None where it is not wanted."""
+    def incoming(self, now: int, transport: Transport) -> Session | None:
+        """Accepts a connection from this peer; returns its session, or None if the connection is refused."""
         self.now = now
-        if not self.wanted or self.idle_until is not None or self.second is not None or (
+        if not self.is_started or self.idle_until is not None or self.second_session is not None or (
                 self.session.state is State.ESTABLISHED):
             return None
         if self.session.state in (State.CONNECT, State.ACTIVE, State.IDLE):
             if self.session.state is State.CONNECT:
-                self.session.wire.close()           # our dialling is overtaken
-            taken = Session(self, wire, self.session.dials)
-            taken.state = State.ACTIVE
-            self.session = taken
-            taken.tcp_up(now)
-            return taken
-        self.second = Session(self, wire, False)
-        self.second.state = State.ACTIVE
-        self.second.tcp_up(now)
-        return self.second
-
-    def due(self) -> int | None:
-        dues = [self.session.due(), self.second.due() if self.second else None, self.idle_until]
-        return min((each for each in dues if each is not None), default=None)
-
-    def dials_at(self) -> int | None:
-        """When its timers would have it dial."""
+                self.session.transport.close()      # abandons our own dial
+            accepted = Session(self, transport, self.session.dials)
+            accepted.state = State.ACTIVE
+            self.session = accepted
+            accepted.tcp_up(now)
+            return accepted
+        self.second_session = Session(self, transport, False)
+        self.second_session.state = State.ACTIVE
+        self.second_session.tcp_up(now)
+        return self.second_session
+
+    def next_timeout(self) -> int | None:
+        timeouts = [self.session.next_timeout(), self.second_session.next_timeout() if self.second_session else None,
+                    self.idle_until]
+        return min((each for each in timeouts if each is not None), default=None)
+
+    def next_dial_at(self) -> int | None:
+        """When a timer will dial; None if none will."""
         if self.remote.passive:
             return None
         return self.idle_until if self.idle_until is not None else self.session.timers.get("connect-retry")
 
     def tick(self, now: int) -> None:
+        """Runs expired timers and starts a new session after a pause."""
         self.now = now
         if self.idle_until is not None and self.idle_until <= now:
             self.idle_until = None
-            self.renew()
+            self.renew_session()
             self.session.start(now)
-        for session in (self.session, self.second):
+        for session in (self.session, self.second_session):
             if session is not None:
                 session.tick(now)
 
-    # From its sessions.
+    # Events from its sessions.
 
     @property
     def established_session(self) -> Session | None:
         return self.session if self.session.state is State.ESTABLISHED else None
 
-    def resolve(self, session: Session) -> bool:
-        """Section 6.8: of two connections the one that the higher router id opened stays. Whether this one does."""
-        other = self.second if session is self.session else self.session
+    def resolve_collision(self, session: Session) -> bool:
+        """Section 6.8: of two connections the one opened by the higher router id stays. True if `session` stays."""
+        other = self.second_session if session is self.session else self.session
         if other is None or other.state is not State.OPEN_CONFIRM:
             return True
-        ours_stays = self.local.router > session.router or self.local.router == session.router and (
-            self.local.asn > self.remote.asn)            # RFC 6286, section 2.3
-        dialled, came = (self.session, self.second) if self.second else (self.session, None)
-        keep, drop = (dialled, came) if ours_stays else (came, dialled)
+        ours_stays = self.local.router_id > session.router_id or self.local.router_id == session.router_id and (
+            self.local.asn > self.remote.asn)       # RFC 6286, section 2.3
+        dialled, accepted = (self.session, self.second_session) if self.second_session else (self.session, None)
+        keep, drop = (dialled, accepted) if ours_stays else (accepted, dialled)
         assert keep is not None and drop is not None
-        self.session, self.second = keep, None
-        drop.dropped()
+        self.session, self.second_session = keep, None
+        drop.close_as_collision()
         return keep is session
 
-    def established(self, session: Session) -> None:
+    def on_established(self, session: Session) -> None:
         self.now = session.now
-        if self.second is not None:
-            loser = self.second if session is self.session else self.session
-            self.session, self.second = session, None
-            loser.dropped()
+        if self.second_session is not None:
+            loser = self.second_session if session is self.session else self.session
+            self.session, self.second_session = session, None
+            loser.close_as_collision()
         self.since, self.ups = session.now, self.ups + 1
-        self.routes.up(session.now, self)
+        self.observer.up(session.now, self)
 
-    def ended(self, session: Session, was: State, why: str, failed: bool, damped: bool) -> None:
-        """`damped`: whether our pause grows by it."""
-        self.now, self.last = session.now, why
-        if session is self.second:
-            self.second = None
+    def on_session_ended(self, session: Session, previous: State, why: str, failed: bool, damped: bool) -> None:
+        """Pauses before the next session if `failed`; the pause grows if `damped`."""
+        self.now, self.last_end_reason = session.now, why
+        if session is self.second_session:
+            self.second_session = None
             return
-        if was is State.ESTABLISHED:
+        if previous is State.ESTABLISHED:
             self.downs += 1
-            if session.now - self.since >= STEADY:
+            if session.now - self.since >= STABLE_AFTER:
                 self.pause = 0
             self.since = 0
-            self.routes.down(session.now, self, why)
-        if self.second is not None:
-            self.session, self.second = self.second, None       # the other connection goes on alone
+            self.observer.down(session.now, self, why)
+        if self.second_session is not None:
+            self.session, self.second_session = self.second_session, None       # the other connection continues
             return
-        if failed and self.wanted and self.idle_until is None:
-            self.pause = max(FIRST_IDLE, min(MOST_IDLE, 2 * self.pause) if damped else self.pause)
-            self.idle_until = session.now + int(self.pause * (1 - JITTER * self.chance()))
+        if failed and self.is_started and self.idle_until is None:
+            self.pause = max(MIN_PAUSE, min(MAX_PAUSE, 2 * self.pause) if damped else self.pause)
+            self.idle_until = session.now + int(self.pause * (1 - TIMER_JITTER * self.chance()))
 
-    def renew(self) -> None:
-        self.session = Session(self, self.wire(self), not self.remote.passive)
+    def renew_session(self) -> None:
+        self.session = Session(self, self.new_transport(self), not self.remote.passive)
 
     @property
     def state(self) -> State:
--- a/threadshift/bgp/speaker.py
+++ b/threadshift/bgp/speaker.py
@@ -1,7 +1,7 @@
-"""The speaker: sockets and greenlets around neighbours. Decides nothing; slows no call.
+"""The BGP speaker: sockets and greenlets for the neighbours of one front end. Makes no decisions about routes.
 
-Each connection has a reading and a writing greenlet; what waits to be written is bounded, and a peer that takes
-nothing for WRITE_LIMIT is closed (RFC 9687's send hold timer, in short).
+Each connection has a reading and a writing greenlet. The data waiting to be written is bounded, and a peer that
+accepts none for SEND_HOLD_TIME is disconnected (a simple form of RFC 9687's send hold timer).
 """
 from __future__ import annotations
 
@@ -16,99 +16,103 @@
 from gevent.pool import Group, Pool
 
 from threadshift.bgp import codec
-from threadshift.bgp.pace import Pace
+from threadshift.bgp.dial_limiter import DialLimiter
 from threadshift.bgp.path import Family, Path, Prefix
-from threadshift.bgp.rib import Heard, Told
-from threadshift.bgp.session import Neighbour, Session, State, LocalSpeaker, RemotePeer
+from threadshift.bgp.rib import AdjRibIn, AdjRibOut
+from threadshift.bgp.session import LocalSpeaker, Neighbour, RemotePeer, Session, State
 from threadshift.conf.values import Address
 from threadshift.interface import MS, SECOND
 from threadshift.links.sockets import READ, listener
 
-DIAL_LIMIT = 3 * SECOND    # ns; a router of this site answers within ms
-WRITE_LIMIT = 5 * SECOND   # ns; bytes that no peer takes
-MOST_WAITING = 1 << 20     # bytes to be written to one peer: over 10,000 routes
-MOST_HEARD = 10_000        # routes kept of one peer; a full table is refused
-CLOSE_LIMIT = SECOND       # ns; a last NOTIFICATION leaves within it or not at all
-MOST_REFUSED = 8           # connections that are being told why they are not wanted; more are just closed
-FULL_HOPS = 255            # GTSM (RFC 5082): the TTL that only a neighbour can have
-IP_MINTTL = 21             # Linux: the least TTL that a socket takes
+CONNECT_TIMEOUT = 3 * SECOND       # a router of this site answers within milliseconds
+SEND_HOLD_TIME = 5 * SECOND        # in which a peer must accept data
+CLOSE_TIMEOUT = SECOND             # for a last NOTIFICATION
+ACCEPT_PAUSE = 0.1                 # seconds after a failed accept()
+MAX_QUEUED_BYTES = 1 << 20         # to one peer: more than 10,000 routes
+MAX_ROUTES = 10_000                # accepted from one peer; a full routing table is refused
+MAX_REFUSALS = 8                   # connections that are sent a NOTIFICATION at a time; further ones are just closed
+GTSM_TTL = 255                     # RFC 5082: only packets of a direct neighbour arrive with it
+IP_MINTTL = 21                     # Linux socket option: the lowest TTL that is accepted
 
 
 class PeerAddress(NamedTuple):
-    """Where a peer is, and how it is dialled."""
+    """A peer with its address and the options of the connection."""
 
     remote: RemotePeer
     address: Address
-    source: str = ""             # our address on this connection; empty: the system's choice
+    source: str = ""             # local address of the connection; empty: chosen by the system
     ttl_security: bool = False
 
 
 class Connection:
-    """One TCP connection, dialled or accepted; ended by close()."""
+    """One TCP connection, dialled or accepted, until close()."""
 
-    def __init__(self, wire: TcpWire, peer: PeerAddress, sock: socket.socket | None):
-        self.wire, self.peer, self.sock = wire, peer, sock
-        self.out: list[bytes] = []
-        self.size = 0
+    def __init__(self, transport: TcpTransport, peer: PeerAddress, sock: socket.socket | None):
+        self.transport, self.peer, self.sock = transport, peer, sock
+        self.send_queue: list[bytes] = []
+        self.queued_bytes = 0
         self.wake = Event()
         self.closing = False
         self.greenlets = Group()
         self.greenlets.spawn(self.run)
 
     def run(self) -> None:
+        """Connects if necessary, and reads until the connection ends."""
         problem = ""
         try:
             if self.sock is None:
                 self.sock = self.dial()
-            self.secure(self.sock)
+            self.set_options(self.sock)
             self.sock.settimeout(None)
-            self.wire.up(self)
+            self.transport.on_connected(self)
             self.greenlets.spawn(self.write)
             while not self.closing and (data := self.sock.recv(READ)):
                 if not self.closing:
-                    self.wire.data(self, data)
+                    self.transport.on_data(self, data)
         except OSError as failed:
             problem = str(failed)
         if not self.closing:
-            self.wire.failed(self, problem)
+            self.transport.on_failed(self, problem)
 
     def dial(self) -> socket.socket:
         address = self.peer.address
         sock = socket.socket(socket.AF_INET6 if ":" in address.host else socket.AF_INET, socket.SOCK_STREAM)
         self.sock = sock
-        sock.settimeout(DIAL_LIMIT / SECOND)
+        sock.settimeout(CONNECT_TIMEOUT / SECOND)
         if self.peer.source:
             sock.bind((self.peer.source, 0))
         sock.connect((address.host, address.port))
         return sock
 
-    def secure(self, sock: socket.socket) -> None:
+    def set_options(self, sock: socket.socket) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.peer.ttl_security and sock.family == socket.AF_INET:
-            sock.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, FULL_HOPS)
-            sock.setsockopt(socket.IPPROTO_IP, IP_MINTTL, FULL_HOPS)
+            sock.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, GTSM_TTL)
+            sock.setsockopt(socket.IPPROTO_IP, IP_MINTTL, GTSM_TTL)
 
     def send(self, data: bytes) -> None:
+        """Queues data; a peer with too much queued data is disconnected."""
         if self.closing:
             return
-        self.out.append(data)
-        self.size += len(data)
+        self.send_queue.append(data)
+        self.queued_bytes += len(data)
         self.wake.set()
-        if self.size > MOST_WAITING and self.sock is not None:
+        if self.queued_bytes > MAX_QUEUED_BYTES and self.sock is not None:
             with suppress(OSError):
-                self.sock.shutdown(socket.SHUT_RDWR)    # the reader notices
+                self.sock.shutdown(socket.SHUT_RDWR)    # the reading greenlet notices the end
 
     def write(self) -> None:
+        """Writes queued data until the connection is closed or the peer accepts no more."""
         sock = self.sock
         assert sock is not None
         with suppress(OSError):
-            while self.out or not self.closing:
-                if not self.out:
+            while self.send_queue or not self.closing:
+                if not self.send_queue:
                     self.wake.clear()
                     self.wake.wait()
                     continue
-                data, self.out, self.size = b"".join(self.out), [], 0
-                with gevent.Timeout((CLOSE_LIMIT if self.closing else WRITE_LIMIT) / SECOND, False):
+                data, self.send_queue, self.queued_bytes = b"".join(self.send_queue), [], 0
+                with gevent.Timeout((CLOSE_TIMEOUT if self.closing else SEND_HOLD_TIME) / SECOND, False):
                     sock.sendall(data)
                     continue
                 break
@@ -117,18 +121,18 @@
         sock.close()
 
     def close(self) -> None:
-        """What waits is still written, for a moment; then the socket closes."""
+        """Closes the socket after queued data is written, at most CLOSE_TIMEOUT later."""
         if self.closing:
             return
         self.closing = True
         self.wake.set()
-        if self.sock is not None and not self.out:
+        if self.sock is not None and not self.send_queue:
             with suppress(OSError):
                 self.sock.shutdown(socket.SHUT_RDWR)
 
 
-class TcpWire:
-    """A session's port to TCP; may dial several times in its life. Events of an older connection are dropped."""
+class TcpTransport:
+    """The transport of a session, which may dial several times. Events of an earlier connection are dropped."""
 
     def __init__(self, speaker: Speaker, peer: PeerAddress, sock: socket.socket | None = None):
         self.speaker, self.peer = speaker, peer
@@ -139,16 +143,16 @@
     def dial(self) -> None:
         self.connection = Connection(self, self.peer, None)
 
-    def take(self) -> None:
-        """Begins to read an accepted connection, once the session has it."""
+    def start_accepted(self) -> None:
+        """Begins to read an accepted connection, once a session has it."""
         self.connection = Connection(self, self.peer, self.accepted)
 
     def send(self, data: bytes) -> None:
-        self.speaker.sent += 1
+        self.speaker.messages_sent += 1
         if self.connection is not None:
             self.connection.send(data)
-        elif self.accepted is not None:         # its OPEN, before the greenlets run
-            self.take()
+        elif self.accepted is not None:         # the OPEN of an accepted connection
+            self.start_accepted()
             assert self.connection is not None
             self.connection.send(data)
 
@@ -157,17 +161,17 @@
         if connection is not None:
             connection.close()
 
-    # From the connection.
+    # Events of the connection.
 
-    def up(self, connection: Connection) -> None:
+    def on_connected(self, connection: Connection) -> None:
         if connection is self.connection and self.accepted is None:
             self.session.tcp_up(time.monotonic_ns())
 
-    def data(self, connection: Connection, data: bytes) -> None:
+    def on_data(self, connection: Connection, data: bytes) -> None:
         if connection is self.connection:
-            self.session.data(time.monotonic_ns(), data)
+            self.session.receive(time.monotonic_ns(), data)
 
-    def failed(self, connection: Connection, problem: str) -> None:
+    def on_failed(self, connection: Connection, problem: str) -> None:
         if connection is self.connection:
             self.connection = None
             connection.close()
@@ -175,37 +179,40 @@
 
 
 class Speaker:
-    """All neighbours of one front end. tick() is wanted a few times a second; stop() ends every greenlet."""
+    """All neighbours of one front end. tick() must be called a few times a second; stop() ends every greenlet.
+
+    `routes_for` returns the routes to advertise to a peer, `note` writes to the log."""
 
     def __init__(self, local: LocalSpeaker, peers: Sequence[PeerAddress], listen: Address | None,
-                 wanted: Callable[[RemotePeer], dict[Prefix, Path]], note: Callable[..., Any],
+                 routes_for: Callable[[RemotePeer], dict[Prefix, Path]], note: Callable[..., Any],
                  chance: Callable[[], float]):
-        self.local, self.listen, self.wanted, self.note = local, listen, wanted, note
+        self.local, self.listen, self.routes_for, self.note = local, listen, routes_for, note
         self.peers = {peer.remote.name: peer for peer in peers}
-        self.heard = Heard(MOST_HEARD)
-        self.told: dict[str, Told] = {}
-        self.sent = 0
-        self.neighbours = {name: Neighbour(local, peer.remote, self, self.wire_to(peer), chance)
+        self.adj_rib_in = AdjRibIn(MAX_ROUTES)
+        self.adj_ribs_out: dict[str, AdjRibOut] = {}     # of the established sessions, by the peer's name
+        self.messages_sent = 0
+        self.neighbours = {name: Neighbour(local, peer.remote, self, self.transport_to(peer), chance)
                            for name, peer in self.peers.items()}
         self.greenlets = Group()
-        self.refusals = Pool(MOST_REFUSED)
-        self.pace = Pace(time.monotonic_ns())
+        self.refusals = Pool(MAX_REFUSALS)
+        self.dial_limiter = DialLimiter(time.monotonic_ns())
         self.sock: socket.socket | None = None
 
-    def wire_to(self, peer: PeerAddress) -> Callable[[Neighbour], TcpWire]:
-        return lambda neighbour: TcpWire(self, peer)
+    def transport_to(self, peer: PeerAddress) -> Callable[[Neighbour], TcpTransport]:
+        return lambda neighbour: TcpTransport(self, peer)
 
     def start(self) -> None:
-        """Raises OSError where it cannot listen."""
+        """Listens and starts all sessions. Raises OSError if it cannot listen."""
         if self.listen is not None:
             self.sock = listener(self.listen, shared=False)
             self.greenlets.spawn(self.accept)
         now = time.monotonic_ns()
         for neighbour in self.neighbours.values():
-            neighbour.begin(now)
+            neighbour.start_limited(now)
         self.tick(now)
 
     def accept(self) -> None:
+        """Accepts connections from the configured peers."""
         assert self.sock is not None
         while True:
             try:
@@ -214,26 +221,27 @@
                 if self.sock.fileno() < 0:
                     return
                 self.note("bgp-accept-failed", level="warning", problem=str(problem))
-                gevent.sleep(0.1)
+                gevent.sleep(ACCEPT_PAUSE)
                 continue
             peer = next((each for each in self.peers.values() if each.address.host == source[0]), None)
             if peer is None:
                 sock.close()
                 continue
             neighbour = self.neighbours[peer.remote.name]
-            if neighbour.incoming(time.monotonic_ns(), TcpWire(self, peer, sock)) is not None:
+            if neighbour.incoming(time.monotonic_ns(), TcpTransport(self, peer, sock)) is not None:
                 continue
             if self.refusals.free_count():
-                stands = neighbour.state is State.ESTABLISHED
-                self.refusals.spawn(self.refuse, sock, codec.COLLISION if stands else codec.REJECTED)
+                is_established = neighbour.state is State.ESTABLISHED
+                self.refusals.spawn(self.refuse, sock,
+                                    codec.CONNECTION_COLLISION if is_established else codec.CONNECTION_REJECTED)
             else:
                 sock.close()
 
     @staticmethod
     def refuse(sock: socket.socket, subcode: int) -> None:
-        """Says why (RFC 4271, section 6.8; RFC 4486), and reads until the peer has heard: a close on bytes unread
-        would reset the connection under the message."""
-        with suppress(OSError), gevent.Timeout(CLOSE_LIMIT / SECOND, False):
+        """Sends a CEASE (RFC 4271, section 6.8; RFC 4486) and reads until the peer closes: closing a socket with
+        unread data would reset the connection before the message is delivered."""
+        with suppress(OSError), gevent.Timeout(CLOSE_TIMEOUT / SECOND, False):
             sock.sendall(codec.write_notification(codec.CEASE, subcode))
             sock.shutdown(socket.SHUT_WR)
             while sock.recv(READ):
@@ -241,19 +249,20 @@
         sock.close()
 
     def tick(self, now: int) -> None:
-        for neighbour in self.pace.turns(self.neighbours.values(), now):
+        """Runs the timers that are due."""
+        for neighbour in self.dial_limiter.due_neighbours(self.neighbours.values(), now):
             neighbour.tick(now)
 
     def announce(self) -> None:
-        """Brings every established neighbour to what is wanted now."""
-        for name, told in self.told.items():
+        """Advertises the present routes to every established neighbour."""
+        for name, adj_rib_out in self.adj_ribs_out.items():
             session = self.neighbours[name].established_session
             if session is not None:
-                for data in told.changes(self.wanted(self.peers[name].remote)):
-                    session.wire.send(data)
+                for data in adj_rib_out.update(self.routes_for(self.peers[name].remote)):
+                    session.transport.send(data)
 
     def stop(self, reason: str) -> None:
-        """Says goodbye to every neighbour. Their routes go with the sessions."""
+        """Ends all sessions with a CEASE; the peers drop the routes with them."""
         if self.sock is not None:
             self.sock.close()
         now = time.monotonic_ns()
@@ -265,48 +274,51 @@
 
     @property
     def established(self) -> int:
-        return len(self.told)
+        """The number of established sessions."""
+        return len(self.adj_ribs_out)
 
-    # What neighbours tell.
+    # Events of the neighbours.
 
     def up(self, now: int, neighbour: Neighbour) -> None:
         name = neighbour.remote.name
         session = neighbour.session
-        told = self.told[name] = Told(session.can.families & self.local.can.families, session.reader.four_octets)
-        self.note("bgp-up", peer=name, hold_s=session.hold // SECOND)
-        for data in told.first(self.wanted(neighbour.remote)):
-            session.wire.send(data)
+        adj_rib_out = self.adj_ribs_out[name] = AdjRibOut(
+            session.capabilities.families & self.local.capabilities.families, session.reader.four_octet_as)
+        self.note("bgp-up", peer=name, hold_s=session.hold_time // SECOND)
+        for data in adj_rib_out.initial_update(self.routes_for(neighbour.remote)):
+            session.transport.send(data)
 
     def down(self, now: int, neighbour: Neighbour, why: str) -> None:
-        self.told.pop(neighbour.remote.name, None)
-        self.heard.lost(neighbour.remote.name)
+        self.adj_ribs_out.pop(neighbour.remote.name, None)
+        self.adj_rib_in.remove_neighbour(neighbour.remote.name)
         self.note("bgp-down", level="warning", peer=neighbour.remote.name, why=why)
 
     def announced(self, neighbour: Neighbour, prefixes: Sequence[Prefix], path: Path) -> None:
-        if not self.heard.announced(neighbour.remote.name, prefixes, path):
-            raise codec.Fault(codec.CEASE, codec.MAX_PREFIXES, text=f"more than {MOST_HEARD} routes")
+        if not self.adj_rib_in.add(neighbour.remote.name, prefixes, path):
+            raise codec.ProtocolError(codec.CEASE, codec.MAX_PREFIXES_REACHED, text=f"more than {MAX_ROUTES} routes")
 
     def withdrawn(self, neighbour: Neighbour, prefixes: Sequence[Prefix]) -> None:
-        self.heard.withdrawn(neighbour.remote.name, prefixes)
+        self.adj_rib_in.remove(neighbour.remote.name, prefixes)
 
     def end_of_rib(self, neighbour: Neighbour, family: Family) -> None:
-        """Nothing here waits for it."""
+        """Does nothing: no decision waits for the end of the initial routes."""
 
     def refresh_asked(self, neighbour: Neighbour, family: Family) -> None:
-        told, session = self.told.get(neighbour.remote.name), neighbour.established_session
-        if told is not None and session is not None:
-            for data in told.again(family):
-                session.wire.send(data)
+        adj_rib_out, session = self.adj_ribs_out.get(neighbour.remote.name), neighbour.established_session
+        if adj_rib_out is not None and session is not None:
+            for data in adj_rib_out.refresh(family):
+                session.transport.send(data)
 
     def noted(self, neighbour: Neighbour, problem: str) -> None:
         self.note("bgp-mended", peer=neighbour.remote.name, problem=problem)
 
     def status(self, now: int) -> dict[str, Any]:
+        """The state of each neighbour, for operators."""
         return {name: {
             "state": it.state.value, "as": it.remote.asn, "address": str(self.peers[name].address),
             "up-s": round((now - it.since) / SECOND, 1) if it.state is State.ESTABLISHED else None,
             "again-ms": max(0, it.idle_until - now) // MS if it.idle_until else None,
-            "ups": it.ups, "downs": it.downs, "last": it.last,
-            "told": len(self.told[name].told) if name in self.told else 0,
-            "heard": len(self.heard.routes.get(name, ())),
+            "ups": it.ups, "downs": it.downs, "last": it.last_end_reason,
+            "told": len(self.adj_ribs_out[name].advertised) if name in self.adj_ribs_out else 0,
+            "heard": len(self.adj_rib_in.routes.get(name, ())),
         } for name, it in self.neighbours.items()}
--- a/threadshift/gateway/service_announcer.py
+++ b/threadshift/gateway/service_announcer.py
@@ -57,7 +57,7 @@
             LocalSpeaker(told.asn, told.router, told.hold, can),
             [PeerAddress(RemotePeer(each.name, each.asn, each.passive), each.address, each.source, each.ttl_security)
              for each in told.peers],
-            told.listen, self.wanted, front.note, front.chance)
+            told.listen, self.routes_for, front.note, front.chance)
         self.next = 0
 
     def start(self) -> None:
@@ -70,7 +70,7 @@
         self.next = now + CHECK_INTERVAL
         self.drain.tick(now, self.front.arrivals.per_second(now), self.front.arrivals.last,
                         bool(self.speaker.established))
-        heard = self.speaker.heard.of if self.told.reflects else None
+        heard = self.speaker.adj_rib_in.paths if self.told.reflects else None
         changes = self.announcer.tick(now, self.health(now), heard)
         for change in changes:
             self.front.note("announcement", level="warning" if change.decision.standing > change.before else "info",
@@ -90,7 +90,7 @@
             calls_per_second=front.recent.per_second(now), refused_share=front.admission.refused_share,
             call_stats=front.recent.call_stats(now), drain=self.drain.standing)
 
-    def wanted(self, remote: RemotePeer) -> dict[Prefix, Path]:
+    def routes_for(self, remote: RemotePeer) -> dict[Prefix, Path]:
         return self.announcer.routes(remote.is_internal(self.speaker.local))
 
     def leave(self, now: int) -> None:
@@ -120,6 +120,7 @@
                 "for-s": round((now - held.since) / 1e9, 1), "changes": held.changes, "flaps": held.flaps,
                 "operator": self.announcer.overrides[prefix].name.lower()
                 if prefix in self.announcer.overrides else None,
-                "others": self.announcer.count_others(self.speaker.heard.of(prefix)) if self.told.reflects else None,
+                "others": self.announcer.count_others(self.speaker.adj_rib_in.paths(prefix))
+                if self.told.reflects else None,
             } for prefix, held in self.announcer.states.items()},
             "drain": self.drain.stage.value, "peers": self.speaker.status(now)}
--- a/threadshift/standins/router.py
+++ b/threadshift/standins/router.py
@@ -80,7 +80,7 @@
             gevent.sleep(LOOK / SECOND)
             self.speaker.tick(time.monotonic_ns())
             if self.faults.amount("refuse"):
-                for name in self.speaker.told:
+                for name in self.speaker.adj_ribs_out:
                     self.obey(["reset", name])
             best = self.chosen()
             if best != self.best:
@@ -92,14 +92,14 @@
 
     def chosen(self) -> dict[Prefix, list[Path]]:
         if self.steer == "routes":
-            return {prefix: self.choose(self.speaker.heard.of(prefix)) for prefix in self.prefixes()}
+            return {prefix: self.choose(self.speaker.adj_rib_in.paths(prefix)) for prefix in self.prefixes()}
         # Baselines: what front ends say of themselves is not heeded, at most whether they are there.
         hops = [Path(ipaddress.ip_address(peer.address.host)) for name, peer in self.speaker.peers.items()
-                if self.steer == "static" or name in self.speaker.told]
+                if self.steer == "static" or name in self.speaker.adj_ribs_out]
         return {prefix: hops for prefix, _, _ in self.services}
 
     def prefixes(self) -> set[Prefix]:
-        return {prefix for routes in self.speaker.heard.routes.values() for prefix in routes}
+        return {prefix for routes in self.speaker.adj_rib_in.routes.values() for prefix in routes}
 
     @staticmethod
     def choose(paths: list[Path]) -> list[Path]:
@@ -118,7 +118,7 @@
         """The best of what others announce, for one neighbour."""
         found = {}
         for prefix in self.prefixes():
-            paths = [routes[prefix] for name, routes in self.speaker.heard.routes.items()
+            paths = [routes[prefix] for name, routes in self.speaker.adj_rib_in.routes.items()
                      if name != remote.name and prefix in routes]
             if chosen := self.choose(paths):
                 found[prefix] = Path(chosen[0].next_hop, (self.speaker.local.asn, *chosen[0].as_path),
@@ -181,17 +181,17 @@
             return
         neighbour = self.speaker.neighbours[rest[0]]
         session, now = neighbour.session, time.monotonic_ns()
-        connection = getattr(session.wire, "connection", None)
+        connection = getattr(session.transport, "connection", None)
         if order == "reset" and connection is not None:
             connection.sock.shutdown(socket.SHUT_RDWR)
         elif order == "stall" and connection is not None:
             connection.greenlets.kill()         # reads and writes nothing more, and closes nothing
         elif order == "garbage":
-            session.wire.send(b"\0" * 64)
+            session.transport.send(b"\0" * 64)
         elif order == "malformed":
-            session.wire.send(codec.message(codec.UPDATE, b"\0\0\0\4\x40\1\1\7\x20\xc0\0\2\1"))
+            session.transport.send(codec.message(codec.UPDATE, b"\0\0\0\4\x40\1\1\7\x20\xc0\0\2\1"))
         elif order == "refresh":
-            session.wire.send(codec.write_refresh(Family.IPV4))
+            session.transport.send(codec.write_refresh(Family.IPV4))
         elif order == "down":
             neighbour.stop(now, codec.ADMIN_SHUTDOWN, "maintenance")
         elif order == "up":
