--- a/threadshift/bgp/codec.py
+++ b/threadshift/bgp/codec.py
@@ -398,8 +398,8 @@
     announced = read_prefixes(body[attributes_at + attributes_length:], Family.IPV4, bad_network)
     attributes = Attributes(four_octet_as, handler)
     attributes.read(body[attributes_at:attributes_at + attributes_length])
-    mp_reach = attributes.values.get(ATTR_MP_REACH_NLRI)
-    mp_unreach = attributes.values.get(ATTR_MP_UNREACH_NLRI)
+    mp_reach, mp_unreach = (
+        attributes.values.get(ATTR_MP_REACH_NLRI), attributes.values.get(ATTR_MP_UNREACH_NLRI))
     if not (body[4:] or withdrawn):
         handler.end_of_rib(Family.IPV4)
         return
