--- a/tests/test_bgp_codec.py
+++ b/tests/test_bgp_codec.py
@@ -60,7 +60,7 @@
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(PATHS, st.lists(NETS4, min_size=1, max_size=400, unique=True),
            st.lists(NETS6, min_size=1, max_size=100, unique=True))
-    def test_routes_round_trip_in_messages_of_4096_octets(self, path, four, six):
+    def test_there_and_back_in_messages_of_4096_octets(self, path, four, six):
         prefixes = four if path.next_hop.version == 4 else six
         messages = codec.write_routes(prefixes, path, True)
         self.assertLessEqual(max(map(len, messages)), codec.MAX_MESSAGE_SIZE)
@@ -71,7 +71,7 @@
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.lists(NETS4 | NETS6, min_size=1, max_size=600, unique=True))
-    def test_withdrawals_round_trip(self, prefixes):
+    def test_withdrawals_there_and_back(self, prefixes):
         messages = codec.write_withdrawals(prefixes)
         self.assertLessEqual(max(map(len, messages)), codec.MAX_MESSAGE_SIZE)
         self.assertEqual({prefix for data in messages for _, found in read(data) for prefix in found}, set(prefixes))
