--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -319,7 +319,7 @@
         since = start + 5 * 10**9
         types = {each.name: each for each in days_of.read(f"{folder}/records/day.conf").told.deployment.types}
         asked = lost = late = 0
-        for tries, done in records.chains(seen):
+        for tries, done in records.group_attempts(seen):
             if not since <= tries[0].t < since + WINDOW * 10**9:
                 continue
             asked += 1
--- a/tests/drawn.py
+++ b/tests/drawn.py
@@ -5,7 +5,7 @@
 import gevent
 
 from tests.several import Several
-from threadshift.audit import together
+from threadshift.audit import cluster
 from threadshift.invoke.client import NoAnswer
 
 FAULTS = ("freeze", "kill", "cut", "forth", "back", "delay", "reset", "tear")
@@ -58,5 +58,5 @@
         open_ = [f"{name}: {found.count(None)} calls have no answer" for name, some in ids.items()
                  if None in (found := it.finals(name, some))]
         runs = [each for each in it.lines("run") if each["mark"]]
-        broken = open_ + [str(each) for each in together.told(it.told, runs)]
+        broken = open_ + [str(each) for each in cluster.answers(it.told, runs)]
         return broken, f"seed {seed}: {', '.join(said)}; {len(runs)} runs"
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from tests.test_emulator import DAY
-from threadshift.audit.records import Unreadable, line_of, read, whole
+from threadshift.audit.records import Unreadable, check_completeness, parse_event, read
 from threadshift.audit.report import judge
 from threadshift.audit.rules import breaches
 from threadshift.days.day import KINDS, read_text
@@ -95,7 +95,7 @@
         for folder in folders:
             day = read_text((folder / "day.conf").read_text())
             seen = read(folder)
-            whole(seen)
+            check_completeness(seen)
             rules = {each.rule for each in breaches(seen, day.told.deployment, day.fleet.cores)}
             wanted = {int(folder.name[7])} if folder.name.startswith("broken-") else set()
             self.assertEqual(rules, wanted, folder.name)
@@ -218,13 +218,13 @@
         cases = (([end], "no activation"), ([self.TRY, end], "reached a worker"), ([self.TRY, self.SENT],
                  "too short"), ([self.TRY, self.SENT, end], ""))
         for lines, words in cases:
-            seen = [line_of(dict(line), "x") for line in lines]
+            seen = [parse_event(dict(line), "x") for line in lines]
             if words:
                 with self.assertRaises(Unreadable, msg=words) as caught:
-                    whole(seen)
+                    check_completeness(seen)
                 self.assertIn(words, str(caught.exception))
             else:
-                whole(seen)
+                check_completeness(seen)
 
 
 if __name__ == "__main__":
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -8,7 +8,7 @@
 from gevent.server import StreamServer
 
 from tests.test_audit import DONE, FREE, SENT, T0, seen
-from threadshift.audit.records import by, read
+from threadshift.audit.records import read, select_events
 from threadshift.audit.report import audit
 from threadshift.conf.reading import Mistake
 from threadshift.conf.values import Address
@@ -205,10 +205,10 @@
             verdict = audit(Path(folder))
             told = read(Path(folder))
         self.assertEqual(verdict.breaches, [])
-        killed = [each for each in by(told, "killing") if each["who"].startswith("front")]
+        killed = [each for each in select_events(told, "killing") if each["who"].startswith("front")]
         self.assertEqual(len(killed), 8)
-        self.assertEqual(len(by(told, "stopped")), 2)
-        self.assertFalse(by(told, "fell-over"))
+        self.assertEqual(len(select_events(told, "stopped")), 2)
+        self.assertFalse(select_events(told, "fell-over"))
         found = losses(told, day.told.deployment)
         # Nobody is left out for good: who stayed up, or came back, serves; a copy is not brought by each of them.
         shares = [got / asked for asked, got in found.served.values() if asked >= 5]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -11,7 +11,7 @@
 from tests.live import until
 from tests.platform import (
     Client, Coordinator, Platform, Worker, begin, configuration, event, instance, params, request, serve)
-from threadshift.audit.records import Seen
+from threadshift.audit.records import RecordedEvent
 from threadshift.audit.rules import breaches
 from threadshift.conf.settings import Malformed
 from threadshift.fastcgi import connection_eviction
@@ -413,7 +413,7 @@
         finals = {200: "completed", 503: "rejected", 502: "aborted"}
 
         def note(source, event_, **facts):
-            seen.append(Seen(time.monotonic_ns(), event_, source, facts))
+            seen.append(RecordedEvent(time.monotonic_ns(), event_, source, facts))
 
         def worker_at(name):
             def script(worker, sock, frame):
@@ -475,7 +475,7 @@
             self.assertTrue(any(each.event == "run" for each in seen))
             # The audit reports a broken rule: here the first once-only call runs a second time.
             once = next(each for each in seen if each.event == "run" and int(each["mark"], 16) % 2)
-            twice = sorted([*seen, Seen(once.t + MS, "run", "s-2", once.facts)], key=lambda each: each.t)
+            twice = sorted([*seen, RecordedEvent(once.t + MS, "run", "s-2", once.fields)], key=lambda each: each.t)
             self.assertTrue(list(breaches(twice, it.config.deployment, 1)))
 
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from tests.several import Several
-from threadshift.audit import together
+from threadshift.audit import cluster
 from threadshift.conf.patch import patched, text
 from threadshift.conf.reading import Mistake, parse
 from threadshift.conf.values import Address
@@ -238,7 +238,7 @@
             told = next(filter(None, (self.shown(it, name) for name in names)), {})
             most[0] = max(most[0], sum(bool(version) for version in told.get("runs", {}).values()))
             if told:
-                self.assertEqual(together.stages([(told, told["runs"])]), [])
+                self.assertEqual(cluster.stages([(told, told["runs"])]), [])
             return told.get("state") in states and told
         return it.until(looked, seconds), most[0]
 
--- a/tests/test_several.py
+++ b/tests/test_several.py
@@ -4,7 +4,7 @@
 from tests.drawn import play
 from tests.several import Several
 from tests.test_eviction import PACKAGE
-from threadshift.audit import together
+from threadshift.audit import cluster
 from threadshift.eviction.node import keeper
 
 
@@ -22,21 +22,21 @@
         ran, again = ({"mark": "m", "effect": "once-only", "t": t} for t in (3, 9))
         state = {"rollout": "r", "stages": [0.0, 0.5], "stage": 0, "state": "going"}
         for found, promise in (
-                (together.told([pending, done, done], [ran]), None),
-                (together.told([done, pending], []), "done stays done"),
-                (together.told([done, gone], []), "one final answer"),
-                (together.told([done], [ran, again]), "no double effect"),
-                (together.told([done], [{**ran, "effect": "repeatable"}, {**again, "effect": "repeatable"}]), None),
-                (together.told([gone], [again]), "cancelled stays cancelled"),
-                (together.evictions([line("epoch", epoch=n, policy="a") for n in (4, 9)]), None),
-                (together.evictions([line("epoch", epoch=n, policy="a") for n in (9, 4)]), "epochs never go back"),
-                (together.evictions([line("epoch", w, epoch=4, policy=w) for w in "ab"]), "one policy an epoch"),
-                (together.evictions([line("evicted", keeps, function="f", others=["w0", "w1"], spare=True)]),
+                (cluster.answers([pending, done, done], [ran]), None),
+                (cluster.answers([done, pending], []), "done stays done"),
+                (cluster.answers([done, gone], []), "one final answer"),
+                (cluster.answers([done], [ran, again]), "no double effect"),
+                (cluster.answers([done], [{**ran, "effect": "repeatable"}, {**again, "effect": "repeatable"}]), None),
+                (cluster.answers([gone], [again]), "cancelled stays cancelled"),
+                (cluster.evictions([line("epoch", epoch=n, policy="a") for n in (4, 9)]), None),
+                (cluster.evictions([line("epoch", epoch=n, policy="a") for n in (9, 4)]), "epochs never go back"),
+                (cluster.evictions([line("epoch", w, epoch=4, policy=w) for w in "ab"]), "one policy an epoch"),
+                (cluster.evictions([line("evicted", keeps, function="f", others=["w0", "w1"], spare=True)]),
                  "one keeper"),
-                (together.evictions([line("evicted", keeps, function="f", others=["w0", "w1"], spare=False)]), None),
-                (together.stages([(state, {"a": "r", "b": "", "c": None})]), None),
-                (together.stages([(state, {"a": "r", "b": "r", "c": ""})]), "at most the stage's share is new"),
-                (together.stages([(state, {"a": "r", "b": "q"})]), "no third version")):
+                (cluster.evictions([line("evicted", keeps, function="f", others=["w0", "w1"], spare=False)]), None),
+                (cluster.stages([(state, {"a": "r", "b": "", "c": None})]), None),
+                (cluster.stages([(state, {"a": "r", "b": "r", "c": ""})]), "at most the stage's share is new"),
+                (cluster.stages([(state, {"a": "r", "b": "q"})]), "no third version")):
             self.assertEqual([each.promise for each in found], [promise] if promise else [])
 
 
@@ -48,7 +48,7 @@
             self.assertLessEqual(set(it.finals(name, some)), set(allowed), name)
         self.assertEqual(max(it.runs().values()), 1)
         runs = [each for each in it.lines("run") if each["mark"]]
-        self.assertEqual(together.told(it.told, runs) + together.evictions(it.lines("epoch", "evicted")), [])
+        self.assertEqual(cluster.answers(it.told, runs) + cluster.evictions(it.lines("epoch", "evicted")), [])
 
     def orders(self, it, name, path, wanted=200):
         """An order on a batch, given again until the record is heard."""
--- a/threadshift/audit/__init__.py
+++ b/threadshift/audit/__init__.py
@@ -1,1 +1,1 @@
-"""The five rules, checked from what was recorded at the sockets; knows nothing of engine or policy."""
+"""Checks the five rules from what was recorded at the sockets; independent of the engine and the policy."""
--- a/threadshift/audit/together.py
+++ b/threadshift/audit/cluster.py
@@ -1,11 +1,11 @@
-"""What front ends promise together, checked from outside: from workers' records and what clients were told alone.
+"""What several front ends promise together, checked from the workers' records and from the clients' answers.
 
-- Nothing of a batch runs twice, unless it is repeatable and was told as sent again.
-- A call has one final answer: what was final once is never told as pending again, nor as another final.
-- What was done is never undone, and what was told as cancelled never ran after it was told so.
-- A worker's epoch of eviction only grows, and two workers told one epoch were told one policy.
-- Of a function's holders that evict it at the same time, by what they were told, the highest by the hash is not one,
-  as long as others are told to hold it."""
+- No call of a batch runs twice, unless it is repeatable and was reported as sent again.
+- A call has one final state: a client that saw one never sees the call as pending or in another final state later.
+- A call that ran is never undone, and one reported as cancelled never runs after that report.
+- The eviction epoch of a worker only grows, and two workers of one epoch have the same policy.
+- Of the holders of a function that evict it at the same time, as far as they know of each other, the one with the
+  highest hash does not evict it while others hold it."""
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
@@ -18,15 +18,17 @@
 
 
 class Breach(NamedTuple):
-    """One promise that did not hold."""
+    """A violation of one promise of the front ends."""
 
     promise: str
-    what: str
+    text: str
 
 
-def told(calls: Iterable[Line], runs: Iterable[Line]) -> list[Breach]:
-    """`calls`: what clients were told, in order of time: mark, status (202 while it is pending), t. `runs`: workers'
-    lines of a run: mark, effect, t."""
+def answers(calls: Iterable[Line], runs: Iterable[Line]) -> list[Breach]:
+    """Checks the states that clients saw against the runs at workers.
+
+    `calls` holds what clients saw, in the order of time: mark, status (202 while pending), t. `runs` holds the
+    workers' lines of runs: mark, effect, t."""
     found: list[Breach] = []
     finals: dict[str, tuple[int, int]] = {}
     for call in calls:
@@ -39,20 +41,20 @@
             finals[mark] = status, at
         elif FINAL.get(before[0]) != FINAL.get(status):
             found.append(Breach("one final answer", f"{mark}: {FINAL[before[0]]}, then {FINAL.get(status, status)}"))
-    seen: dict[str, int] = {}
+    run_counts: dict[str, int] = {}
     for run in runs:
         mark = run["mark"]
-        seen[mark] = seen.get(mark, 0) + 1
-        if seen[mark] == 2 and run["effect"] != "repeatable":
+        run_counts[mark] = run_counts.get(mark, 0) + 1
+        if run_counts[mark] == 2 and run["effect"] != "repeatable":
             found.append(Breach("no double effect", f"{mark} ({run['effect']}) ran twice"))
         status, at = finals.get(mark, (0, 0))
         if status == 410 and run["t"] > at:
-            found.append(Breach("cancelled stays cancelled", f"{mark} ran after it was told as cancelled"))
+            found.append(Breach("cancelled stays cancelled", f"{mark} ran after it was reported as cancelled"))
     return found
 
 
 def evictions(lines: Iterable[Line]) -> list[Breach]:
-    """Workers' lines of `epoch` and `evicted`, with their worker, in order of time."""
+    """Checks the workers' lines of `epoch` and `evicted`, each with its worker, in the order of time."""
     found: list[Breach] = []
     epochs: dict[str, int] = {}
     policies: dict[int, str] = {}
@@ -67,15 +69,14 @@
                 found.append(Breach("one policy an epoch", f"{line['epoch']}: {known} and {line['policy']}"))
         elif line["e"] == "evicted":
             others = line["others"]
-            keeps = keeper(line["function"], [worker, *others]) == worker
-            if line["spare"] and keeps:
-                found.append(Breach("one keeper", f"{worker} let go of {line['function']}, which it had to keep"))
+            must_keep = keeper(line["function"], [worker, *others]) == worker
+            if line["spare"] and must_keep:
+                found.append(Breach("one keeper", f"{worker} evicted {line['function']}, which it had to keep"))
     return found
 
 
 def stages(looks: Iterable[tuple[Mapping[str, Any], Mapping[str, str | None]]]) -> list[Breach]:
-    """What was looked at while a rollout went on: (its state, its stages and how many were taken; what each front end
-    said that it runs)."""
+    """Checks observations of a rollout: its state with the stages, and the version that each front end reported."""
     found: list[Breach] = []
     for state, runs in looks:
         versions = {each for each in runs.values() if each is not None}
--- a/threadshift/audit/records.py
+++ b/threadshift/audit/records.py
@@ -1,4 +1,6 @@
-"""Reads what stand-ins, clients and the conductor of one day recorded. Times are monotonic ns of one machine."""
+"""Reads what the stand-ins, the clients and the conductor of a fault scenario recorded.
+
+Times are ns of the monotonic clock of one machine."""
 from __future__ import annotations
 
 import json
@@ -12,8 +14,8 @@
 from threadshift.interface import MS
 
 
-# What a line must tell, by event, for the rules to be checked from it. Other events are read and passed over.
-FACTS: dict[str, dict[str, type | tuple[type, ...]]] = {
+# The fields that the rules need, by event, with their types. Other events are read and ignored.
+EVENT_FIELDS: dict[str, dict[str, type | tuple[type, ...]]] = {
     "try": {"mark": str, "first": str, "front": int, "type": str, "effect": str, "left_ms": int},
     "answer": {"mark": str, "final": str}, "quit": {"mark": str}, "no-answer": {"mark": str},
     "broke": {"mark": str, "problem": str},
@@ -33,84 +35,85 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class RecordedEvent:
     """One line of a record."""
 
     t: int
     event: str
-    source: str              # the record's name: w3, clients, roster, conductor, store
-    facts: dict[str, Any]
+    source: str              # the name of the record: w3, clients, roster, conductor, store
+    fields: dict[str, Any]
 
     def __getitem__(self, name: str) -> Any:
-        return self.facts[name]
+        return self.fields[name]
 
 
-def read(folder: Path) -> list[Seen]:
-    """All lines of all records in time. Raises Unreadable."""
-    found: list[Seen] = []
+def read(folder: Path) -> list[RecordedEvent]:
+    """All events of all records in the order of time. Raises Unreadable."""
+    found: list[RecordedEvent] = []
     paths = sorted(folder.glob("*.jsonl"))
     if not paths:
-        raise Unreadable(f"{folder}: holds no records")
+        raise Unreadable(f"{folder}: there are no records (*.jsonl)")
     for path in paths:
         lines = path.read_bytes().split(b"\n")
         for number, line in enumerate(lines, 1):
             if not line:
                 continue
             try:
-                found.append(line_of(json.loads(line), path.stem))
+                found.append(parse_event(json.loads(line), path.stem))
             except (ValueError, KeyError, AttributeError, TypeError) as problem:
                 if number == len(lines) and isinstance(problem, ValueError):    # killed while it wrote its last line
                     continue
-                raise Unreadable(f"{path}:{number}: is no record line: {problem}") from None
+                raise Unreadable(f"{path}:{number}: not a line of a record: {problem}") from None
     return sorted(found, key=lambda each: each.t)
 
 
-def line_of(facts: dict[str, Any], source: str) -> Seen:
-    """One line of a record. Raises KeyError and TypeError, which say what it lacks."""
-    it = Seen(facts.pop("t"), facts.pop("e"), source, facts)
-    if not isinstance(it.t, int) or not isinstance(it.event, str):
-        raise TypeError("its time or event is not one")
-    for name, type_ in FACTS.get(it.event, {}).items():
-        if name not in facts:
-            raise KeyError(f"'{it.event}' lacks '{name}'")
-        if not isinstance(facts[name], type_):
-            raise TypeError(f"'{name}' of '{it.event}' is of the wrong type")
-    return it
-
-
-def whole(seen: list[Seen]) -> None:
-    """Raises Unreadable where too little was recorded to tell that a promise was kept."""
-    asked = by(seen, "try")
-    if not asked:
-        raise Unreadable("the records hold no activation: nothing was asked for")
-    if not by(seen, "invoke"):
+def parse_event(fields: dict[str, Any], source: str) -> RecordedEvent:
+    """One line of a record. Raises KeyError and TypeError, which name what is missing or wrong."""
+    event = RecordedEvent(fields.pop("t"), fields.pop("e"), source, fields)
+    if not isinstance(event.t, int) or not isinstance(event.event, str):
+        raise TypeError("'t' must be a whole number and 'e' a string")
+    for name, type_ in EVENT_FIELDS.get(event.event, {}).items():
+        if name not in fields:
+            raise KeyError(f"'{event.event}' lacks '{name}'")
+        if not isinstance(fields[name], type_):
+            raise TypeError(f"'{name}' of '{event.event}' is of the wrong type")
+    return event
+
+
+def check_completeness(seen: list[RecordedEvent]) -> None:
+    """Raises Unreadable if too little was recorded to say whether the rules were kept."""
+    tries = select_events(seen, "try")
+    if not tries:
+        raise Unreadable("the records hold no activation: no client made a call")
+    if not select_events(seen, "invoke"):
         raise Unreadable("the records hold no activation that reached a worker")
-    told = {each["mark"] for each in by(seen, "answer", "quit", "no-answer", "broke")}
-    for each in asked:
-        lacks = each["left_ms"] - (seen[-1].t - each.t) // MS
-        if each["mark"] not in told and lacks > 0:
-            raise Unreadable(f"the records are too short: they end {lacks} ms before {each['mark']} is due, "
+    ended = {each["mark"] for each in select_events(seen, "answer", "quit", "no-answer", "broke")}
+    for each in tries:
+        missing_ms = each["left_ms"] - (seen[-1].t - each.t) // MS
+        if each["mark"] not in ended and missing_ms > 0:
+            raise Unreadable(f"the records are too short: they end {missing_ms} ms before {each['mark']} is due, "
                              "without an answer")
 
 
-def by(seen: list[Seen], *events: str) -> list[Seen]:
-    return [each for each in seen if each.event in events]
+def select_events(seen: list[RecordedEvent], *names: str) -> list[RecordedEvent]:
+    return [each for each in seen if each.event in names]
 
 
-def chains(seen: list[Seen]) -> Iterator[tuple[list[Seen], int | None]]:
-    """Each call's tries, the first one first, and when any of them was first completed; None where none was."""
-    found: dict[str, list[Seen]] = defaultdict(list)
-    finals = {each["mark"]: each for each in by(seen, "answer")}
+def group_attempts(seen: list[RecordedEvent]) -> Iterator[tuple[list[RecordedEvent], int | None]]:
+    """The tries of each call, the first one first, with the time when any of them was first completed, or None."""
+    found: dict[str, list[RecordedEvent]] = defaultdict(list)
+    finals = {each["mark"]: each for each in select_events(seen, "answer")}
     completed = {mark: each.t for mark, each in finals.items() if each["final"] == "completed"}
-    for each in by(seen, "try"):
+    for each in select_events(seen, "try"):
         found[each["first"]].append(each)
     for tries in found.values():
         yield tries, min((completed[one["mark"]] for one in tries if one["mark"] in completed), default=None)
 
 
-def by_mark(seen: list[Seen]) -> dict[str, list[Seen]]:
+def group_by_mark(seen: list[RecordedEvent]) -> dict[str, list[RecordedEvent]]:
+    """The events of each activation, by its mark."""
     found = defaultdict(list)
     for each in seen:
-        if mark := each.facts.get("mark"):
+        if mark := each.fields.get("mark"):
             found[mark].append(each)
     return found
--- a/threadshift/audit/report.py
+++ b/threadshift/audit/report.py
@@ -1,4 +1,4 @@
-"""What a day came to: final answers by kind, utility in time over utility asked, and breaches."""
+"""The result of a played or simulated day: answers by kind, utility in time over utility requested, and breaches."""
 from __future__ import annotations
 
 from collections import Counter
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from threadshift.audit.records import Seen, by, chains, read, whole
+from threadshift.audit.records import RecordedEvent, check_completeness, group_attempts, read, select_events
 from threadshift.audit.rules import Breach, breaches
 from threadshift.days import day as days
 from threadshift.days.day import Day
@@ -15,28 +15,29 @@
 
 @dataclass
 class Verdict:
-    """One audited day."""
+    """The result of one audited day."""
 
-    tries: int = 0
-    firsts: int = 0
-    finals: Counter[str] = field(default_factory=Counter)
-    quits: int = 0
+    tries: int = 0               # requests, with the clients' retries
+    firsts: int = 0              # calls, without retries
+    finals: Counter[str] = field(default_factory=Counter)    # answers by kind
+    quits: int = 0               # requests that their clients abandoned
     broken: int = 0              # connections that broke with a killed front end, or were refused
-    asked: float = 0.0
-    in_time: float = 0.0
+    asked: float = 0.0           # utility requested
+    in_time: float = 0.0         # utility answered in time
     runs: int = 0
     sends: int = 0
     loads: int = 0
-    orders: int = 0
+    orders: int = 0              # load orders
     breaches: list[Breach] = field(default_factory=list)
 
     @property
     def ratio(self) -> float:
-        """Utility in time over utility asked; 1 where nothing was asked."""
+        """Utility in time over utility requested; 1 if none was requested."""
         return self.in_time / self.asked if self.asked else 1.0
 
     @property
     def line(self) -> str:
+        """The result as one line for the terminal."""
         finals = " ".join(f"{name} {self.finals[name]}" for name in ("completed", "rejected", "aborted"))
         ratio = self.in_time / self.asked if self.asked else 0.0
         duplicates = sum(each.rule == 2 for each in self.breaches)
@@ -46,39 +47,41 @@
                 f"orders {self.orders} duplicates {duplicates} silent-drops {dropped} breaches {len(self.breaches)}")
 
 
-def gains(seen: list[Seen], it: Deployment) -> Iterator[tuple[list[Seen], float, float]]:
-    """Each call whose first try did not quit: its tries, the utility asked for, and what they got in time."""
+def call_utilities(seen: list[RecordedEvent], it: Deployment) -> Iterator[tuple[list[RecordedEvent], float, float]]:
+    """For each call whose client did not abandon the first try: its tries, the utility requested, and the utility
+    answered in time."""
     types = {each.name: each for each in it.types}
-    for tries, done in chains(seen):
+    for tries, done in group_attempts(seen):
         if not tries[0]["quits"]:
             type_ = types[tries[0]["type"]]
             yield tries, type_.utility, 0.0 if done is None else type_.utility * (
                 1 if done - tries[0].t <= type_.target_latency else type_.late_utility)
 
 
-def utility(seen: list[Seen], it: Deployment) -> tuple[float, float]:
-    """Utility asked for by first tries that did not quit, and what their tries got in time."""
-    asked = in_time = 0.0
-    for _, wanted, got in gains(seen, it):
-        asked += wanted
-        in_time += got
-    return asked, in_time
+def total_utility(seen: list[RecordedEvent], it: Deployment) -> tuple[float, float]:
+    """The sums of call_utilities(): utility requested, and answered in time."""
+    requested = in_time = 0.0
+    for _, utility, gained in call_utilities(seen, it):
+        requested += utility
+        in_time += gained
+    return requested, in_time
 
 
-def judge(day: Day, seen: list[Seen]) -> Verdict:
-    """What a day came to, by its records. Raises Unreadable where they do not suffice."""
-    whole(seen)
+def judge(day: Day, seen: list[RecordedEvent]) -> Verdict:
+    """Audits the records of a day. Raises Unreadable if they are not complete enough."""
+    check_completeness(seen)
     it = day.told.deployment
     verdict = Verdict(
-        tries=len(by(seen, "try")), firsts=len({each["first"] for each in by(seen, "try")}),
-        finals=Counter(each["final"] for each in by(seen, "answer")), quits=len(by(seen, "quit")),
-        broken=len(by(seen, "broke")), runs=len(by(seen, "run")), sends=len(by(seen, "invoke")),
-        loads=len(by(seen, "load")), orders=len(by(seen, "hold")),
+        tries=len(select_events(seen, "try")), firsts=len({each["first"] for each in select_events(seen, "try")}),
+        finals=Counter(each["final"] for each in select_events(seen, "answer")),
+        quits=len(select_events(seen, "quit")), broken=len(select_events(seen, "broke")),
+        runs=len(select_events(seen, "run")), sends=len(select_events(seen, "invoke")),
+        loads=len(select_events(seen, "load")), orders=len(select_events(seen, "hold")),
         breaches=breaches(seen, it, day.fleet.cores))
-    verdict.asked, verdict.in_time = utility(seen, it)
+    verdict.asked, verdict.in_time = total_utility(seen, it)
     return verdict
 
 
 def audit(folder: Path) -> Verdict:
-    """Reads and checks one folder. Raises records.Unreadable or reading.Mistake."""
+    """Reads and audits one folder. Raises records.Unreadable or reading.Mistake."""
     return judge(days.read(str(folder / "day.conf")), read(folder))
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from threadshift.audit.records import Seen
+from threadshift.audit.records import RecordedEvent
 from threadshift.conf import values
 from threadshift.conf.values import Address
 from threadshift.days.day import Day
@@ -78,9 +78,9 @@
         self.clock.run(begin + self.day.length + 4 * longest + 5 * SECOND)
         conductor("over")
 
-    def seen(self) -> list[Seen]:
+    def seen(self) -> list[RecordedEvent]:
         """The records as the audit reads them."""
-        found = [Seen(line["t"], line["e"], source, line) for source, lines in sorted(self.records.items())
+        found = [RecordedEvent(line["t"], line["e"], source, line) for source, lines in sorted(self.records.items())
                  for line in lines]
         return sorted(found, key=lambda each: each.t)
 
--- a/threadshift/trials/causes.py
+++ b/threadshift/trials/causes.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from threadshift.audit.records import Seen, by, by_mark
-from threadshift.audit.report import gains
-from threadshift.audit.rules import borne
+from threadshift.audit.records import RecordedEvent, group_by_mark, select_events
+from threadshift.audit.report import call_utilities
+from threadshift.audit.rules import cold_capacity
 from threadshift.interface import SECOND, Deployment
 
 FACT = 8 * SECOND          # a send lost at a worker so long ago told its front end; longer than any suspension
@@ -51,7 +51,7 @@
     served: dict[str, list[float]] = field(default_factory=dict)     # front end: utility asked, and got
 
 
-def lives(seen: Iterable[Seen]) -> dict[str, list[Life]]:
+def lives(seen: Iterable[RecordedEvent]) -> dict[str, list[Life]]:
     found: dict[str, list[Life]] = defaultdict(list)
     for each in seen:
         if each.event == "up":
@@ -69,15 +69,15 @@
 
 def room(life: Life, at: int, it: Deployment) -> bool:
     """Whether a cold worker could surely have taken more at that time."""
-    return life.pushed(at, it.fall_time) < UNUSED * borne(it, life.cores, at - life.began)
+    return life.pushed(at, it.fall_time) < UNUSED * cold_capacity(it, life.cores, at - life.began)
 
 
 class Facts:
     """Sends lost at a worker, and who lost one there before."""
 
-    def __init__(self, marks: dict[str, list[Seen]]):
-        self.lost: dict[str, list[Seen]] = {}
-        losses: list[Seen] = []
+    def __init__(self, marks: dict[str, list[RecordedEvent]]):
+        self.lost: dict[str, list[RecordedEvent]] = {}
+        losses: list[RecordedEvent] = []
         for mark, events in marks.items():
             sent = [each for each in events if each.event == "invoke"]
             done = {(each.source, each.event) for each in events}
@@ -97,21 +97,21 @@
         self.count = len(losses)
 
 
-def losses(seen: list[Seen], it: Deployment) -> Losses:
+def losses(seen: list[RecordedEvent], it: Deployment) -> Losses:
     """What was lost to which cause."""
-    found = Losses(sends=len(by(seen, "invoke")))
-    alive, marks = lives(seen), by_mark(seen)
+    found = Losses(sends=len(select_events(seen, "invoke")))
+    alive, marks = lives(seen), group_by_mark(seen)
     facts = Facts(marks)
     found.learnt, found.again = facts.count - len(facts.again), len(facts.again)
     loads: dict[str, list[tuple[int, str]]] = defaultdict(list)
-    for each in by(seen, "load"):
-        if not each.facts.get("failed"):
+    for each in select_events(seen, "load"):
+        if not each.fields.get("failed"):
             found.loads += 1
             before = loads[each["function"]]
             found.needless += any(
                 each.t - when <= it.idle_keep_alive and who != each.source for when, who in before[-9:])
             before.append((each.t, each.source))
-    for tries, asked, got in gains(seen, it):
+    for tries, asked, got in call_utilities(seen, it):
         found.asked += asked
         share = found.served.setdefault(f"front-{tries[0]['front']}", [0.0, 0.0])
         share[0] += asked
@@ -121,8 +121,8 @@
     return found
 
 
-def cause(tries: list[Seen], marks: dict[str, list[Seen]], facts: Facts, alive: dict[str, list[Life]],
-          loads: dict[str, list[tuple[int, str]]], it: Deployment) -> str:
+def cause(tries: list[RecordedEvent], marks: dict[str, list[RecordedEvent]], facts: Facts,
+          alive: dict[str, list[Life]], loads: dict[str, list[tuple[int, str]]], it: Deployment) -> str:
     sends = [each for one in tries for each in marks[one["mark"]] if each.event == "invoke"]
     lost = [each for one in tries for each in facts.lost.get(one["mark"], ())]
     if lost:
--- a/threadshift/trials/runs.py
+++ b/threadshift/trials/runs.py
@@ -13,7 +13,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from threadshift.audit.records import Seen, by
+from threadshift.audit.records import RecordedEvent, select_events
 from threadshift.audit.report import Verdict, judge
 from threadshift.days.day import read_text
 from threadshift.emulator.run import Emulation
@@ -40,15 +40,15 @@
             setattr(it, name, value)
 
 
-def latencies(seen: list[Seen]) -> HdrHistogram:
+def latencies(seen: list[RecordedEvent]) -> HdrHistogram:
     """Of completed calls, from their first try, us."""
     it = HdrHistogram(LEAST, MOST, DIGITS)
     began: dict[str, int] = {}
     first = {}
-    for each in by(seen, "try"):
+    for each in select_events(seen, "try"):
         began.setdefault(each["first"], each.t)
         first[each["mark"]] = each["first"]
-    for each in by(seen, "answer"):
+    for each in select_events(seen, "answer"):
         if each["final"] == "completed":
             it.record_value(max(LEAST, (each.t - began[first[each["mark"]]]) // 1000))
     return it
