--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -47,7 +47,7 @@
             ("two answers", (TRY, SEND, COMPLETED, COMPLETED), {1}),
             ("an answer too late", (TRY, SEND, (late, *COMPLETED[1:])), {1}),
             ("a call that its client abandoned", (TRY, SEND, (50, "quit", "clients", {"mark": "a"})), set()),
-            ("a broken connection", (TRY, (50, "broke", "clients", {"mark": "a", "problem": "reset"})), {1}),
+            ("broken without a kill", (TRY, (50, "broke", "clients", {"mark": "a", "problem": "reset"})), {1}),
             ("a refused connection", (TRY, (50, "broke", "clients", {"mark": "a", "problem": "refused"})), set()),
             ("held by a killed front end", (TRY, SEND, (30, "killing", "conductor", {"who": "front-0"})), set()),
             ("held by another front end", (TRY, SEND, (30, "killing", "conductor", {"who": "front-1"})), {1}),
--- a/threadshift/bgp/__init__.py
+++ b/threadshift/bgp/__init__.py
@@ -1,1 +1,1 @@
-"""A small BGP speaker: announces this front end's service addresses while it can really serve."""
+"""A small BGP speaker: announces this front end's service addresses while it can serve."""
--- a/threadshift/bgp/drain.py
+++ b/threadshift/bgp/drain.py
@@ -12,7 +12,7 @@
 
 FADED_SHARE = 0.05         # of the rate of new connections when the drain began; the remaining ones are stragglers
 QUIET_TIME = 500 * MS      # without a new connection, traffic has faded whatever its rate was
-MAX_FADE_TIME = 5 * SECOND     # if no other front end announces the address, routers ignore the lower preference
+MAX_FADE_TIME = 5 * SECOND     # a preference that routers ignore, as no other front end announces, delays no drain
 CONVERGE_TIME = 2 * SECOND     # from the withdrawal to the last connection that can still arrive; BGP within one site
 
 
--- a/threadshift/bgp/session.py
+++ b/threadshift/bgp/session.py
@@ -298,7 +298,7 @@
 
 
 class Neighbour:
-    """One configured peer. `new_transport` makes the transport of a session that dials."""
+    """One configured peer. `new_transport` makes the transport of a new session."""
 
     def __init__(self, local: LocalSpeaker, remote: RemotePeer, observer: NeighbourObserver,
                  new_transport: Callable[[Neighbour], Transport], chance: Callable[[], float]):
--- a/threadshift/gateway/service_announcer.py
+++ b/threadshift/gateway/service_announcer.py
@@ -1,4 +1,4 @@
-"""What ties a front end to its speaker: gathers the signs, lets the announcer judge, hands routes to the speaker."""
+"""Connects a front end with its BGP speaker: gathers its health, has the announcer decide, and advertises routes."""
 from __future__ import annotations
 
 import ipaddress
@@ -15,13 +15,13 @@
 from threadshift.gateway.fitness import fitness
 from threadshift.interface import MS
 
-CHECK_INTERVAL = 50 * MS   # a quarter of the shortest time for which any sign must persist
+CHECK_INTERVAL = 50 * MS   # a quarter of the shortest time for which any signal must persist
 OPERATOR_ORDERS = {
     "announce": Standing.FULL, "last-resort": Standing.LAST, "withdraw": Standing.WITHDRAWN, "auto": None}
 
 
 class Announced(Protocol):
-    """The front end whose service is announced, as far as its signs go."""
+    """The front end whose service is announced, as far as its health depends on it."""
 
     told: Any
     engine: Any
@@ -70,8 +70,8 @@
         self.next = now + CHECK_INTERVAL
         self.drain.tick(now, self.front.arrivals.per_second(now), self.front.arrivals.last,
                         bool(self.speaker.established))
-        heard = self.speaker.adj_rib_in.paths if self.told.reflects else None
-        changes = self.announcer.tick(now, self.health(now), heard)
+        received = self.speaker.adj_rib_in.paths if self.told.reflects else None
+        changes = self.announcer.tick(now, self.health(now), received)
         for change in changes:
             self.front.note("announcement", level="warning" if change.decision.standing > change.before else "info",
                             prefix=str(change.prefix), before=change.before.name.lower(),
