--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -28,7 +28,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))     # the tests' fuzzer is used here too
 
 import front_end as bench  # noqa: E402
-from tests.test_bgp_codec import Ears, fuzz
+from tests.test_bgp_codec import RecordingHandler, fuzz
 from threadshift.audit import records
 from threadshift.bgp import codec
 from threadshift.bgp.path import Path as Route
@@ -210,7 +210,7 @@
     began = time.perf_counter()
     messages = [codec.write_routes([prefix], route, True)[0] for prefix in prefixes]
     coded = time.perf_counter() - began
-    ears = Ears()
+    ears = RecordingHandler()
     reader = codec.Reader(ears)
     reader.four_octet_as = True
     began = time.perf_counter()
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -7,7 +7,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from tests.test_audit import DONE, FREE, SENT, T0, seen
+from tests.test_audit import COMPLETED, REPEATABLE, SENT, T0, events
 from threadshift.audit.records import read, select_events
 from threadshift.audit.report import audit
 from threadshift.conf.reading import Mistake
@@ -42,7 +42,7 @@
 UP = (-60_000, "up", "w0", {"cores": 2})
 COLD = (-1_000, "up", "w1", {"cores": 2})
 SEND = SENT | {"function": "f"}
-STAYS = FREE | {"quits": False}
+STAYS = REPEATABLE | {"quits": False}
 ASKED_FREE = (0, "try", "clients", STAYS | {"mark": "a"})
 
 
@@ -56,14 +56,14 @@
 
 class Causes(unittest.TestCase):
     def test_each_loss_is_put_down_to_the_first_cause_its_records_show(self):
-        late = (900, *DONE[1:])
+        late = (900, *COMPLETED[1:])
         other = [(-100, "try", "clients", STAYS | {"mark": "b", "first": "b"}),
                  (-90, "invoke", "w0", SEND | {"mark": "b", "front": "front-1"})]
         ran, done = (20, "run", "w0", SEND), (850, "done", "w0", {"mark": "a"})
         refused = (5, "answer", "clients", {"mark": "a", "final": "rejected"})
         full = tuple(send(-900 + n, "w1", mark=f"x{n}", work_ms=200.0) for n in range(9))
         cases = (
-            ("in time", (UP, ASKED_FREE, send(10), ran, (90, *done[1:]), DONE), None),
+            ("in time", (UP, ASKED_FREE, send(10), ran, (90, *done[1:]), COMPLETED), None),
             ("late", (UP, ASKED_FREE, send(10), ran, done, late), "late"),
             ("never ended", (UP, ASKED_FREE, send(10)), "lost, first to learn"),
             ("never ended, where another's did neither", (UP, *other, ASKED_FREE, send(10)), "lost, known to others"),
@@ -79,7 +79,7 @@
                                      done, late), "copy brought again"),
         )
         for name, lines, cause in cases:
-            found = losses(seen(*lines), TOLD)
+            found = losses(events(*lines), TOLD)
             ours = {name: lost for name, lost in found.by_cause.items()}
             if cause and "others" in cause:
                 ours.pop("lost, first to learn")        # the other's own
@@ -89,8 +89,9 @@
         self.assertEqual(T0, 1000 * SECOND)
 
     def test_needless_loads_are_those_beside_a_copy_elsewhere(self):
-        lines = (UP, ASKED_FREE, send(10), DONE, load(0, "w0"), load(100, "w1"), load(200, "w1"), load(20_000, "w2"))
-        found = losses(seen(*lines), TOLD)
+        lines = (UP, ASKED_FREE, send(10), COMPLETED, load(0, "w0"), load(100, "w1"), load(200, "w1"),
+                 load(20_000, "w2"))
+        found = losses(events(*lines), TOLD)
         self.assertEqual((found.loads, found.needless), (4, 2))
 
     def test_fairness(self):
