--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -28,11 +28,11 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))     # the tests' fuzzer is used here too
 
 import front_end as bench  # noqa: E402
-from tests.test_bgp_codec import Ears, fuzz
+from tests.test_bgp_codec import RecordingHandler, fuzz
 from threadshift.audit import records
 from threadshift.bgp import codec
 from threadshift.bgp.path import Path as Route
-from threadshift.bgp.rib import Heard
+from threadshift.bgp.rib import AdjRibIn
 from threadshift.conf.values import Address
 from threadshift.days import day as days_of
 from threadshift.invoke.client import Client
@@ -165,7 +165,7 @@
         process.signal(signal.SIGKILL)
         process.process.wait()
         self.list_workers(0)
-        self.wait(lambda: victim not in self.hops() and "front-0" not in self.router.speaker.told, 10)
+        self.wait(lambda: victim not in self.hops() and "front-0" not in self.router.speaker.adj_ribs_out, 10)
         self.steered.clear()
         return (changed - began) * 1000, max(0.0, last - began) * 1000
 
@@ -205,27 +205,27 @@
 def coding(count):
     """UPDATEs a second both ways, memory of 10,000 routes, and damaged messages."""
     route = Route(ipaddress.ip_address("127.0.1.1"), (65001, 65002), med=1, local_pref=2, communities=(1, 2),
-                  large=((1, 2, 3),))
+                  large_communities=((1, 2, 3),))
     prefixes = [ipaddress.ip_network((10 << 24 | n, 32)) for n in range(10_000)]
     began = time.perf_counter()
     messages = [codec.write_routes([prefix], route, True)[0] for prefix in prefixes]
     coded = time.perf_counter() - began
-    ears = Ears()
+    ears = RecordingHandler()
     reader = codec.Reader(ears)
-    reader.four_octets = True
+    reader.four_octet_as = True
     began = time.perf_counter()
     for data in messages:
         reader.feed(data)
     decoded = time.perf_counter() - began
     calls, ears.calls = ears.calls, []
     tracemalloc.start()
-    heard = Heard(20_000)
-    reader.hears = ears
+    heard = AdjRibIn(20_000)
+    reader.handler = ears
     before = tracemalloc.get_traced_memory()[0]
     for data in messages:
         reader.feed(data)
         _, there, path = ears.calls.pop()
-        heard.announced("peer", there, path)
+        heard.add("peer", there, path)
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     assert len(calls) == len(prefixes)
@@ -319,7 +319,7 @@
         since = start + 5 * 10**9
         types = {each.name: each for each in days_of.read(f"{folder}/records/day.conf").told.deployment.types}
         asked = lost = late = 0
-        for tries, done in records.chains(seen):
+        for tries, done in records.group_attempts(seen):
             if not since <= tries[0].t < since + WINDOW * 10**9:
                 continue
             asked += 1
--- a/tests/drawn.py
+++ b/tests/drawn.py
@@ -5,7 +5,7 @@
 import gevent
 
 from tests.cluster import Cluster
-from threadshift.audit import together
+from threadshift.audit import cluster
 from threadshift.invoke.client import NoAnswer
 
 FAULTS = ("freeze", "kill", "cut", "forth", "back", "delay", "reset", "tear")
@@ -58,5 +58,5 @@
         open_ = [f"{name}: {found.count(None)} calls have no answer" for name, some in ids.items()
                  if None in (found := it.answer_statuses(name, some))]
         runs = [each for each in it.events("run") if each["mark"]]
-        broken = open_ + [str(each) for each in together.told(it.client_answers, runs)]
+        broken = open_ + [str(each) for each in cluster.answers(it.client_answers, runs)]
         return broken, f"seed {seed}: {', '.join(said)}; {len(runs)} runs"
--- a/threadshift/gateway/service_announcer.py
+++ b/threadshift/gateway/service_announcer.py
@@ -1,5 +1,4 @@
-"""Announces the service of a front end over BGP: gathers its state, lets the announcer judge it, and passes the
-routes to the BGP speaker."""
+"""Connects a front end with its BGP speaker: gathers its health, has the announcer decide, and advertises routes."""
 from __future__ import annotations
 
 import ipaddress
@@ -7,22 +6,22 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from threadshift.bgp.announce import Signs, Standing
+from threadshift.bgp.announce import ServiceHealth, Standing
 from threadshift.bgp.announcer import Announcer, Preference, ServiceAddress
 from threadshift.bgp.drain import Drain, Stage
 from threadshift.bgp.path import Capabilities, Family, Path, Prefix
-from threadshift.bgp.session import Them, Us
+from threadshift.bgp.session import LocalSpeaker, RemotePeer
 from threadshift.bgp.speaker import PeerAddress, Speaker
 from threadshift.gateway.fitness import fitness
 from threadshift.interface import MS
 
-CHECK_INTERVAL = 50 * MS   # a quarter of the shortest time for which any sign must persist
+CHECK_INTERVAL = 50 * MS   # a quarter of the shortest time for which any signal must persist
 OPERATOR_ORDERS = {
     "announce": Standing.FULL, "last-resort": Standing.LAST, "withdraw": Standing.WITHDRAWN, "auto": None}
 
 
 class Announced(Protocol):
-    """The front end whose service is announced, as far as its state is needed here."""
+    """The front end whose service is announced, as far as its health depends on it."""
 
     config: Any
     engine: Any
@@ -57,10 +56,10 @@
         capabilities = Capabilities(
             frozenset(Family(1 if hop.version == 4 else 2) for hop in config.next_hops), config.asn, True)
         self.speaker = Speaker(
-            Us(config.asn, config.router, config.hold, capabilities),
-            [PeerAddress(Them(each.name, each.asn, each.passive), each.address, each.source, each.ttl_security)
+            LocalSpeaker(config.asn, config.router, config.hold, capabilities),
+            [PeerAddress(RemotePeer(each.name, each.asn, each.passive), each.address, each.source, each.ttl_security)
              for each in config.peers],
-            config.listen, self.wanted, front.note, front.chance)
+            config.listen, self.routes_for, front.note, front.chance)
         self.next_check = 0
 
     def start(self) -> None:
@@ -73,29 +72,29 @@
         self.next_check = now + CHECK_INTERVAL
         self.drain.tick(now, self.front.connection_rate.per_second(now), self.front.connection_rate.last,
                         bool(self.speaker.established))
-        reflected = self.speaker.heard.of if self.config.reflects else None
-        changes = self.announcer.tick(now, self.signs(now), reflected)
+        received = self.speaker.adj_rib_in.paths if self.config.reflects else None
+        changes = self.announcer.tick(now, self.health(now), received)
         for change in changes:
-            self.front.note("announcement", level="warning" if change.verdict.standing > change.before else "info",
+            self.front.note("announcement", level="warning" if change.decision.standing > change.before else "info",
                             prefix=str(change.prefix), before=change.before.name.lower(),
-                            now=change.verdict.standing.name.lower(), reason=change.verdict.reason)
+                            now=change.decision.standing.name.lower(), reason=change.decision.reason)
         if changes:
             self.speaker.announce()
         self.speaker.tick(now)
 
-    def signs(self, now: int) -> Signs:
+    def health(self, now: int) -> ServiceHealth:
         """The state of this front end on which its announcements depend."""
         front = self.front
         workers = fitness(front.engine.dispatcher, lambda name: name in front.links and front.links[name].up, now)
-        return Signs(
-            listening=all(sock.fileno() >= 0 for sock in front.listeners), lag=int(front.admission.smoothed_lag),
+        return ServiceHealth(
+            listening=all(sock.fileno() >= 0 for sock in front.listeners), loop_lag=int(front.admission.smoothed_lag),
             roster_age=now - front.list_applied_at if front.is_discovery_lost else 0, **workers._asdict(),
-            asked_per_s=front.recent_calls.per_second(now), refused=front.admission.refused_share,
-            service=front.recent_calls.service(now), drain=self.drain.standing)
+            calls_per_second=front.recent_calls.per_second(now), refused_share=front.admission.refused_share,
+            call_stats=front.recent_calls.call_stats(now), drain=self.drain.standing)
 
-    def wanted(self, them: Them) -> dict[Prefix, Path]:
+    def routes_for(self, remote: RemotePeer) -> dict[Prefix, Path]:
         """The routes to announce to a peer."""
-        return self.announcer.wanted(them.internal(self.speaker.us))
+        return self.announcer.routes(remote.is_internal(self.speaker.local))
 
     def begin_drain(self, now: int) -> None:
         self.drain.begin(now, self.front.connection_rate.per_second(now))
@@ -112,7 +111,7 @@
                 raise KeyError(prefix)
             prefixes = [network]
         for each in prefixes:
-            self.announcer.say(each, OPERATOR_ORDERS[order])
+            self.announcer.set_override(each, OPERATOR_ORDERS[order])
         self.next_check = 0
         self.tick(time.monotonic_ns())
         return [str(each) for each in prefixes]
@@ -120,10 +119,12 @@
     def status(self, now: int) -> dict[str, Any]:
         return {
             "addresses": {str(prefix): {
-                "standing": announced.verdict.standing.name.lower(), "reason": announced.verdict.reason,
+                "standing": announced.decision.standing.name.lower(), "reason": announced.decision.reason,
                 "for-s": round((now - announced.since) / 1e9, 1), "changes": announced.changes,
                 "flaps": announced.flaps,
-                "operator": self.announcer.word[prefix].name.lower() if prefix in self.announcer.word else None,
-                "others": self.announcer.others(self.speaker.heard.of(prefix)) if self.config.reflects else None,
-            } for prefix, announced in self.announcer.held.items()},
+                "operator": self.announcer.overrides[prefix].name.lower()
+                if prefix in self.announcer.overrides else None,
+                "others": self.announcer.count_others(self.speaker.adj_rib_in.paths(prefix))
+                if self.config.reflects else None,
+            } for prefix, announced in self.announcer.states.items()},
             "drain": self.drain.stage.value, "peers": self.speaker.status(now)}
