--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -276,7 +276,7 @@
             for each in (self.take("b"), record("forget", ivk="b")):
                 anew = anew or it.wrote([each])
         self.assertEqual([(each["ivk"], each.get("colour")) for each in anew[:1]], [("a", "blue")])
-        it.journal.renew(*anew)
+        it.journal.rewrite(*anew)
         it.close()
         self.assertEqual(Shelf(PATH, disk).calls["a"].extra, {"colour": "blue"})
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -12,7 +12,7 @@
 
 from threadshift.emulator.disk import Plate
 from threadshift.standins.disk import Faulty
-from threadshift.storage.journal import Damaged, Journal, Unwritten, frame, records
+from threadshift.storage.journal import CorruptJournal, Journal, WriteError, decode_records, encode_record
 
 
 class Journals(unittest.TestCase):
@@ -28,8 +28,8 @@
 
     def test_cut_at_every_byte_it_holds_every_whole_record_and_goes_on(self):
         told = [{"n": n, "text": "x" * n} for n in range(6)]
-        data = b"".join(map(frame, told))
-        ends = [len(b"".join(map(frame, told[:n]))) for n in range(7)]
+        data = b"".join(map(encode_record, told))
+        ends = [len(b"".join(map(encode_record, told[:n]))) for n in range(7)]
         for cut in range(len(data) + 1):
             for tail in (b"", b"\0" * 40):      # a file system may have made room and written nothing
                 self.path.write_bytes(data[:cut] + tail)
@@ -44,12 +44,12 @@
     @given(st.integers(0, 10_000), st.integers(1, 255))
     def test_a_changed_byte_is_never_read_as_something_else(self, at, by):
         told = [{"n": n, "text": "abc" * n} for n in range(8)]
-        data = bytearray(b"".join(map(frame, told)))
+        data = bytearray(b"".join(map(encode_record, told)))
         data[at % len(data)] ^= by
         found = []
         try:
-            found += [record for record, _ in records(bytes(data), "f")]
-        except Damaged:
+            found += [record for record, _ in decode_records(bytes(data), "f")]
+        except CorruptJournal:
             return
         self.assertEqual(found, told[:-1])      # only the last may pass for a torn write
 
@@ -60,7 +60,7 @@
         self.assertEqual(list(reader.read()), [{"a": 1}])
         it.append({"b": 2})
         self.assertEqual(list(reader.read()), [{"b": 2}])
-        with self.assertRaisesRegex(Unwritten, "another process"):
+        with self.assertRaisesRegex(WriteError, "another process"):
             Journal(self.path, write=True)
 
     def test_a_full_disk_leaves_nothing_of_the_record(self):
@@ -73,10 +73,10 @@
             it = Journal(self.path, write=True, disk=disk)
             self.assertEqual(list(it.read()), [{"a": 1}])
             disk.order(*fault.split())
-            with self.assertRaises(Unwritten):
+            with self.assertRaises(WriteError):
                 it.append({"b": 2})
             self.assertEqual(self.path.read_bytes(), before)
-        with self.assertRaises(Unwritten):
+        with self.assertRaises(WriteError):
             it.append({"b": 2})
         it.append({"c": 3})
         self.assertEqual(list(Journal(self.path).read()), [{"a": 1}, {"c": 3}])
@@ -89,7 +89,7 @@
         it.append({"a": 1})
         disk.order("sync-fails")
         for record in ({"b": 2}, {"c": 3}):
-            with self.assertRaisesRegex(Unwritten, "Input/output|opened anew"):
+            with self.assertRaisesRegex(WriteError, "Input/output|opened anew"):
                 it.append(record)
         it.close()
         it, found = self.writer()
@@ -114,12 +114,12 @@
             it.append({"n": n})
         reader = Journal(self.path)
         list(reader.read())
-        it.renew({"snapshot": 4})
+        it.rewrite({"snapshot": 4})
         it.append({"n": 5})
         self.assertEqual(list(reader.read()), [{"snapshot": 4}, {"n": 5}])
         for verb in ("os.rename", "os.fsync", "os.write"):
-            with mock.patch(verb, side_effect=OSError(errno.EIO, "no")), self.assertRaises(Unwritten):
-                it.renew({"snapshot": 5})
+            with mock.patch(verb, side_effect=OSError(errno.EIO, "no")), self.assertRaises(WriteError):
+                it.rewrite({"snapshot": 5})
             it.close()
             it, found = self.writer()
             self.assertEqual(found, [{"snapshot": 4}, {"n": 5}])
@@ -136,13 +136,13 @@
                 it.append({"n": n})
                 told.append({"n": n})
             elif act == "renew":
-                it.renew({"all": n})
+                it.rewrite({"all": n})
                 told = [{"all": n}]
             else:
                 tried = []
                 if act == "lose":               # killed between the write and its sync
                     disk.refuse = {"sync"}
-                    with self.assertRaises(Unwritten):
+                    with self.assertRaises(WriteError):
                         it.append({"n": n})
                     disk.refuse = set()
                     tried = [{"n": n}]
--- a/threadshift/batches/shelf.py
+++ b/threadshift/batches/shelf.py
@@ -106,7 +106,7 @@
             del self.calls[it.ivk]
 
     def write(self, records: list[dict[str, Any]]) -> None:
-        """Keeps records, all or none; another thread may. As long as an fsync; raises Unwritten."""
+        """Keeps records, all or none; another thread may. As long as an fsync; raises WriteError."""
         self.journal.append(*records)
 
     def wrote(self, records: list[dict[str, Any]]) -> list[dict[str, Any]]:
--- a/threadshift/consensus/keeper.py
+++ b/threadshift/consensus/keeper.py
@@ -13,7 +13,7 @@
 from threadshift.consensus.member import Effects, Member, Timing
 from threadshift.errors import ThreadshiftError
 from threadshift.storage.disk import Disk
-from threadshift.storage.journal import Damaged, Journal
+from threadshift.storage.journal import CorruptJournal, Journal
 
 LONG = 256                 # entries after which the file begins anew from a snapshot: replayed within a few ms
 
@@ -33,7 +33,7 @@
         self.aside = ""                     # why the file was put aside at the start
         try:
             kept = Kept.of(self.journal.read())
-        except (Damaged, Unfit) as problem:
+        except (CorruptJournal, Unfit) as problem:
             self.aside = str(problem)
             if len(voters) == 1 and name in voters:
                 self.journal.close()
@@ -55,7 +55,7 @@
             return True         # nothing that it says promises anything any more, and it still hears what is told
         try:
             if effects.anew:
-                self.journal.renew(*effects.records)
+                self.journal.rewrite(*effects.records)
             elif effects.records:
                 self.journal.append(*effects.records)
         except ThreadshiftError as problem:
--- a/threadshift/emulator/batches.py
+++ b/threadshift/emulator/batches.py
@@ -58,7 +58,7 @@
             return False
         anew = self.shelf.wrote(records)
         if anew:
-            self.shelf.journal.renew(*anew)
+            self.shelf.journal.rewrite(*anew)
         return True
 
     def accept(self, ivk: str, batch: str, effect: str, left: int) -> None:
--- a/threadshift/emulator/disk.py
+++ b/threadshift/emulator/disk.py
@@ -31,7 +31,7 @@
             raise FileNotFoundError(str(path))
         return bytes(self.cached[path])
 
-    def make(self, path: Path) -> None:
+    def create(self, path: Path) -> None:
         self.put(path, b"")
 
     def put(self, path: Path, data: bytes) -> None:
@@ -53,7 +53,7 @@
                 self.kept.setdefault(path, []).append(self.lasting[path])
             self.lasting[path] = bytes(self.cached[path])
 
-    def cut(self, path: Path, size: int) -> None:
+    def truncate(self, path: Path, size: int) -> None:
         del self.cached[path][size:]
 
     def lock(self, path: Path) -> int:
--- a/threadshift/gateway/batch_service.py
+++ b/threadshift/gateway/batch_service.py
@@ -113,7 +113,7 @@
         pool = gevent.get_hub().threadpool
         problem = pool.apply(failure, (self.shelf.write, records))
         if problem is None and (anew := self.shelf.wrote(records)):
-            problem = pool.apply(failure, (self.shelf.journal.renew, *anew))
+            problem = pool.apply(failure, (self.shelf.journal.rewrite, *anew))
         if problem is not None:
             if str(problem) != self.failed:
                 self.failed = str(problem)
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -42,7 +42,7 @@
 from threadshift.log import Log, exception_fields
 from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
 from threadshift.discovery.sources import FeedSource, WatchedFile
-from threadshift.storage.journal import Taken
+from threadshift.storage.journal import JournalInUse
 from threadshift.timer import ticks
 
 JOIN = 50 * MS             # between two tries to open what the front end that is replaced still holds
@@ -107,7 +107,7 @@
                 self.note("joined-in", version=self.version)
                 return
             except ThreadshiftError as problem:
-                waits, told = isinstance(problem, Taken), problem.as_fields()
+                waits, told = isinstance(problem, JournalInUse), problem.as_fields()
             except OSError as problem:
                 waits, told = problem.errno == errno.EADDRINUSE, {"problem": str(problem)}
             if not waits and said != told["problem"]:
--- a/threadshift/standins/disk.py
+++ b/threadshift/standins/disk.py
@@ -80,8 +80,8 @@
         if path not in self.shadow:
             super().sync(path)
 
-    def cut(self, path: Path, size: int) -> None:
+    def truncate(self, path: Path, size: int) -> None:
         if path in self.shadow:
             del self.shadow[path][size:]
         else:
-            super().cut(path, size)
+            super().truncate(path, size)
