--- a/threadshift/consensus/keeper.py
+++ b/threadshift/consensus/keeper.py
@@ -41,7 +41,7 @@
             it = self.journal.disk
             it.put(path.with_name(path.name + ".damaged"), it.read(path))
             it.put(path, b"")
-            self.journal.end = 0
+            self.journal.end_offset = 0
             kept = Kept()
         except BaseException:
             self.journal.close()
