--- a/threadshift/packs/__init__.py
+++ b/threadshift/packs/__init__.py
@@ -1,1 +1,1 @@
-"""Packs of functions: their versions, aliases and the file that remembers them."""
+"""Registry of function packs, their versions and aliases."""
