--- a/tests/test_packs.py
+++ b/tests/test_packs.py
@@ -20,7 +20,8 @@
         store = registry("1")
         self.assertIsNone(store.add(pack("1")))
         for rejected, message in ((pack(digest="b" * 64), "immutable"), (pack("2", "xyz"), "no sha256"),
-                                  (pack("2", name="a b"), "name"), (pack("v@2"), "version"), (pack("2", lanes=0), "lanes")):
+                                  (pack("2", name="a b"), "name"), (pack("v@2"), "version"),
+                                  (pack("2", lanes=0), "lanes")):
             with self.assertRaisesRegex(RejectedChange, message):
                 store.add(rejected)
 
