--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -113,33 +113,34 @@
 
 
 def record() -> None:
-    from threadshift.consensus.keeper import Keeper
+    from threadshift.consensus.durable_member import DurableMember
     from threadshift.emulator.disk import Plate
     names = ["a", "b", "c"]
     for kind in ("with fsync", "without a disk"):
         with tempfile.TemporaryDirectory() as folder:
             now = 10**12
-            keepers = {name: Keeper(now, Path(folder) / name, name, names, (), random.Random(name).random,
-                                    None if kind == "with fsync" else Plate()) for name in names}
+            durable_members = {name: DurableMember(now, Path(folder) / name, name, names, (),
+                                                   random.Random(name).random,
+                                                   None if kind == "with fsync" else Plate()) for name in names}
 
-            def settle(now: int, keepers=keepers) -> None:
+            def settle(now: int, durable_members=durable_members) -> None:
                 moved = True
                 while moved:
                     moved = False
-                    for name, it in keepers.items():
-                        effects = it.member.take()
-                        it.keep(effects)
-                        it.shorten(dict)
-                        for message in effects.messages:
+                    for name, it in durable_members.items():
+                        output = it.member.take_output()
+                        it.persist(output)
+                        it.compact_if_long(dict)
+                        for message in output.messages:
                             moved = True
-                            getattr(keepers[message.to].member, message.kind)(now, name, **message.fields)
+                            durable_members[message.to].member.receive(now, name, message.kind, message.fields)
 
-            while not any(it.member.holds(now) for it in keepers.values()):
+            while not any(it.member.holds_lease(now) for it in durable_members.values()):
                 now += 50_000_000
-                for it in keepers.values():
+                for it in durable_members.values():
                     it.member.tick(now)
                 settle(now)
-            holder = next(it for it in keepers.values() if it.member.holds(now))
+            holder = next(it for it in durable_members.values() if it.member.holds_lease(now))
             began, count = time.perf_counter(), 0
             while time.perf_counter() - began < 2:
                 now += 1_000_000
@@ -147,7 +148,7 @@
                 settle(now)
                 count += 1
             say(f"{kind}: {count / (time.perf_counter() - began):.0f} entries a second, one after the other")
-            for it in keepers.values():
+            for it in durable_members.values():
                 it.close()
 
 
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -13,9 +13,9 @@
     ACCIDENT, CLOSED, MANY, OPEN, RESTORED, Cancel, Cancels, CancelOver, NoSuchCancel)
 from threadshift.batches.queue import AGAIN, AND, MOMENT, Queue, Waiting
 from threadshift.batches.shelf import Later, Shelf, record
-from threadshift.consensus.book import Book
-from threadshift.consensus.kept import Entry
-from threadshift.consensus.member import Told
+from threadshift.consensus.state_machines import StateMachineRegistry
+from threadshift.consensus.persistent_state import LogEntry
+from threadshift.consensus.member import CommittedEntry
 from threadshift.emulator.batches import Batches, Front
 from threadshift.emulator.disk import Plate
 from threadshift.emulator.record import Broken
@@ -210,33 +210,35 @@
         self.assertEqual((again.due(NOW), len(again.due(NOW + SECOND))), ([], 1))
 
     def test_a_book_applies_an_entry_once_and_keeps_what_it_does_not_know(self):
-        told = [Told(n, Entry(1, body)) for n, body in enumerate((
+        told = [CommittedEntry(n, LogEntry(1, body)) for n, body in enumerate((
             {"do": "hold", "holder": "a"}, {"do": "batch.cancel", **self.asked()[1]},
             {"do": "batch.cancel", **self.asked()[1]}, {"do": "moon.phase", "id": "m"},
             {"do": "batch.restore", "form": 2, "id": "r", "cancel": "k"}), 1)]
-        old = Book({"batches": Cancels()})
+        old = StateMachineRegistry({"batches": Cancels()})
         self.assertEqual([old.apply(each) for each in [*told, *told]], [False, True] + [False] * 8)
-        self.assertEqual([place for place, _ in old.strange], [4, 5])
+        self.assertEqual([place for place, _ in old.unknown_entries], [4, 5])
 
         class Newer(Cancels):
-            words = {**Cancels.words, "batch.restore": 2}
+            entry_forms = {**Cancels.entry_forms, "batch.restore": 2}
 
         for machines, left, state in (({"batches": Cancels()}, 2, OPEN), ({"batches": Newer()}, 1, RESTORED)):
-            new = Book(machines)
-            new.apply(Told(5, Entry(1, {}), old.state()))
-            self.assertEqual((len(new.strange), machines["batches"].all["k"].state, new.place), (left, state, 5))
-        without = Book({})
-        without.load(old.state())
-        self.assertEqual(without.state()["machines"], old.state()["machines"])      # passed on as it came
+            new = StateMachineRegistry(machines)
+            new.apply(CommittedEntry(5, LogEntry(1, {}), old.dump()))
+            self.assertEqual((len(new.unknown_entries), machines["batches"].all["k"].state, new.applied_index),
+                             (left, state, 5))
+        without = StateMachineRegistry({})
+        without.load(old.dump())
+        self.assertEqual(without.dump()["machines"], old.dump()["machines"])      # passed on as it came
 
     def test_a_later_form_is_written_once_every_voter_reads_it(self):
         class Newer(Cancels):
-            words = {**Cancels.words, "batch.restore": 2}
+            entry_forms = {**Cancels.entry_forms, "batch.restore": 2}
 
-        it = Book({"batches": Newer()}, ["a", "b"])
+        it = StateMachineRegistry({"batches": Newer()}, ["a", "b"])
         for who, forms, may in (("a", 2, 1), ("b", 1, 1), ("b", 2, 2)):
-            it.apply(Told(it.place + 1, Entry(1, {"do": "reads", "who": who, "forms": {"batch.restore": forms}})))
-            self.assertEqual(it.may_write("batch.restore"), may)
+            it.apply(CommittedEntry(it.applied_index + 1, LogEntry(1, {
+                "do": "reads", "who": who, "forms": {"batch.restore": forms}})))
+            self.assertEqual(it.writable_form("batch.restore"), may)
 
 
 class Shelves(unittest.TestCase):
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -2,9 +2,17 @@
 import unittest
 from pathlib import Path
 
-from threadshift.consensus.keeper import LONG, Alone, Keeper
-from threadshift.consensus.kept import Entry, Kept, Unfit, Unknown, entries_record, snapshot_record, term_record
-from threadshift.consensus.member import Member, Timing, Voters, checked
+from threadshift.consensus.durable_member import COMPACT_AFTER_ENTRIES, SoleVoterDamaged, DurableMember
+from threadshift.consensus.persistent_state import (
+    LogEntry,
+    PersistentState,
+    InvalidLog,
+    UnsupportedVersion,
+    entries_record,
+    snapshot_record,
+    term_record,
+)
+from threadshift.consensus.member import Member, Timing, InvalidVoters, check_voters
 from threadshift.emulator.disk import Plate
 from threadshift.emulator.explore import Budget, explore
 from threadshift.emulator.record import FILE, Broken, Record
@@ -12,326 +20,344 @@
 from threadshift.storage.journal import Journal
 
 NOW = 100 * SECOND
-T = Timing()
+TIMING = Timing()
 
 
-class Trio:
-    """Voters a, b, c on one clock, whose messages arrive at once unless cut."""
+class Group:
+    """Members on one clock, by default the voters a, b, c. Their messages arrive at once.
 
-    def __init__(self, names="abc", others=(), taking_part=True):
+    `cut` has the names of members without connections, or (sender, receiver) for one direction of one connection."""
+
+    def __init__(self, names="abc", others=(), is_recovered=True):
         self.now, self.cut, self.applied = NOW, set(), {}
-        self.members = {name: Member(NOW, name, list(names), others, random.Random(name).random, Kept(), T)
+        self.members = {name: Member(NOW, name, list(names), others, random.Random(name).random, PersistentState(),
+                                     TIMING)
                         for name in [*names, *others]}
         for each in self.members.values():
-            if taking_part:
-                each.returning = None
-        self.pass_on()
+            if is_recovered:
+                each.recovery = None
+        self.deliver()
 
     def __getitem__(self, name):
         return self.members[name]
 
-    def pass_on(self):
+    def deliver(self):
         moved = True
         while moved:
             moved = False
             for name, member in self.members.items():
-                effects = member.take()
-                self.applied.setdefault(name, []).extend(each.entry.body for each in effects.told)
-                for message in effects.messages:
+                output = member.take_output()
+                self.applied.setdefault(name, []).extend(each.entry.body for each in output.committed)
+                for message in output.messages:
                     moved = True
                     if not {(name, message.to), name, message.to} & self.cut:
-                        getattr(self.members[message.to], message.kind)(self.now, name, **message.fields)
+                        self.members[message.to].receive(self.now, name, message.kind, message.fields)
 
-    def wait(self, ns, step=50 * MS):
+    def advance(self, ns, step=50 * MS):
         until = self.now + ns
         while self.now < until:
             self.now += step
             for name, member in self.members.items():
                 if name not in self.cut:
                     member.tick(self.now)
-            self.pass_on()
+            self.deliver()
 
-    def holder(self):
-        return "".join(name for name, each in self.members.items() if each.holds(self.now))
+    def leader(self):
+        return "".join(name for name, each in self.members.items() if each.holds_lease(self.now))
 
-    def say(self, n):
-        index = self[self.holder()].propose(self.now, {"n": n})
-        self.pass_on()
+    def propose_number(self, n):
+        index = self[self.leader()].propose(self.now, {"n": n})
+        self.deliver()
         return index
 
 
 class Members(unittest.TestCase):
     def test_voters_are_one_three_or_five(self):
-        for names, said in (("ab", "two voters stand still"), ("aba", "twice"), ("abcd", "4 voters"),
-                            ("", "0 voters")):
-            with self.assertRaisesRegex(Voters, said):
-                checked(names)
+        for names, message in (("ab", "two voters stand still"), ("aba", "twice"), ("abcd", "4 voters"),
+                               ("", "0 voters")):
+            with self.assertRaisesRegex(InvalidVoters, message):
+                check_voters(names)
         for names in ("a", "abc", "abcde"):
-            self.assertEqual(checked(names), tuple(names))
+            self.assertEqual(check_voters(names), tuple(names))
 
-    def test_one_of_three_comes_to_hold_and_all_are_told_entries_in_order(self):
-        it = Trio(others=("f", "g"))
-        it.wait(3 * SECOND)
-        self.assertEqual(len(it.holder()), 1)
+    def test_one_of_three_becomes_leader_and_all_apply_entries_in_order(self):
+        group = Group(others=("f", "g"))
+        group.advance(3 * SECOND)
+        self.assertEqual(len(group.leader()), 1)
         for n in range(5):
-            it.say(n)
-        it.wait(SECOND)
+            group.propose_number(n)
+        group.advance(SECOND)
         for name in "abcfg":
-            self.assertEqual([each["n"] for each in it.applied[name] if "n" in each], [0, 1, 2, 3, 4], name)
-            self.assertLess(it[name].age(it.now), SECOND)
-
-    def test_a_voter_that_starts_abstains_asks_and_then_takes_part(self):
-        it = Trio(taking_part=False)
-        it.wait(T.lease)
-        self.assertTrue(all(each.returning for each in it.members.values()))
-        it.wait(4 * SECOND)
-        self.assertEqual(len(it.holder()), 1)
-
-    def test_with_one_of_three_away_a_voter_that_started_waits_for_both_others(self):
-        # Guards a file rolled back unnoticed: with one other heard alone its forgotten vote would count twice.
-        it = Trio(taking_part=False)
-        it.cut = {"c"}
-        it.wait(20 * SECOND)
-        self.assertEqual(it.holder(), "")
-        it.cut = set()
-        it.wait(4 * SECOND)
-        self.assertEqual(len(it.holder()), 1)
-
-    def test_a_holder_cut_off_loses_its_right_before_another_has_it_and_is_not_unseated_when_it_is_not(self):
-        it = Trio()
-        it.wait(3 * SECOND)
-        first = it.holder()
+            self.assertEqual([each["n"] for each in group.applied[name] if "n" in each], [0, 1, 2, 3, 4], name)
+            self.assertLess(group[name].staleness(group.now), SECOND)
+
+    def test_voter_that_starts_abstains_queries_the_others_and_takes_part(self):
+        group = Group(is_recovered=False)
+        group.advance(TIMING.lease)
+        self.assertTrue(all(each.recovery for each in group.members.values()))
+        group.advance(4 * SECOND)
+        self.assertEqual(len(group.leader()), 1)
+
+    def test_voter_that_starts_waits_for_both_other_voters(self):
+        # Guards against a file that was rolled back without notice: with an answer from only one other voter, a voter
+        # that lost its vote could vote twice in the same term.
+        group = Group(is_recovered=False)
+        group.cut = {"c"}
+        group.advance(20 * SECOND)
+        self.assertEqual(group.leader(), "")
+        group.cut = set()
+        group.advance(4 * SECOND)
+        self.assertEqual(len(group.leader()), 1)
+
+    def test_isolated_leader_loses_its_lease_before_the_next_and_a_returning_voter_does_not_replace_it(self):
+        group = Group()
+        group.advance(3 * SECOND)
+        first = group.leader()
         other = next(name for name in "abc" if name != first)
-        it.cut = {other}
-        it.wait(20 * SECOND)
-        self.assertEqual((it.holder(), it[first].term), (first, it[first].term))
-        term, it.cut = it[first].term, set()
-        it.wait(3 * SECOND)
-        self.assertEqual((it.holder(), it[first].term), (first, term))     # who was away begins no term
-        it.cut = {first}
-        it.wait(T.lease)
-        self.assertEqual(it.holder(), "")
-        it.wait(2 * T.lease)
-        self.assertNotIn(it.holder(), ("", first))
-
-    def test_woken_from_a_standstill_a_holder_knows_that_its_right_is_over(self):
-        it = Trio()
-        it.wait(3 * SECOND)
-        frozen = it[it.holder()]
-        self.assertTrue(frozen.holds(it.now))
-        self.assertFalse(frozen.holds(it.now + T.lease))
-        self.assertIsNone(frozen.propose(it.now + T.lease, {"n": 1}))
-
-    def test_heard_by_none_a_holder_steps_down_so_that_others_may_stand(self):
-        it = Trio()
-        it.wait(3 * SECOND)
-        first = it.holder()
-        it.cut = {(other, first) for other in "abc"}        # it is heard, and hears nothing
-        it.wait(5 * T.lease)
-        self.assertNotIn(it.holder(), ("", first))
-
-    def test_handed_over_another_holds_within_a_beat(self):
-        it = Trio()
-        it.wait(3 * SECOND)
-        first = it.holder()
-        it[first].hand_over(it.now)
-        self.assertEqual(it.holder(), "")
-        it.pass_on()
-        it.wait(T.beat)
-        self.assertNotIn(it.holder(), ("", first))
-        it.wait(10 * SECOND)
-        self.assertNotEqual(it.holder(), first)             # it leaves, and does not stand again
-
-    def test_in_doubt_about_its_file_a_member_votes_for_none_and_counts_for_nothing(self):
-        it = Trio()
-        it.wait(3 * SECOND)
-        first = it.holder()
+        group.cut = {other}
+        group.advance(20 * SECOND)
+        self.assertEqual((group.leader(), group[first].term), (first, group[first].term))
+        term, group.cut = group[first].term, set()
+        group.advance(3 * SECOND)
+        self.assertEqual((group.leader(), group[first].term), (first, term))     # the returning voter starts no term
+        group.cut = {first}
+        group.advance(TIMING.lease)
+        self.assertEqual(group.leader(), "")
+        group.advance(2 * TIMING.lease)
+        self.assertNotIn(group.leader(), ("", first))
+
+    def test_leader_that_resumes_after_a_suspension_has_no_lease(self):
+        group = Group()
+        group.advance(3 * SECOND)
+        frozen = group[group.leader()]
+        self.assertTrue(frozen.holds_lease(group.now))
+        self.assertFalse(frozen.holds_lease(group.now + TIMING.lease))
+        self.assertIsNone(frozen.propose(group.now + TIMING.lease, {"n": 1}))
+
+    def test_leader_that_receives_nothing_steps_down_for_another(self):
+        group = Group()
+        group.advance(3 * SECOND)
+        first = group.leader()
+        group.cut = {(other, first) for other in "abc"}        # it can send but not receive
+        group.advance(5 * TIMING.lease)
+        self.assertNotIn(group.leader(), ("", first))
+
+    def test_leadership_is_transferred_within_a_heartbeat_interval(self):
+        group = Group()
+        group.advance(3 * SECOND)
+        first = group.leader()
+        group[first].transfer_leadership(group.now)
+        self.assertEqual(group.leader(), "")
+        group.deliver()
+        group.advance(TIMING.heartbeat_interval)
+        self.assertNotIn(group.leader(), ("", first))
+        group.advance(10 * SECOND)
+        self.assertNotEqual(group.leader(), first)             # it has resigned and is no candidate again
+
+    def test_failed_member_does_not_vote_and_counts_towards_no_majority(self):
+        group = Group()
+        group.advance(3 * SECOND)
+        first = group.leader()
         others = [name for name in "abc" if name != first]
         for name in others:
-            it[name].doubt("no sync")
-        it[first].propose(it.now, {"n": 1})
-        it.wait(3 * T.lease)
-        self.assertEqual(it.holder(), "")                   # one keeps, that is no majority
-        self.assertNotIn({"n": 1}, it.applied[first])
-
-    def test_an_entry_counts_only_by_answers_younger_than_the_lease(self):
-        it = Trio()
-        it.wait(3 * SECOND)
-        holder = it[it.holder()]
-        at = holder.peers[next(iter(holder.peers))].at
-        holder.log.append(Entry(holder.term, {"n": 9}))
-        for each in holder.peers.values():
-            each.match = holder.last_index
-        holder.advance(at + T.lease)
-        self.assertLess(holder.commit, holder.last_index)
-        holder.advance(at + MS)
-        self.assertEqual(holder.commit, holder.last_index)
-
-    def test_one_voter_alone_holds_and_is_followed(self):
-        it = Trio("a", others=("f",))
-        it.wait(3 * SECOND)
-        self.assertEqual(it.holder(), "a")
-        it.say(1)
-        it.wait(2 * SECOND)
-        self.assertIn({"n": 1}, it.applied["f"])
-
-    def test_who_was_away_for_long_is_brought_up_by_a_snapshot(self):
-        it = Trio(others=("f",))
-        it.wait(3 * SECOND)
-        it.cut = {"f"}
+            group[name].mark_failed("no sync")
+        group[first].propose(group.now, {"n": 1})
+        group.advance(3 * TIMING.lease)
+        self.assertEqual(group.leader(), "")                   # one of three has stored the entry
+        self.assertNotIn({"n": 1}, group.applied[first])
+
+    def test_entry_is_committed_only_by_answers_younger_than_the_lease(self):
+        group = Group()
+        group.advance(3 * SECOND)
+        leader = group[group.leader()]
+        at = leader.progress[next(iter(leader.progress))].acknowledged_at
+        leader.log.append(LogEntry(leader.term, {"n": 9}))
+        for each in leader.progress.values():
+            each.match_index = leader.last_index
+        leader.advance_commit_index(at + TIMING.lease)
+        self.assertLess(leader.commit_index, leader.last_index)
+        leader.advance_commit_index(at + MS)
+        self.assertEqual(leader.commit_index, leader.last_index)
+
+    def test_single_voter_leads_and_replicates_to_non_voters(self):
+        group = Group("a", others=("f",))
+        group.advance(3 * SECOND)
+        self.assertEqual(group.leader(), "a")
+        group.propose_number(1)
+        group.advance(2 * SECOND)
+        self.assertIn({"n": 1}, group.applied["f"])
+
+    def test_member_far_behind_receives_a_snapshot(self):
+        group = Group(others=("f",))
+        group.advance(3 * SECOND)
+        group.cut = {"f"}
         for n in range(4):
-            it.say(n)
-        holder = it[it.holder()]
-        holder.compact({"all": "so far"})
-        it.say(9)
-        it.cut = set()
-        it.wait(2 * SECOND)
-        self.assertEqual((it["f"].state, it["f"].applied), ({"all": "so far"}, holder.applied))
-        self.assertEqual(it.applied["f"][-1], {"n": 9})
-
-
-class Files(unittest.TestCase):
-    def keeper(self, disk, voters="abc"):
-        return Keeper(NOW, FILE, "a", list(voters), (), lambda: 0.5, disk)
-
-    def test_what_was_kept_is_read_again(self):
-        records = [term_record(3, "b"), entries_record(1, [Entry(1, {"x": 1}), Entry(3, {"x": 2})]),
-                   entries_record(2, [Entry(4, {"x": 3})]), snapshot_record((1, 1), {"s": 1}),
-                   entries_record(2, [Entry(4, {"x": 3})]), term_record(4, "")]
-        it = Kept.of(records)
-        self.assertEqual((it.term, it.vote, it.base, it.state, it.log),
-                         (4, "", (1, 1), {"s": 1}, [Entry(4, {"x": 3})]))
-
-    def test_a_later_form_is_left_alone_and_what_does_not_follow_is_told(self):
-        with self.assertRaisesRegex(Unknown, "form 2"):
-            Kept.of([{"form": 2, "term": 1, "vote": ""}])
-        for records in ([entries_record(2, [Entry(1, {})])], [{"form": 1, "term": 1}],
+            group.propose_number(n)
+        leader = group[group.leader()]
+        leader.compact({"all": "so far"})
+        group.propose_number(9)
+        group.cut = set()
+        group.advance(2 * SECOND)
+        self.assertEqual((group["f"].state, group["f"].applied_index), ({"all": "so far"}, leader.applied_index))
+        self.assertEqual(group.applied["f"][-1], {"n": 9})
+
+
+class StoredFiles(unittest.TestCase):
+    def open_member(self, disk, voters="abc"):
+        return DurableMember(NOW, FILE, "a", list(voters), (), lambda: 0.5, disk)
+
+    def test_state_is_read_from_its_records(self):
+        records = [term_record(3, "b"), entries_record(1, [LogEntry(1, {"x": 1}), LogEntry(3, {"x": 2})]),
+                   entries_record(2, [LogEntry(4, {"x": 3})]), snapshot_record((1, 1), {"s": 1}),
+                   entries_record(2, [LogEntry(4, {"x": 3})]), term_record(4, "")]
+        state = PersistentState.from_records(records)
+        self.assertEqual((state.term, state.vote, state.base, state.state, state.log),
+                         (4, "", (1, 1), {"s": 1}, [LogEntry(4, {"x": 3})]))
+
+    def test_later_form_and_inconsistent_records_are_rejected(self):
+        with self.assertRaisesRegex(UnsupportedVersion, "form 2"):
+            PersistentState.from_records([{"form": 2, "term": 1, "vote": ""}])
+        for records in ([entries_record(2, [LogEntry(1, {})])], [{"form": 1, "term": 1}],
                         [{"form": 1, "entries": [[1]], "at": 1}]):
-            with self.assertRaises(Unfit):
-                Kept.of(records)
+            with self.assertRaises(InvalidLog):
+                PersistentState.from_records(records)
 
-    def test_a_damaged_file_is_put_aside_with_others_up_and_refused_alone(self):
+    def test_damaged_file_is_moved_aside_except_by_a_sole_voter(self):
         for voters in ("abc", "a"):
             disk = Plate()
-            it = self.keeper(disk, voters)
-            it.journal.append(term_record(1, "a"), term_record(2, "a"))
-            it.journal.append(term_record(3, "a"))
-            it.close()
+            durable_member = self.open_member(disk, voters)
+            durable_member.journal.append(term_record(1, "a"), term_record(2, "a"))
+            durable_member.journal.append(term_record(3, "a"))
+            durable_member.close()
             disk.flip(FILE, 3)
             if voters == "a":
-                with self.assertRaisesRegex(Alone, "no record begins"):
-                    self.keeper(disk, voters)
+                with self.assertRaisesRegex(SoleVoterDamaged, "no record begins"):
+                    self.open_member(disk, voters)
                 continue
-            it = self.keeper(disk)
-            self.assertIn("no record begins", it.aside)
-            self.assertEqual((it.member.term, bool(it.member.returning)), (0, True))
+            durable_member = self.open_member(disk)
+            self.assertIn("no record begins", durable_member.quarantine_reason)
+            self.assertEqual((durable_member.member.term, bool(durable_member.member.recovery)), (0, True))
             self.assertTrue(disk.read(Path("/record.damaged")))
 
-    def test_a_sync_that_fails_throws_away_what_was_about_to_be_said(self):
+    def test_output_is_discarded_if_the_sync_fails(self):
         disk = Plate()
-        it = self.keeper(disk, "a")
+        durable_member = self.open_member(disk, "a")
         disk.refuse = {"sync"}
-        it.member.tick(NOW + 10 * SECOND)
-        self.assertFalse(it.keep(it.member.take()))
-        self.assertIn("no sync", it.member.doubtful)
-        self.assertEqual(it.member.take().told, [])
-        self.assertFalse(it.member.holds(NOW + 10 * SECOND))
+        durable_member.member.tick(NOW + 10 * SECOND)
+        self.assertFalse(durable_member.persist(durable_member.member.take_output()))
+        self.assertIn("no sync", durable_member.member.failure)
+        self.assertEqual(durable_member.member.take_output().committed, [])
+        self.assertFalse(durable_member.member.holds_lease(NOW + 10 * SECOND))
 
-    def test_the_file_begins_anew_once_it_is_long(self):
+    def test_long_file_is_compacted(self):
         disk = Plate()
-        it = self.keeper(disk, "a")
-        it.member.tick(NOW + 10 * SECOND)
+        durable_member = self.open_member(disk, "a")
+        durable_member.member.tick(NOW + 10 * SECOND)
         applied = 0
-        for n in range(LONG + 20):
-            it.member.propose(NOW + 10 * SECOND, {"n": n})
-            effects = it.member.take()
-            self.assertTrue(it.keep(effects))
-            applied += len(effects.told)
-            it.shorten(lambda so_far=applied: {"n": so_far})
-        self.assertTrue(it.keep(it.member.take()))
-        it.close()
+        for n in range(COMPACT_AFTER_ENTRIES + 20):
+            durable_member.member.propose(NOW + 10 * SECOND, {"n": n})
+            output = durable_member.member.take_output()
+            self.assertTrue(durable_member.persist(output))
+            applied += len(output.committed)
+            durable_member.compact_if_long(lambda so_far=applied: {"n": so_far})
+        self.assertTrue(durable_member.persist(durable_member.member.take_output()))
+        durable_member.close()
         self.assertLess(len(list(Journal(FILE, disk=disk).read())), 40)
-        it = self.keeper(disk, "a")
-        self.assertEqual(it.member.last_index, applied)
-        self.assertEqual(it.member.take().told[0].state, {"n": LONG})
+        durable_member = self.open_member(disk, "a")
+        self.assertEqual(durable_member.member.last_index, applied)
+        self.assertEqual(durable_member.member.take_output().committed[0].state, {"n": COMPACT_AFTER_ENTRIES})
+
+
+class LosesVotes(DurableMember):
+    """Planted fault: terms and votes are not written."""
+
+    def persist(self, output):
+        return super().persist(output._replace(records=[
+            each for each in output.records if "vote" not in each or "state" in each]))
 
 
-class NoVotesKept(Keeper):
-    def keep(self, effects):
-        return super().keep(effects._replace(records=[
-            each for each in effects.records if "vote" not in each or "state" in each]))
+class TrustsFile(DurableMember):
+    """Planted fault: a voter that starts takes part at once."""
 
+    def __init__(self, *arguments, **keywords):
+        super().__init__(*arguments, **keywords)
+        self.member.recovery = None
 
-class FileAlone(Keeper):
-    def __init__(self, *words, **named):
-        super().__init__(*words, **named)
-        self.member.returning = None
 
+class StaleLeaseCheck(DurableMember):
+    """Planted fault: the lease is checked by the time of the last tick."""
 
-class NoCheckOnWaking(Keeper):
-    def __init__(self, *words, **named):
-        super().__init__(*words, **named)
-        it = self.member
-        looked, tick = [0], it.tick
-        it.tick = lambda now: (looked.__setitem__(0, now), tick(now))
-        it.holds = lambda now: Member.holds(it, looked[0])
+    def __init__(self, *arguments, **keywords):
+        super().__init__(*arguments, **keywords)
+        member = self.member
+        last_tick, tick = [0], member.tick
+        member.tick = lambda now: (last_tick.__setitem__(0, now), tick(now))
+        member.holds_lease = lambda now: Member.holds_lease(member, last_tick[0])
 
 
-class LongRight(Keeper):
-    def __init__(self, *words, **named):
-        super().__init__(*words, **named)
-        it = self.member
-        it.lease_of_mine = lambda: it.timing.lease * 3 // 2
+class LongLease(DurableMember):
+    """Planted fault: a leader counts on a lease longer than that of the voters."""
 
+    def __init__(self, *arguments, **keywords):
+        super().__init__(*arguments, **keywords)
+        member = self.member
+        member.leader_lease = lambda: member.timing.lease * 3 // 2
 
-class LongRightMember(Member):
-    def lease_of_mine(self):
+
+class LongLeaseMember(Member):
+    """Planted fault: a leader counts on a lease longer than that of the voters."""
+
+    def leader_lease(self):
         return 2 * self.timing.lease
 
 
-class FileAloneMember(Member):
-    def __init__(self, *words, **named):
-        super().__init__(*words, **named)
-        self.returning = None
+class TrustsFileMember(Member):
+    """Planted fault: a voter that starts takes part at once."""
+
+    def __init__(self, *arguments, **keywords):
+        super().__init__(*arguments, **keywords)
+        self.recovery = None
 
 
-NONE = Budget(0, 0, 0, 0, 0, 0, 0)
-ON_TWO = ("a proposes", "b hears told of a", "a hears had of b")     # committed by a and b; c has not heard of it
+NO_EVENTS = Budget(0, 0, 0, 0, 0, 0, 0)
+# An entry is committed by a and b; c has not received it.
+COMMITTED_BY_TWO = ("a proposes", "b hears told of a", "a hears had of b")
 
 
-class Drawn(unittest.TestCase):
-    """Histories of processes, links and disks that fail (emulator/record.py); every seed the same verdict."""
+class RandomHistories(unittest.TestCase):
+    """Random histories with failing processes, links and disks (emulator/record.py), reproducible by their seeds."""
 
-    def test_drawn_histories_keep_all_promises(self):
+    def test_random_histories_keep_the_invariants(self):
         for voters, others, seeds in ((3, 2, 60), (5, 2, 12), (1, 2, 8)):
             for seed in range(seeds):
-                it = Record(seed, voters, others, lies=voters > 1)
-                it.run()
-        self.assertTrue(it.committed)
+                history = Record(seed, voters, others, lies=voters > 1)
+                history.run()
+        self.assertTrue(history.committed)
 
     def test_planted_faults_are_found(self):
-        for make, seeds in ((NoVotesKept, 10), (FileAlone, 12), (LongRight, 10), (NoCheckOnWaking, 100)):
+        for make, seeds in ((LosesVotes, 10), (TrustsFile, 12), (LongLease, 10), (StaleLeaseCheck, 100)):
             with self.subTest(make.__name__), self.assertRaises(Broken):
-                for seed in range(seeds if make is not NoCheckOnWaking else 94):
-                    Record(seed if make is not NoCheckOnWaking else 93 - seed, 3, 0, make=make).run()
+                for seed in range(seeds if make is not StaleLeaseCheck else 94):
+                    Record(seed if make is not StaleLeaseCheck else 93 - seed, 3, 0, make=make).run()
 
 
-class Explored(unittest.TestCase):
-    """All orders of events to a depth (emulator/explore.py)."""
+class ExploredHistories(unittest.TestCase):
+    """All orders of events up to a depth (emulator/explore.py)."""
 
-    def test_no_order_of_events_breaks_a_promise(self):
-        for depth, budget, path in ((4, Budget(2, 1, 1, 1, 1, 1, 1), ()), (6, Budget(2, 0, 0, 1, 1, 0, 0), ON_TWO)):
+    def test_no_order_of_events_breaks_an_invariant(self):
+        for depth, budget, path in ((4, Budget(2, 1, 1, 1, 1, 1, 1), ()),
+                                    (6, Budget(2, 0, 0, 1, 1, 0, 0), COMMITTED_BY_TWO)):
             states, whole = explore(depth, budget=budget, path=path)
             self.assertEqual(whole, depth)
             self.assertGreater(states, 1000)
 
     def test_planted_faults_are_found(self):
         with self.assertRaisesRegex(Broken, "hold at once"):
-            explore(7, make=LongRightMember, budget=NONE, path=("time passes", "a stands still"))
-        after = (*ON_TWO, "b is killed, its file goes back", *3 * ["time passes"], "c ticks")
+            explore(7, make=LongLeaseMember, budget=NO_EVENTS, path=("time passes", "a stands still"))
+        after = (*COMMITTED_BY_TWO, "b is killed, its file goes back", *3 * ["time passes"], "c ticks")
         with self.assertRaisesRegex(Broken, "entry 2 is"):
-            explore(8, make=FileAloneMember, budget=NONE, path=after)
-        states, _ = explore(8, budget=NONE, path=after)
+            explore(8, make=TrustsFileMember, budget=NO_EVENTS, path=after)
+        states, _ = explore(8, budget=NO_EVENTS, path=after)
         self.assertGreater(states, 10)
 
 
--- a/threadshift/batches/cancels.py
+++ b/threadshift/batches/cancels.py
@@ -52,7 +52,7 @@
 class Cancels:
     """The machine. `changed` has the ids that the last entries touched, for who carries them out."""
 
-    words = {"batch.cancel": 1, "batch.restore": 1, "batch.close": 1}
+    entry_forms = {"batch.cancel": 1, "batch.restore": 1, "batch.close": 1}
 
     def __init__(self) -> None:
         self.all: dict[str, Cancel] = {}
--- a/threadshift/conf/peering.py
+++ b/threadshift/conf/peering.py
@@ -8,7 +8,7 @@
 from threadshift.conf import values
 from threadshift.conf.reading import Block, Directive, Word, nearest
 from threadshift.conf.values import Address
-from threadshift.consensus.member import Timing, Voters, checked
+from threadshift.consensus.member import Timing, InvalidVoters, check_voters
 from threadshift.interface import MS, SECOND
 
 # shorter, a busy process loses it; longer, a minute without a holder
@@ -73,8 +73,8 @@
     if len(peers) > MOST_MEMBERS:
         raise block.wrong(f"{len(peers)} front ends; at most {MOST_MEMBERS} hold a record in common")
     try:
-        checked([each.name for each in peers.values() if each.voter])
-    except Voters as problem:
+        check_voters([each.name for each in peers.values() if each.voter])
+    except InvalidVoters as problem:
         raise block.wrong(f"{problem}; {problem.help}") from None
     for name in names:
         if name not in peers:
--- a/threadshift/consensus/__init__.py
+++ b/threadshift/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""A small replicated record: few entries, terms, one holder at a time, snapshots. Free of I/O and clocks."""
+"""A small replicated log with terms, one leader at a time and snapshots. Free of I/O and clocks."""
--- a/threadshift/consensus/member.py
+++ b/threadshift/consensus/member.py
@@ -1,19 +1,21 @@
-"""One member of the record: a voter, or one of the many that only follow. Free of I/O and clocks.
-
-Raft, as published by Ongaro and Ousterhout, with pre-vote and check-quorum from Ongaro's thesis, and what leases and
-disks that lie ask for beyond it (docs/fleet-design.md has the argument):
-
-- A holder's right ends by its own clock before any voter that supported it would vote again: a lease counted from
-  when the message that was answered left, shortened by the stated bound on how clocks differ in rate.
-- An entry is committed only by answers that are younger than that lease, so what a voter promised before it restarted
-  counts for a stated time at the most.
-- A voter that starts does not trust its file alone. It abstains for a lease and a margin, then asks the other voters
-  what they know; with the word of so many that every majority it may have been part of is among them, it takes part,
-  never below what it heard: a file that was rolled back, or vanished, is then no worse than a voter that was away.
-
-What is told comes in by methods with `now`, ns of a clock that does not go back and that runs on while the machine
-sleeps. take() gives what follows, in this order: records to be kept, messages to be sent once they are, entries that
-are committed. A caller that cannot keep the records says doubt(), and throws the rest away.
+"""One member of the consensus group: a voter, or one of the many members without a vote. Free of I/O and clocks.
+
+The protocol is Raft, as published by Ongaro and Ousterhout, with pre-vote and check-quorum from Ongaro's thesis.
+Leases and disks that lose data need the following beyond it (docs/fleet-design.md has the argument):
+
+- A leader's lease ends by its own clock before any voter that supported it would vote again. It is counted from the
+  time when the message that was answered had been sent, and shortened by the bound on how much clocks differ in rate.
+- An entry is committed only by answers that are younger than that lease, so what a voter promised before a restart
+  counts for a limited time.
+- A voter that starts does not trust its file alone. It abstains for a lease and a margin and then asks the other
+  voters for their terms and log positions. Once it has answers from so many that each majority it may have been part
+  of includes one of them, it takes part again, never below the term and position that it learned. A file that was
+  rolled back or lost then does no more harm than a voter that was away.
+
+Events arrive as method calls with `now`, ns of a clock that never goes back and that runs on while the machine
+sleeps. take_output() returns, in the order in which they have to be processed: records to write, messages to send
+once the records are on disk, and committed entries to apply. A caller that cannot write the records calls
+mark_failed() and discards the rest.
 """
 from __future__ import annotations
 
@@ -22,396 +24,448 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from threadshift.consensus.kept import Entry, Kept, Place, entries_record, snapshot_record, term_record
+from threadshift.consensus.persistent_state import (
+    LogEntry,
+    LogPosition,
+    PersistentState,
+    entries_record,
+    snapshot_record,
+    term_record,
+)
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS
 
-RATE = 100                 # clocks differ in rate by less than one part in so many: crystals keep to 1e-4
-NEVER = 1 << 62            # ns
-MOST = 64                  # entries in one message: some tens of kilobytes
-SLOW = 4                   # beats between two messages to who only follows; they bear a second of age
-VOTERS = (1, 3, 5)         # more only cost; two stand still as soon as one is away
+CLOCK_RATE_DIVISOR = 100   # clocks differ in rate by less than 1/100; crystals keep to 1e-4
+NEVER = 1 << 62            # ns, of a lease that does not end
+MAX_ENTRIES_PER_MESSAGE = 64       # some tens of kilobytes
+NON_VOTER_INTERVAL_FACTOR = 4      # heartbeat intervals between messages to a non-voter, which tolerates data 1 s old
+VOTER_COUNTS = (1, 3, 5)   # more cost without benefit; two stop as soon as one is away
 
 
 class Timing(NamedTuple):
-    """Paces, ns. A holder that is gone is followed by another within two leases and a half, mostly."""
+    """Intervals, ns. After a leader fails, the next one is usually elected within two and a half leases."""
 
-    beat: int = 200 * MS       # between two messages of a holder
-    lease: int = 1500 * MS     # a voter that heard a holder votes for nobody else so long
+    heartbeat_interval: int = 200 * MS
+    lease: int = 1500 * MS     # a voter that heard a leader does not vote for another one for this long
 
 
-class Voters(ThreadshiftError):
-    """A list of voters that cannot be."""
+class InvalidVoters(ThreadshiftError):
+    """A list of voters that is not allowed."""
 
     help = "name 1, 3 or 5 of the front ends as voters, the same in every configuration file of the installation"
 
 
 class Role(Enum):
-    FOLLOWING = "following"
-    ASKING = "asking"          # whether it would be voted for
-    STANDING = "standing"      # for the term that it began
-    HOLDING = "holding"
+    FOLLOWER = "following"
+    PRE_CANDIDATE = "asking"   # asks whether the others would vote for it
+    CANDIDATE = "standing"
+    LEADER = "holding"
 
 
 class Message(NamedTuple):
-    """One message to another member: which of its methods hears it, and with what."""
+    """One message to another member."""
 
     to: str
-    kind: str                  # the method of Member that hears it
-    fields: dict[str, Any]
+    kind: str                  # a key of MESSAGE_HANDLERS
+    fields: dict[str, Any]     # the arguments of the handler
 
 
-class Told(NamedTuple):
-    """A committed entry; or, where `state` is set, all up to this index at once."""
+# Kind of message as on the wire: the method of Member that handles it. The parameter names of these methods are the
+# fields of the messages on the wire.
+MESSAGE_HANDLERS = {
+    "asked": "on_vote_request",
+    "voted": "on_vote",
+    "handed": "on_leadership_transfer",
+    "told": "on_append_entries",
+    "snapshot": "on_install_snapshot",
+    "had": "on_append_response",
+    "who": "on_recovery_query",
+    "word": "on_recovery_response",
+}
 
-    place: int                 # its index
-    entry: Entry
+
+class CommittedEntry(NamedTuple):
+    """A committed entry; or, if `state` is set, a snapshot that includes all entries up to this index."""
+
+    log_index: int
+    entry: LogEntry
     state: dict[str, Any] | None = None
 
 
-class Effects(NamedTuple):
-    """What follows from what was told: to be kept, then sent, then applied. `anew`: the records replace all kept."""
+class Output(NamedTuple):
+    """What the caller has to do: write the records, then send the messages, then apply the committed entries."""
 
-    anew: bool
+    rewrites_file: bool        # the records replace the whole file
     records: list[dict[str, Any]]
     messages: list[Message]
-    told: list[Told]
+    committed: list[CommittedEntry]
 
 
 @dataclass(slots=True)
-class Other:
-    """What a holder knows of another member."""
+class Progress:
+    """What a leader knows of another member."""
 
-    match: int = 0             # its log is as ours up to here ...
-    next: int = 1              # ... and it is sent what comes from here on
-    at: int = 0                # when the last message that it answered had left
-    keeps: bool = False        # whether what it holds would outlive it, and it would vote
-    sent: int = 0
+    match_index: int = 0       # its log is equal to the leader's up to this index
+    next_index: int = 1        # of the first entry to send to it
+    acknowledged_at: int = 0   # when the last message that it answered had been sent
+    is_durable: bool = False   # whether it may vote and what it stores survives a restart
+    sent_at: int = 0           # when the last message was sent to it
 
 
 @dataclass(slots=True)
-class Returning:
-    """A voter that started, until it knows enough to take part again."""
+class Recovery:
+    """State of a voter after its start, until it has learned enough to take part again."""
 
-    until: int                 # it abstains until then ...
-    nonce: int                 # ... and then asks, under this
-    due: int = 0
-    words: dict[str, tuple[int, Place]] = field(default_factory=dict)
+    abstains_until: int
+    nonce: int                 # identifies the answers to its queries
+    next_query_at: int = 0
+    answers: dict[str, tuple[int, LogPosition]] = field(default_factory=dict)      # voter: its term, last position
 
 
-def checked(voters: Sequence[str]) -> tuple[str, ...]:
-    """Raises Voters."""
+def check_voters(voters: Sequence[str]) -> tuple[str, ...]:
+    """Returns the names in order. Raises InvalidVoters."""
     if len(set(voters)) != len(voters):
-        raise Voters("a voter is named twice")
+        raise InvalidVoters("a voter is named twice")
     if len(voters) == 2:
-        raise Voters("two voters stand still as soon as one is away, so they bear less than one alone")
-    if len(voters) not in VOTERS:
-        raise Voters(f"{len(voters)} voters; there may be 1, 3 or 5")
+        raise InvalidVoters("two voters stand still as soon as one is away, which is worse than a single voter")
+    if len(voters) not in VOTER_COUNTS:
+        raise InvalidVoters(f"{len(voters)} voters; there may be 1, 3 or 5")
     return tuple(sorted(voters))
 
 
 class Member:
+    """The state machine of one member. All methods are called in order by one caller."""
+
     def __init__(self, now: int, name: str, voters: Sequence[str], others: Collection[str],
-                 chance: Callable[[], float], kept: Kept | None = None, timing: Timing | None = None):
-        """`voters` are all of them, `others` all further members; `kept` is what stood in its file."""
-        kept = kept or Kept()
-        self.name, self.voters, self.chance, self.timing = name, checked(voters), chance, timing or Timing()
+                 chance: Callable[[], float], persistent_state: PersistentState | None = None,
+                 timing: Timing | None = None):
+        """`voters` are all voters, `others` all further members, `persistent_state` is the content of the file;
+        `chance` returns a random number from 0 to 1."""
+        persistent_state = persistent_state or PersistentState()
+        self.name, self.voters, self.chance, self.timing = name, check_voters(voters), chance, timing or Timing()
         self.others = sorted({*voters, *others} - {name})
-        self.term, self.vote = kept.term, kept.vote
-        self.base, self.state, self.log = kept.base, kept.state, list(kept.log)
-        self.commit = self.applied = self.base[1]
-        self.role, self.holder = Role.FOLLOWING, ""
-        self.heard = 0                   # when a holder was heard last, 0: never
-        self.due = 0                     # when it asks for votes, or gives up standing
-        self.yes: set[str] = set()
-        self.peers: dict[str, Other] = {}
-        self.first = self.since = 0      # index of the first entry of the term it holds; when it was elected
-        self.floor: tuple[int, Place] = 0, (0, 0)
-        self.doubtful = ""
-        self.given_up = False            # it is leaving, and holds nothing any more
-        self.anew, self.records, self.messages = False, list[dict[str, Any]](), list[Message]()
-        self.told_anew = kept.state is not None
-        self.before = self.applied, self.told_anew      # at the last take()
-        self.returning: Returning | None = None
+        self.term, self.vote = persistent_state.term, persistent_state.vote
+        # `base` is the position of the last entry that the snapshot `state` includes; `log` has the entries after it.
+        self.base, self.state, self.log = persistent_state.base, persistent_state.state, list(persistent_state.log)
+        self.commit_index = self.applied_index = self.base[1]
+        self.role, self.leader = Role.FOLLOWER, ""
+        self.leader_heard_at = 0         # 0: never
+        self.election_deadline = 0       # when it starts an election, or gives up a candidacy
+        self.votes: set[str] = set()     # the voters that granted their vote, or pre-vote
+        self.progress: dict[str, Progress] = {}
+        self.term_start_index = self.elected_at = 0      # of a leader: the first entry of its term, its election
+        self.floor: tuple[int, LogPosition] = 0, (0, 0)  # the term and log position learned in the recovery
+        self.failure = ""                # why its file is not trusted any more
+        self.has_resigned = False        # it is shutting down and does not become the leader again
+        self.rewrites_file, self.records, self.messages = False, list[dict[str, Any]](), list[Message]()
+        self.applies_snapshot = persistent_state.state is not None
+        self.before_output = self.applied_index, self.applies_snapshot      # at the last take_output()
+        self.recovery: Recovery | None = None
         if name in self.voters and len(self.voters) > 1:
-            self.returning = Returning(now + self.timing.lease + self.timing.lease // RATE + self.timing.beat,
-                                       int(chance() * (1 << 53)))
-        self.patience(now)
+            self.recovery = Recovery(
+                now + self.timing.lease + self.timing.lease // CLOCK_RATE_DIVISOR + self.timing.heartbeat_interval,
+                int(chance() * (1 << 53)))
+        self.reset_election_deadline(now)
 
-    # What is asked of it.
+    # Queries of its own process.
 
     @property
-    def last(self) -> Place:
+    def last_position(self) -> LogPosition:
         return (self.log[-1].term, self.base[1] + len(self.log)) if self.log else self.base
 
     @property
-    def able(self) -> bool:
-        """Whether it may vote, and what it says it keeps counts."""
-        return self.name in self.voters and self.returning is None and not self.doubtful
-
-    def holds(self, now: int) -> bool:
-        """Whether it may act for all at this moment. Asked before each act, also on waking."""
-        return self.role is Role.HOLDING and now < self.right() and self.commit >= self.first
-
-    def right(self) -> int:
-        """When its right to hold ends, by the answers so far."""
-        return self.support() + self.lease_of_mine() if len(self.voters) > 1 else NEVER
-
-    def lease_of_mine(self) -> int:
-        return self.timing.lease - 2 * self.timing.lease // RATE
-
-    def support(self) -> int:
-        """When the oldest of the answers that it needs had been asked for."""
-        ats = sorted((self.peers[each].at if self.peers[each].keeps else 0
-                      for each in self.voters if each != self.name), reverse=True)
-        return ats[len(self.voters) // 2 - 1]
-
-    def age(self, now: int) -> int | None:
-        """For how long nothing was heard of the record, ns; None: nothing yet."""
-        if self.holds(now):
+    def can_vote(self) -> bool:
+        """Whether it may vote, and its acknowledgements count towards a majority."""
+        return self.name in self.voters and self.recovery is None and not self.failure
+
+    def holds_lease(self, now: int) -> bool:
+        """Whether it is the leader and may act for all at this moment. Has to be checked before each act, also after
+        the process was suspended."""
+        return self.role is Role.LEADER and now < self.lease_end() and self.commit_index >= self.term_start_index
+
+    def lease_end(self) -> int:
+        """When its lease as the leader ends, by the answers so far."""
+        return self.quorum_acknowledged_at() + self.leader_lease() if len(self.voters) > 1 else NEVER
+
+    def leader_lease(self) -> int:
+        """The lease that a leader counts on: the voters' lease, shortened by the difference in clock rates."""
+        return self.timing.lease - 2 * self.timing.lease // CLOCK_RATE_DIVISOR
+
+    def quorum_acknowledged_at(self) -> int:
+        """The latest time such that a majority has answered a message sent at or after it."""
+        times = sorted((self.progress[each].acknowledged_at if self.progress[each].is_durable else 0
+                        for each in self.voters if each != self.name), reverse=True)
+        return times[len(self.voters) // 2 - 1]
+
+    def staleness(self, now: int) -> int | None:
+        """How long ago it last heard from a leader, ns; 0 if it is the leader, None if it never heard from one."""
+        if self.holds_lease(now):
             return 0
-        return now - self.heard if self.heard else None
+        return now - self.leader_heard_at if self.leader_heard_at else None
 
-    # What it is told by its own process.
+    # Events from its own process.
 
     def tick(self, now: int) -> None:
-        """Wanted once a beat or more often."""
-        if self.returning is not None:
-            self.come_back(now, self.returning)
-        if self.role is Role.HOLDING:
-            # The right is gone for long: whoever cannot hear us answer may hear another.
-            if self.peers and now >= max(self.right(), self.since) + self.timing.lease:
-                self.follow(now, self.term, "")
+        """Has to be called at least once per heartbeat interval."""
+        if self.recovery is not None:
+            self.query_voters(now, self.recovery)
+        if self.role is Role.LEADER:
+            # A leader whose lease ended a whole lease ago steps down: members that it cannot hear may follow another.
+            if self.progress and now >= max(self.lease_end(), self.elected_at) + self.timing.lease:
+                self.become_follower(now, self.term, "")
             else:
-                self.beat(now)
-        elif now >= self.due:
-            if self.role is Role.FOLLOWING and self.able and self.last >= self.floor[1] and not self.given_up:
-                self.stand(now, pre=True)
+                self.send_heartbeats(now)
+        elif now >= self.election_deadline:
+            if (self.role is Role.FOLLOWER and self.can_vote and self.last_position >= self.floor[1]
+                    and not self.has_resigned):
+                self.start_election(now, pre=True)
             else:
-                self.role = Role.FOLLOWING
-                self.patience(now)
+                self.role = Role.FOLLOWER
+                self.reset_election_deadline(now)
 
     def propose(self, now: int, body: dict[str, Any]) -> int | None:
-        """An entry for all; its index, None where it does not hold the right. It counts once it is told back."""
-        if not self.holds(now):
+        """Appends an entry and returns its index, or None without a lease. The entry counts only once take_output()
+        returns it as committed."""
+        if not self.holds_lease(now):
             return None
-        self.add(Entry(self.term, body))
-        self.spread(now)
-        return self.last[1]
+        self.append_entry(LogEntry(self.term, body))
+        self.replicate(now)
+        return self.last_position[1]
 
     def compact(self, state: dict[str, Any]) -> None:
-        """Everything applied so far is in `state`: entries up to there need not be kept."""
-        place = (self.term_at(self.applied), self.applied)
-        self.log, self.base, self.state = self.log[self.applied - self.base[1]:], place, state
-        self.write_anew()
-
-    def doubt(self, why: str) -> None:
-        """Its file failed it: until it is started again it holds nothing, votes for nobody and counts for nothing."""
-        self.doubtful = why
-        self.role, self.peers = Role.FOLLOWING, {}
+        """Replaces all applied entries by `state`, which is the state after the last of them."""
+        position = (self.term_at(self.applied_index), self.applied_index)
+        self.log, self.base, self.state = self.log[self.applied_index - self.base[1]:], position, state
+        self.rewrite_file()
+
+    def mark_failed(self, reason: str) -> None:
+        """Its file is not reliable: until a restart it neither leads nor votes, and no majority counts it."""
+        self.failure = reason
+        self.role, self.progress = Role.FOLLOWER, {}
         self.records, self.messages = [], []
-        # What take() gave last is thrown away: its entries are told again once a holder says that they are committed.
-        self.applied, self.told_anew = self.before
-        self.commit = max(self.base[1], self.applied)
-
-    def hand_over(self, now: int) -> None:
-        """It is leaving: it holds nothing from here on, and asks the voter that knows most to follow it."""
-        self.given_up = True
-        if self.role is not Role.HOLDING:
+        # The last output is discarded: its entries are returned again once a leader reports that they are committed.
+        self.applied_index, self.applies_snapshot = self.before_output
+        self.commit_index = max(self.base[1], self.applied_index)
+
+    def transfer_leadership(self, now: int) -> None:
+        """Resigns before a shutdown, and asks the voter with the longest log to succeed it."""
+        self.has_resigned = True
+        if self.role is not Role.LEADER:
             return
-        able = [(it.match, it.at, each) for each, it in self.peers.items() if it.keeps]
-        self.follow(now, self.term, "")
-        if able:
-            self.say(max(able)[2], "handed", term=self.term)
-
-    def take(self) -> Effects:
-        """What follows from all that was told since the last call."""
-        told = []
-        self.before = self.applied, self.told_anew
-        if self.told_anew:
-            self.told_anew, self.applied = False, self.base[1]
-            told.append(Told(self.base[1], Entry(self.base[0], {}), self.state))
-        while self.applied < self.commit:
-            self.applied += 1
-            told.append(Told(self.applied, self.log[self.applied - self.base[1] - 1]))
-        it = Effects(self.anew, self.records, self.messages, told)
-        self.anew, self.records, self.messages = False, [], []
-        return it
-
-    # Votes.
-
-    def asked(self, now: int, sender: str, term: int, pre: bool, last: Place, handed: bool = False) -> None:
-        """Somebody stands for a term, or asks whether it should."""
-        if not self.able or sender not in self.voters:
+        successors = [(it.match_index, it.acknowledged_at, each)
+                      for each, it in self.progress.items() if it.is_durable]
+        self.become_follower(now, self.term, "")
+        if successors:
+            self.enqueue(max(successors)[2], "handed", term=self.term)
+
+    def take_output(self) -> Output:
+        """Returns everything that the events since the last call require."""
+        committed = []
+        self.before_output = self.applied_index, self.applies_snapshot
+        if self.applies_snapshot:
+            self.applies_snapshot, self.applied_index = False, self.base[1]
+            committed.append(CommittedEntry(self.base[1], LogEntry(self.base[0], {}), self.state))
+        while self.applied_index < self.commit_index:
+            self.applied_index += 1
+            committed.append(CommittedEntry(self.applied_index, self.log[self.applied_index - self.base[1] - 1]))
+        output = Output(self.rewrites_file, self.records, self.messages, committed)
+        self.rewrites_file, self.records, self.messages = False, [], []
+        return output
+
+    # Messages of other members.
+
+    def receive(self, now: int, sender: str, kind: str, fields: dict[str, Any]) -> None:
+        """Handles one message of another member."""
+        getattr(self, MESSAGE_HANDLERS[kind])(now, sender, **fields)
+
+    # Elections.
+
+    def on_vote_request(self, now: int, sender: str, term: int, pre: bool, last: LogPosition,
+                        handed: bool = False) -> None:
+        """A candidate requests a vote for `term`, or a pre-vote. `last` is the last position of its log; `handed` is
+        set if the leader asked it to stand."""
+        if not self.can_vote or sender not in self.voters:
             return
-        hears = self.role is Role.HOLDING and now < self.right() or (
-            self.heard > 0 and now - self.heard < self.timing.lease)
-        good = tuple(last) >= max(self.last, self.floor[1]) and term > self.floor[0]
-        if hears and not handed:
-            yes = False                     # a holder is heard: nobody unseats it, and no term is begun for it
+        hears_leader = self.role is Role.LEADER and now < self.lease_end() or (
+            self.leader_heard_at > 0 and now - self.leader_heard_at < self.timing.lease)
+        is_up_to_date = tuple(last) >= max(self.last_position, self.floor[1]) and term > self.floor[0]
+        if hears_leader and not handed:
+            yes = False                     # a leader that is heard is not replaced, and no term is started for it
         elif pre:
-            yes = term > self.term and good
+            yes = term > self.term and is_up_to_date
         else:
             if term > self.term:
-                self.follow(now, term, "")
-            yes = term == self.term and self.vote in ("", sender) and good and self.role is Role.FOLLOWING
+                self.become_follower(now, term, "")
+            yes = (term == self.term and self.vote in ("", sender) and is_up_to_date
+                   and self.role is Role.FOLLOWER)
             if yes and not self.vote:
                 self.vote = sender
                 self.records.append(term_record(self.term, sender))
-                self.patience(now)
-        self.say(sender, "voted", term=term, pre=pre, yes=yes, known=self.term)
+                self.reset_election_deadline(now)
+        self.enqueue(sender, "voted", term=term, pre=pre, yes=yes, known=self.term)
 
-    def voted(self, now: int, sender: str, term: int, pre: bool, yes: bool, known: int) -> None:
+    def on_vote(self, now: int, sender: str, term: int, pre: bool, yes: bool, known: int) -> None:
+        """The answer to a vote request; `known` is the term of the sender."""
         if known > self.term:
-            self.follow(now, known, "")
+            self.become_follower(now, known, "")
             return
-        if not yes or sender not in self.voters or now >= self.due:
-            return      # too late: woken from a standstill, it counts no vote that a restart may have forgotten
-        if self.role is (Role.ASKING if pre else Role.STANDING) and term == self.term + pre:
-            self.yes.add(sender)
-            self.elected(now)
-
-    def stand(self, now: int, pre: bool, handed: bool = False) -> None:
-        self.role, self.yes = (Role.ASKING if pre else Role.STANDING), {self.name}
-        self.due = now + self.timing.lease // 2
+        if not yes or sender not in self.voters or now >= self.election_deadline:
+            return      # too late: after a suspension it counts no vote that its voter may have lost in a restart
+        if self.role is (Role.PRE_CANDIDATE if pre else Role.CANDIDATE) and term == self.term + pre:
+            self.votes.add(sender)
+            self.count_votes(now)
+
+    def start_election(self, now: int, pre: bool, handed: bool = False) -> None:
+        self.role, self.votes = (Role.PRE_CANDIDATE if pre else Role.CANDIDATE), {self.name}
+        self.election_deadline = now + self.timing.lease // 2
         self.term = max(self.term, self.floor[0])
         if not pre:
-            self.term, self.vote, self.holder = self.term + 1, self.name, ""
+            self.term, self.vote, self.leader = self.term + 1, self.name, ""
             self.records.append(term_record(self.term, self.name))
         for each in self.voters:
             if each != self.name:
-                self.say(each, "asked", term=self.term + pre, pre=pre, last=self.last, handed=handed)
-        self.elected(now)
+                self.enqueue(each, "asked", term=self.term + pre, pre=pre, last=self.last_position, handed=handed)
+        self.count_votes(now)
 
-    def elected(self, now: int) -> None:
-        if 2 * len(self.yes) <= len(self.voters):
+    def count_votes(self, now: int) -> None:
+        """Becomes a candidate after a majority of pre-votes, the leader after a majority of votes."""
+        if 2 * len(self.votes) <= len(self.voters):
             return
-        if self.role is Role.ASKING:
-            self.stand(now, pre=False)
+        if self.role is Role.PRE_CANDIDATE:
+            self.start_election(now, pre=False)
             return
-        self.role, self.holder = Role.HOLDING, self.name
-        self.peers = {each: Other(next=self.last_index + 1) for each in self.others}
-        self.first, self.since = self.last_index + 1, now
-        self.add(Entry(self.term, {"do": "hold", "holder": self.name}))
-        self.spread(now)
-
-    def handed(self, now: int, sender: str, term: int) -> None:
-        """The holder leaves and wants us to follow it."""
-        if self.able and sender == self.holder and term == self.term and self.last >= self.floor[1] and (
-                self.role is Role.FOLLOWING and not self.given_up):
-            self.heard = 0
-            self.stand(now, pre=False, handed=True)
-
-    # Entries.
-
-    def told(self, now: int, sender: str, term: int, before: Place, entries: Sequence[Sequence[Any]], commit: int,
-             at: int) -> None:
-        """A holder's beat, with entries that follow the place `before`."""
-        if not self.heeds(now, sender, term, at):
+        self.role, self.leader = Role.LEADER, self.name
+        self.progress = {each: Progress(next_index=self.last_index + 1) for each in self.others}
+        self.term_start_index, self.elected_at = self.last_index + 1, now
+        self.append_entry(LogEntry(self.term, {"do": "hold", "holder": self.name}))
+        self.replicate(now)
+
+    def on_leadership_transfer(self, now: int, sender: str, term: int) -> None:
+        """The leader resigns and asks this member to succeed it."""
+        if self.can_vote and sender == self.leader and term == self.term and self.last_position >= self.floor[1] and (
+                self.role is Role.FOLLOWER and not self.has_resigned):
+            self.leader_heard_at = 0
+            self.start_election(now, pre=False, handed=True)
+
+    # Replication of the log.
+
+    def on_append_entries(self, now: int, sender: str, term: int, before: LogPosition,
+                          entries: Sequence[Sequence[Any]], commit: int, at: int) -> None:
+        """A leader's heartbeat, with the entries that follow the position `before` and its commit index; `at` is
+        its sending time by the leader's clock."""
+        if not self.accepts_leader(now, sender, term, at):
             return
         start = before[1]
-        fresh = [Entry(each[0], each[1]) for each in entries]
-        if start < self.base[1]:            # the snapshot holds these
-            fresh, start = fresh[self.base[1] - start:], self.base[1]
+        received = [LogEntry(each[0], each[1]) for each in entries]
+        if start < self.base[1]:            # the snapshot includes these
+            received, start = received[self.base[1] - start:], self.base[1]
         elif start > self.last_index or self.term_at(start) != before[0]:
-            self.had_of(sender, False, min(self.last_index, start - 1), at)
+            self.answer_append(sender, False, min(self.last_index, start - 1), at)
             return
-        for number, entry in enumerate(fresh, start + 1):
-            if number > self.last_index or self.term_at(number) != entry.term:
-                if number <= self.commit:
-                    self.doubt(f"entry {number} was committed and is told as another: a disk has lied unnoticed")
+        for index, entry in enumerate(received, start + 1):
+            if index > self.last_index or self.term_at(index) != entry.term:
+                if index <= self.commit_index:
+                    self.mark_failed(f"entry {index} was committed and is now sent with other content: "
+                                     "a disk lost data without reporting it")
                     return
-                del self.log[number - self.base[1] - 1:]
-                rest = fresh[number - start - 1:]
+                del self.log[index - self.base[1] - 1:]
+                rest = received[index - start - 1:]
                 self.log += rest
-                self.records.append(entries_record(number, rest))
+                self.records.append(entries_record(index, rest))
                 break
-        known = start + len(fresh)
-        self.commit = max(self.commit, min(commit, known))
-        self.had_of(sender, True, known, at)
-
-    def snapshot(self, now: int, sender: str, term: int, base: Place, state: dict[str, Any], at: int) -> None:
-        """All up to a place at once, as entries before it are not kept any more."""
-        if not self.heeds(now, sender, term, at):
+        known_index = start + len(received)
+        self.commit_index = max(self.commit_index, min(commit, known_index))
+        self.answer_append(sender, True, known_index, at)
+
+    def on_install_snapshot(self, now: int, sender: str, term: int, base: LogPosition, state: dict[str, Any],
+                            at: int) -> None:
+        """A leader's snapshot up to `base`, sent in place of entries that the leader does not have any more."""
+        if not self.accepts_leader(now, sender, term, at):
             return
-        if base[1] > self.commit:
-            follows = base[1] <= self.last_index and self.term_at(base[1]) == base[0]
-            self.log = self.log[base[1] - self.base[1]:] if follows else []
+        if base[1] > self.commit_index:
+            keeps_log = base[1] <= self.last_index and self.term_at(base[1]) == base[0]
+            self.log = self.log[base[1] - self.base[1]:] if keeps_log else []
             self.base, self.state = (base[0], base[1]), state
-            self.commit, self.told_anew = base[1], True
-            self.write_anew()
-        self.had_of(sender, True, base[1], at)
+            self.commit_index, self.applies_snapshot = base[1], True
+            self.rewrite_file()
+        self.answer_append(sender, True, base[1], at)
 
-    def heeds(self, now: int, sender: str, term: int, at: int) -> bool:
-        """Whether a holder's message counts; an older one is told the newer term."""
+    def accepts_leader(self, now: int, sender: str, term: int, at: int) -> bool:
+        """Whether a leader's message is of the current term or a later one; otherwise the sender gets this term."""
         if term < self.term or sender not in self.voters:
-            self.say(sender, "had", term=self.term, yes=False, index=0, at=at, keeps=False)
+            self.enqueue(sender, "had", term=self.term, yes=False, index=0, at=at, keeps=False)
             return False
-        if term > self.term or self.role is not Role.FOLLOWING:
-            self.follow(now, term, sender)
-        self.holder, self.heard = sender, now
-        self.patience(now)
+        if term > self.term or self.role is not Role.FOLLOWER:
+            self.become_follower(now, term, sender)
+        self.leader, self.leader_heard_at = sender, now
+        self.reset_election_deadline(now)
         return True
 
-    def had_of(self, sender: str, yes: bool, index: int, at: int) -> None:
-        self.say(sender, "had", term=self.term, yes=yes, index=index, at=at, keeps=self.able)
+    def answer_append(self, sender: str, yes: bool, index: int, at: int) -> None:
+        self.enqueue(sender, "had", term=self.term, yes=yes, index=index, at=at, keeps=self.can_vote)
 
-    def had(self, now: int, sender: str, term: int, yes: bool, index: int, at: int, keeps: bool) -> None:
-        """The answer to told() or snapshot(); `at` is when that had left, by our own clock."""
+    def on_append_response(self, now: int, sender: str, term: int, yes: bool, index: int, at: int,
+                           keeps: bool) -> None:
+        """The answer to entries or a snapshot: whether the log matches up to `index`. `at` is the sending time of the
+        message that it answers, by this member's clock; `keeps` is whether the sender counts towards a majority."""
         if term > self.term:
-            self.follow(now, term, "")
+            self.become_follower(now, term, "")
             return
-        it = self.peers.get(sender)
-        if self.role is not Role.HOLDING or term != self.term or it is None or at < it.at or at > now:
+        it = self.progress.get(sender)
+        if self.role is not Role.LEADER or term != self.term or it is None or at < it.acknowledged_at or at > now:
             return
-        it.at, it.keeps = at, keeps
+        it.acknowledged_at, it.is_durable = at, keeps
         if yes:
-            it.match, it.next = min(index, self.last_index), min(index, self.last_index) + 1
+            it.match_index, it.next_index = min(index, self.last_index), min(index, self.last_index) + 1
         else:
-            it.match, it.next = 0, max(1, min(it.next - 1, index + 1))
-            self.send(now, sender)
-        before = self.commit
-        self.advance(now)
-        if self.commit > before:
-            self.spread(now)
-        elif yes and it.next <= self.last_index and now > at:
-            self.send(now, sender)
-
-    def advance(self, now: int) -> None:
-        """Commits what a majority keeps, by answers no older than the lease; of its own term alone."""
-        since = now - self.lease_of_mine()
-        matches = sorted([self.last_index, *(
-            self.peers[each].match if self.peers[each].keeps and self.peers[each].at > since else 0
+            it.match_index, it.next_index = 0, max(1, min(it.next_index - 1, index + 1))
+            self.send_entries(now, sender)
+        commit_before = self.commit_index
+        self.advance_commit_index(now)
+        if self.commit_index > commit_before:
+            self.replicate(now)
+        elif yes and it.next_index <= self.last_index and now > at:
+            self.send_entries(now, sender)
+
+    def advance_commit_index(self, now: int) -> None:
+        """Commits what a majority has stored, by answers no older than the lease, and only entries of its own
+        term."""
+        since = now - self.leader_lease()
+        match_indexes = sorted([self.last_index, *(
+            self.progress[each].match_index
+            if self.progress[each].is_durable and self.progress[each].acknowledged_at > since else 0
             for each in self.voters if each != self.name)], reverse=True)
-        most = matches[len(self.voters) // 2]
-        if most > self.commit and self.term_at(most) == self.term:
-            self.commit = most
+        majority_index = match_indexes[len(self.voters) // 2]
+        if majority_index > self.commit_index and self.term_at(majority_index) == self.term:
+            self.commit_index = majority_index
 
-    # A voter that started.
+    # Recovery of a voter after its start.
 
-    def come_back(self, now: int, it: Returning) -> None:
-        if now >= it.until and now >= it.due:
-            it.due = now + self.timing.beat
+    def query_voters(self, now: int, recovery: Recovery) -> None:
+        if now >= recovery.abstains_until and now >= recovery.next_query_at:
+            recovery.next_query_at = now + self.timing.heartbeat_interval
             for each in self.voters:
                 if each != self.name:
-                    self.say(each, "who", nonce=it.nonce)
+                    self.enqueue(each, "who", nonce=recovery.nonce)
 
-    def who(self, now: int, sender: str, nonce: int) -> None:
-        """A voter that started asks what is known. The answer is true also of one in doubt: it keeps no less."""
-        self.say(sender, "word", nonce=nonce, term=self.term, last=self.last)
+    def on_recovery_query(self, now: int, sender: str, nonce: int) -> None:
+        """A voter that started asks for the term and log position. A failed member answers too: it has stored no less
+        than it reports."""
+        self.enqueue(sender, "word", nonce=nonce, term=self.term, last=self.last_position)
 
-    def word(self, now: int, sender: str, nonce: int, term: int, last: Place) -> None:
-        it = self.returning
-        if it is None or nonce != it.nonce or sender not in self.voters:
+    def on_recovery_response(self, now: int, sender: str, nonce: int, term: int, last: LogPosition) -> None:
+        recovery = self.recovery
+        if recovery is None or nonce != recovery.nonce or sender not in self.voters:
             return
-        it.words[sender] = term, (last[0], last[1])
-        # So many that of each majority we may have been part of another one is among them.
-        if len(it.words) > len(self.voters) - 1 - len(self.voters) // 2:
-            self.floor = max(known for known, _ in it.words.values()), max(place for _, place in it.words.values())
-            self.returning = None
-            self.patience(now)
+        recovery.answers[sender] = term, (last[0], last[1])
+        # With so many answers, each majority that this member may have been part of includes one of their senders.
+        if len(recovery.answers) > len(self.voters) - 1 - len(self.voters) // 2:
+            self.floor = (max(known_term for known_term, _ in recovery.answers.values()),
+                          max(position for _, position in recovery.answers.values()))
+            self.recovery = None
+            self.reset_election_deadline(now)
 
-    # Small things.
+    # Helpers.
 
     @property
     def last_index(self) -> int:
@@ -420,51 +474,52 @@
     def term_at(self, index: int) -> int:
         return self.base[0] if index == self.base[1] else self.log[index - self.base[1] - 1].term
 
-    def follow(self, now: int, term: int, holder: str) -> None:
+    def become_follower(self, now: int, term: int, leader: str) -> None:
         if term > self.term:
             self.term, self.vote = term, ""
             self.records.append(term_record(term, ""))
-        self.role, self.holder, self.peers = Role.FOLLOWING, holder, {}
-        self.patience(now)
+        self.role, self.leader, self.progress = Role.FOLLOWER, leader, {}
+        self.reset_election_deadline(now)
 
-    def patience(self, now: int) -> None:
-        """Until when silence is borne: by chance, so that not all stand at once."""
-        self.due = now + self.timing.lease + int(self.chance() * self.timing.lease / 2)
+    def reset_election_deadline(self, now: int) -> None:
+        """Waits a lease and a random part, so that members do not start elections at the same time."""
+        self.election_deadline = now + self.timing.lease + int(self.chance() * self.timing.lease / 2)
 
-    def say(self, to: str, kind: str, **fields: Any) -> None:
+    def enqueue(self, to: str, kind: str, **fields: Any) -> None:
         self.messages.append(Message(to, kind, fields))
 
-    def add(self, entry: Entry) -> None:
+    def append_entry(self, entry: LogEntry) -> None:
         self.log.append(entry)
         self.records.append(entries_record(self.last_index, [entry]))
 
-    def write_anew(self) -> None:
+    def rewrite_file(self) -> None:
         assert self.state is not None
-        self.anew = True
+        self.rewrites_file = True
         self.records = [snapshot_record(self.base, self.state), term_record(self.term, self.vote)]
         if self.log:
             self.records.append(entries_record(self.base[1] + 1, self.log))
 
-    def spread(self, now: int) -> None:
-        """To all at once: something is new."""
+    def replicate(self, now: int) -> None:
+        """Sends new entries or a new commit index to all members at once."""
         for each in self.others:
-            self.send(now, each)
-        self.advance(now)
+            self.send_entries(now, each)
+        self.advance_commit_index(now)
 
-    def beat(self, now: int) -> None:
+    def send_heartbeats(self, now: int) -> None:
         for each in self.others:
-            pace = self.timing.beat * (1 if each in self.voters else SLOW)
-            if now >= self.peers[each].sent + pace:
-                self.send(now, each)
-        self.advance(now)
-
-    def send(self, now: int, to: str) -> None:
-        it = self.peers[to]
-        it.sent = now
-        if it.next <= self.base[1]:
-            self.say(to, "snapshot", term=self.term, base=self.base, state=self.state, at=now)
+            interval = self.timing.heartbeat_interval * (1 if each in self.voters else NON_VOTER_INTERVAL_FACTOR)
+            if now >= self.progress[each].sent_at + interval:
+                self.send_entries(now, each)
+        self.advance_commit_index(now)
+
+    def send_entries(self, now: int, to: str) -> None:
+        """Sends one member the entries that follow its log, or a snapshot if they are compacted."""
+        it = self.progress[to]
+        it.sent_at = now
+        if it.next_index <= self.base[1]:
+            self.enqueue(to, "snapshot", term=self.term, base=self.base, state=self.state, at=now)
             return
-        before = it.next - 1
-        rest = self.log[before - self.base[1]:before - self.base[1] + MOST]
-        self.say(to, "told", term=self.term, before=(self.term_at(before), before),
-                 entries=[list(each) for each in rest], commit=self.commit, at=now)
+        before = it.next_index - 1
+        entries = self.log[before - self.base[1]:before - self.base[1] + MAX_ENTRIES_PER_MESSAGE]
+        self.enqueue(to, "told", term=self.term, before=(self.term_at(before), before),
+                     entries=[list(each) for each in entries], commit=self.commit_index, at=now)
--- a/threadshift/emulator/batches.py
+++ b/threadshift/emulator/batches.py
@@ -15,9 +15,9 @@
 from threadshift.batches.cancels import CLOSED, Cancel, Cancels
 from threadshift.batches.queue import MOMENT, Queue, Waiting
 from threadshift.batches.shelf import Shelf, record
-from threadshift.consensus.book import Book
-from threadshift.consensus.kept import Entry
-from threadshift.consensus.member import Told
+from threadshift.consensus.state_machines import StateMachineRegistry
+from threadshift.consensus.persistent_state import LogEntry
+from threadshift.consensus.member import CommittedEntry
 from threadshift.emulator.record import Node, Record
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
@@ -34,7 +34,7 @@
     def __init__(self, world: Batches, node: Node):
         self.world, self.node, self.began = world, node, node.clock(world.now)
         self.cancels = Cancels()
-        self.book = Book({"batches": self.cancels}, world.voters)
+        self.state_machines = StateMachineRegistry({"batches": self.cancels}, world.voters)
         self.shelf = Shelf(CALLS, node.disk)
         self.queue = Queue(8)
         self.calls: dict[str, Waiting] = {}
@@ -74,7 +74,7 @@
         for it in self.queue.ended(now):
             self.final(it, "cancelled" if it.parked else "rejected")
         member = self.node.member
-        if member is None or member.age(now) is None and now - self.began < HEAR_FIRST:
+        if member is None or member.staleness(now) is None and now - self.began < HEAR_FIRST:
             return
         out = list(self.queue.next(now))
         if out and not self.keep([record("out", ivk=each.ivk) for each in out]):
@@ -108,7 +108,7 @@
             self.world.later(self.world.now + SECOND, partial(self.again, it, final, self.node.life))
 
     def again(self, it: Waiting, final: str, life: int) -> None:
-        if self.node.life == life and self.node.keeper is not None:
+        if self.node.life == life and self.node.durable_member is not None:
             self.final(it, final)
 
     def heard(self, cancels: list[Cancel]) -> None:
@@ -144,29 +144,29 @@
     # The record's nodes carry a front end each.
 
     def carry(self, node: Node) -> None:
-        if node.keeper is not None and node.front_of != node.life:
+        if node.durable_member is not None and node.front_of != node.life:
             node.front_of = node.life
             self.fronts[node.name] = Front(self, node)
             self.look(node, node.life)
         super().carry(node)
 
-    def apply(self, node: Node, index: int, entry: Entry, state: dict[str, Any] | None) -> None:
+    def apply(self, node: Node, index: int, entry: LogEntry, state: dict[str, Any] | None) -> None:
         super().apply(node, index, entry, state)
         front = self.fronts[node.name]
-        told = Told(index, entry, state["book"] if state is not None else None)
-        if front.book.apply(told):
+        told = CommittedEntry(index, entry, state["book"] if state is not None else None)
+        if front.state_machines.apply(told):
             front.heard(list(front.cancels.all.values()))
 
     def snapshot(self, node: Node) -> dict[str, Any]:
-        return {**super().snapshot(node), "book": self.fronts[node.name].book.state()}
+        return {**super().snapshot(node), "book": self.fronts[node.name].state_machines.dump()}
 
     def kill(self, node: Node, kind: str, length: int) -> None:
-        if node.keeper is not None:
+        if node.durable_member is not None:
             self.fronts[node.name].shelf.close()
         super().kill(node, kind, length)
 
     def look(self, node: Node, life: int) -> None:
-        if node.life != life or node.keeper is None:
+        if node.life != life or node.durable_member is None:
             return
         if self.now >= node.frozen:
             self.fronts[node.name].tick()
@@ -181,7 +181,7 @@
     def clients(self, node: Node) -> None:
         if self.now >= self.end:
             return
-        if node.keeper is not None and self.now >= node.frozen:
+        if node.durable_member is not None and self.now >= node.frozen:
             draw, front = self.random, self.fronts[node.name]
             for _ in range(draw.randrange(6)):
                 self.number += 1
@@ -212,7 +212,7 @@
 
     def leaves(self, front: Front, it: Waiting, life: int, tries: int) -> None:
         node = front.node
-        if node.life != life or node.keeper is None or it.over or not it.out or it.tries != tries:
+        if node.life != life or node.durable_member is None or it.over or not it.out or it.tries != tries:
             return
         if self.now < node.frozen:
             self.later(node.frozen + 1, partial(self.leaves, front, it, life, tries))
@@ -234,7 +234,7 @@
 
     def reply(self, node: Node, life: int, at: int, act: Callable[[], None]) -> None:
         def arrives() -> None:
-            if node.life != life or node.keeper is None:
+            if node.life != life or node.durable_member is None:
                 return
             if self.now < node.frozen:
                 self.later(node.frozen + 1, arrives)
--- a/threadshift/emulator/explore.py
+++ b/threadshift/emulator/explore.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, NamedTuple
 
-from threadshift.consensus.kept import Entry, Kept
+from threadshift.consensus.persistent_state import LogEntry, PersistentState
 from threadshift.consensus.member import Member, Message, Timing
 from threadshift.emulator.record import Broken
 
-TIMING = Timing(beat=1_000, lease=9_000)
+TIMING = Timing(heartbeat_interval=1_000, lease=9_000)
 STEP = 5_000               # of time: two of them pass a lease, one a beat
 NAMES = ("a", "b", "c")
 
@@ -42,7 +42,7 @@
     air: list[tuple[str, Message]]
     left: Budget
     now: dict[str, int]
-    known: dict[int, Entry] = field(default_factory=dict)
+    known: dict[int, LogEntry] = field(default_factory=dict)
     path: tuple[str, ...] = ()
     orderly: bool = True       # messages on one link come in their order, as over one connection
 
@@ -61,32 +61,33 @@
 def clone(it: Member) -> Member:
     new = object.__new__(type(it))
     new.__dict__.update(it.__dict__)
-    new.log, new.yes = list(it.log), set(it.yes)
-    new.peers = {name: replace(each) for name, each in it.peers.items()}
+    new.log, new.votes = list(it.log), set(it.votes)
+    new.progress = {name: replace(each) for name, each in it.progress.items()}
     new.records, new.messages = [], []
-    if it.returning is not None:
-        new.returning = replace(it.returning, words=dict(it.returning.words))
+    if it.recovery is not None:
+        new.recovery = replace(it.recovery, answers=dict(it.recovery.answers))
     return new
 
 
 def print_of(it: Member) -> tuple:
-    return (it.term, it.vote, it.role, it.holder, it.heard, it.due, it.commit, it.applied, tuple(map(repr, it.log)),
-            frozenset(it.yes), it.floor, repr(sorted(it.peers.items())), repr(it.returning))
+    return (it.term, it.vote, it.role, it.leader, it.leader_heard_at, it.election_deadline,
+            it.commit_index, it.applied_index, tuple(map(repr, it.log)),
+            frozenset(it.votes), it.floor, repr(sorted(it.progress.items())), repr(it.recovery))
 
 
 def carry(world: World, name: str) -> None:
-    effects = world.members[name].take()
-    if effects.records:
-        world.files[name].append(effects.records)
-    world.air += [(name, each) for each in effects.messages]
-    for told in effects.told:
-        if world.known.setdefault(told.place, told.entry) != told.entry:
-            raise Broken(f"entry {told.place} is {world.known[told.place]} and, at {name}, {told.entry}: "
+    output = world.members[name].take_output()
+    if output.records:
+        world.files[name].append(output.records)
+    world.air += [(name, each) for each in output.messages]
+    for told in output.committed:
+        if world.known.setdefault(told.log_index, told.entry) != told.entry:
+            raise Broken(f"entry {told.log_index} is {world.known[told.log_index]} and, at {name}, {told.entry}: "
                          f"{'; '.join(world.path)}")
 
 
 def check(world: World) -> None:
-    holders = [name for name, each in world.members.items() if each.holds(world.now[name])]
+    holders = [name for name, each in world.members.items() if each.holds_lease(world.now[name])]
     if len(holders) > 1:
         raise Broken(f"{holders} hold at once: {'; '.join(world.path)}")
 
@@ -95,12 +96,12 @@
           path: Sequence[str] = ()) -> World:
     """All take part, and `a` has just come to hold the right; then what `path` says happened."""
     now = 100 * TIMING.lease
-    members = {name: make(now, name, NAMES, (), lambda: 0.5, Kept(), TIMING)
+    members = {name: make(now, name, NAMES, (), lambda: 0.5, PersistentState(), TIMING)
                for name in NAMES}
     world = World(members, {name: [] for name in NAMES}, [], Budget(), dict.fromkeys(NAMES, now))
     for each in members.values():
-        each.returning = None
-    members["a"].due = now
+        each.recovery = None
+    members["a"].election_deadline = now
     members["a"].tick(now)
     carry(world, "a")
     while world.air:
@@ -114,15 +115,15 @@
 
 def heard(world: World, place: int, stays: bool) -> None:
     sender, message = world.air[place] if stays else world.air.pop(place)
-    getattr(world.members[message.to], message.kind)(world.now[message.to], sender, **message.fields)
+    world.members[message.to].receive(world.now[message.to], sender, message.kind, message.fields)
     carry(world, message.to)
 
 
 def killed(world: World, name: str, old: bool, make: Callable[..., Member]) -> None:
     if old:
         world.files[name].pop()
-    kept = Kept.of([record for write in world.files[name] for record in write])
-    world.members[name] = make(world.now[name], name, NAMES, (), lambda: 0.5, kept, TIMING)
+    persistent_state = PersistentState.from_records([record for write in world.files[name] for record in write])
+    world.members[name] = make(world.now[name], name, NAMES, (), lambda: 0.5, persistent_state, TIMING)
     # What was on its way to the life before is gone with its connections; what it had sent may still be read.
     world.air = [each for each in world.air if each[1].to != name]
     carry(world, name)
@@ -139,7 +140,7 @@
 def stands_still(world: World, name: str) -> None:
     """Time passes, and one does nothing in it, its timer included."""
     passes(world, ns=2 * STEP)
-    world.members[name].due += 2 * STEP
+    world.members[name].election_deadline += 2 * STEP
 
 
 def ticks(world: World, name: str) -> None:
@@ -186,7 +187,7 @@
         it.tick(world.now[name])
         if it.messages or print_of(it) != print_of(member):
             yield after(f"{name} ticks", "", ticks, name)
-        if left.propose and member.holds(world.now[name]):
+        if left.propose and member.holds_lease(world.now[name]):
             yield after(f"{name} proposes", "propose", proposes, name)
         if left.kill:
             yield after(f"{name} is killed", "kill", killed, name, False, make)
--- a/threadshift/emulator/record.py
+++ b/threadshift/emulator/record.py
@@ -17,8 +17,8 @@
 from pathlib import Path
 from typing import Any
 
-from threadshift.consensus.keeper import Keeper
-from threadshift.consensus.kept import Entry
+from threadshift.consensus.durable_member import DurableMember
+from threadshift.consensus.persistent_state import LogEntry
 from threadshift.consensus.member import Member, Message, Role, Timing
 from threadshift.emulator.disk import Plate
 from threadshift.errors import ThreadshiftError
@@ -43,7 +43,7 @@
     rate: float
     offset: int
     disk: Plate
-    keeper: Keeper | None = None
+    durable_member: DurableMember | None = None
     state: list[tuple[int, dict[str, Any]]] = field(default_factory=list)      # what it applied
     frozen: int = 0            # until then; what comes meanwhile lies unread
     unread: list[tuple[str, Message]] = field(default_factory=list)
@@ -55,17 +55,17 @@
 
     @property
     def member(self) -> Member | None:
-        return self.keeper.member if self.keeper else None
+        return self.durable_member.member if self.durable_member else None
 
     def holds(self, at: int) -> bool:
-        return self.keeper is not None and self.keeper.member.holds(self.clock(at))
+        return self.durable_member is not None and self.durable_member.member.holds_lease(self.clock(at))
 
 
 class Record:
     """One drawn history. run() raises Broken."""
 
     def __init__(self, seed: int, voters: int = 3, others: int = 2, seconds: int = 30, faults: float = 1.5,
-                 lies: bool = True, make: Callable[..., Keeper] = Keeper):
+                 lies: bool = True, make: Callable[..., DurableMember] = DurableMember):
         self.seed, self.random, self.make = seed, random.Random(seed), make
         self.now, self.end, self.per_second, self.lies = 100 * SECOND, (100 + seconds) * SECOND, faults, lies
         self.voters = [f"v{n}" for n in range(voters)]
@@ -77,7 +77,7 @@
         self.serial = count().__next__
         self.cuts: dict[tuple[str, str], int] = {}
         self.loss = 0
-        self.committed: dict[int, Entry] = {}
+        self.committed: dict[int, LogEntry] = {}
         self.proposed = count(1).__next__
         self.sure: list[int] = []           # indexes told back to who proposed them
         self.events = self.messages = 0
@@ -113,43 +113,43 @@
         node.state, node.unread, node.frozen = [], [], 0
         others = [name for name in self.names if name not in self.voters]
         try:
-            node.keeper = self.make(node.clock(self.now), FILE, node.name, self.voters, others, self.random.random,
-                                    disk=node.disk, timing=Timing())
+            node.durable_member = self.make(node.clock(self.now), FILE, node.name, self.voters, others,
+                                            self.random.random, disk=node.disk, timing=Timing())
         except ThreadshiftError as problem:
             self.note(f"{node.name} does not start: {problem}")
-            node.keeper = None
+            node.durable_member = None
             return
-        self.note(f"{node.name} starts, life {node.life} {node.keeper.aside}")
+        self.note(f"{node.name} starts, life {node.life} {node.durable_member.quarantine_reason}")
         self.carry(node)
         self.beat(node, node.life)
 
     def beat(self, node: Node, life: int) -> None:
-        if node.life != life or node.keeper is None:
+        if node.life != life or node.durable_member is None:
             return
         if self.now >= node.frozen:
-            node.keeper.member.tick(node.clock(self.now))
+            node.durable_member.member.tick(node.clock(self.now))
             self.carry(node)
         self.later(max(self.now + TICK, node.frozen + 1), lambda: self.beat(node, life))
 
     def carry(self, node: Node) -> None:
         """What the live carrier does: keep, send, apply."""
-        while node.keeper is not None:
-            effects = node.keeper.member.take()
-            kept = node.keeper.keep(effects)
+        while node.durable_member is not None:
+            output = node.durable_member.member.take_output()
+            kept = node.durable_member.persist(output)
             if not kept:
-                self.note(f"{node.name} in doubt: {node.keeper.member.doubtful}")
-            for message in effects.messages if kept else ():
+                self.note(f"{node.name} in doubt: {node.durable_member.member.failure}")
+            for message in output.messages if kept else ():
                 self.post(node, message)
-            for told in effects.told if kept else ():
-                self.apply(node, told.place, told.entry, told.state)
-            if not (effects.records or effects.told):
+            for told in output.committed if kept else ():
+                self.apply(node, told.log_index, told.entry, told.state)
+            if not (output.records or output.committed):
                 break
-            node.keeper.shorten(partial(self.snapshot, node))
+            node.durable_member.compact_if_long(partial(self.snapshot, node))
 
     def snapshot(self, node: Node) -> dict[str, Any]:
         return {"log": [list(each) for each in node.state]}
 
-    def apply(self, node: Node, index: int, entry: Entry, state: dict[str, Any] | None) -> None:
+    def apply(self, node: Node, index: int, entry: LogEntry, state: dict[str, Any] | None) -> None:
         if state is not None:
             node.state = [(each[0], each[1]) for each in state["log"]]
             return
@@ -171,7 +171,7 @@
             self.later(self.now + 200_000 + int(late), partial(self.arrive, to, to.life, node.name, message))
 
     def arrive(self, node: Node, life: int, sender: str, message: Message) -> None:
-        if node.keeper is None or node.life != life:
+        if node.durable_member is None or node.life != life:
             return              # a connection ends with the process that it led to
         if self.now < node.frozen:
             node.unread.append((sender, message))
@@ -179,8 +179,8 @@
         self.hear(node, sender, message)
 
     def hear(self, node: Node, sender: str, message: Message) -> None:
-        if node.keeper is not None:
-            getattr(node.keeper.member, message.kind)(node.clock(self.now), sender, **message.fields)
+        if node.durable_member is not None:
+            node.durable_member.member.receive(node.clock(self.now), sender, message.kind, message.fields)
             self.carry(node)
 
     # Faults.
@@ -203,14 +203,14 @@
             self.freeze(node, length)
         elif kind in ("kill", "old", "forget", "flip"):
             self.kill(node, kind if node.name == self.liar and self.lies else "kill", length)
-        elif kind == "refuse" and node.keeper is not None:
+        elif kind == "refuse" and node.durable_member is not None:
             node.disk.refuse = {"sync", "put"}
             self.later(self.now + length, node.disk.refuse.clear)
             self.later(self.now + length + SECOND, lambda: self.kill(node, "kill", SECOND))
         elif kind == "loss":
             self.loss = self.now + length
         elif kind == "leave" and node.member is not None and self.now >= node.frozen:
-            node.member.hand_over(node.clock(self.now))
+            node.member.transfer_leadership(node.clock(self.now))
             self.carry(node)
             self.later(self.now + 200 * MS, lambda: self.kill(node, "kill", length))
         elif kind in ("cut", "one-way"):
@@ -234,17 +234,18 @@
                 self.hear(node, sender, message)
 
     def kill(self, node: Node, kind: str, length: int) -> None:
-        if node.keeper is None:
+        if node.durable_member is None:
             return
-        node.keeper.close()
-        node.keeper = None
+        node.durable_member.close()
+        node.durable_member = None
         node.disk.lies = False
         node.disk.refuse.clear()
         node.disk.crash(back=self.random.randint(1, 6) if kind in ("old", "forget") else 0)
         if kind == "flip" and FILE in node.disk.cached:
             node.disk.flip(FILE, self.random.randrange(1 << 30), self.random.randint(1, 255))
         life = node.life
-        self.later(self.now + length, lambda: self.start(node) if node.life == life and not node.keeper else None)
+        self.later(self.now + length,
+                   lambda: self.start(node) if node.life == life and not node.durable_member else None)
 
     def heal(self) -> None:
         self.cuts.clear()
@@ -257,7 +258,7 @@
                 self.wake(node, node.life)
             if node.member is None:
                 self.start(node)
-            elif node.member.doubtful or node.member.given_up:
+            elif node.member.failure or node.member.has_resigned:
                 self.kill(node, "kill", 0)
 
     # What has to hold.
@@ -282,7 +283,7 @@
             self.sure.append(index)
 
     def settled(self) -> None:
-        if not any(node.member is not None and node.member.role is Role.HOLDING for node in self.nodes.values()):
+        if not any(node.member is not None and node.member.role is Role.LEADER for node in self.nodes.values()):
             raise self.broken("nobody holds, long after all faults were over")
         if self.longest_without > 60 * SECOND:
             raise self.broken("nobody held for a minute")
--- a/threadshift/eviction/force.py
+++ b/threadshift/eviction/force.py
@@ -39,7 +39,7 @@
 class Forces:
     """The machine."""
 
-    words = {"evict.set": 1, "evict.complaint": 1}
+    entry_forms = {"evict.set": 1, "evict.complaint": 1}
 
     def __init__(self) -> None:
         self.now = Force()
--- a/threadshift/gateway/batch_service.py
+++ b/threadshift/gateway/batch_service.py
@@ -174,7 +174,7 @@
             self.final(it, Answer(FinalKind.REJECTED, "cancelled") if it.parked
                        else Answer(FinalKind.REJECTED, "time-up"))
         if not self.front.api.closing and (
-                self.carrier.member.age(clock()) is not None or now - self.started >= HEAR_FIRST):
+                self.carrier.member.staleness(clock()) is not None or now - self.started >= HEAR_FIRST):
             out = []
             for it in self.queue.next(now):
                 if not self.front.api.capacity.has_room(it.tenant):
--- a/threadshift/gateway/replicated_services.py
+++ b/threadshift/gateway/replicated_services.py
@@ -9,8 +9,8 @@
 
 from threadshift.batches.cancels import Cancels
 from threadshift.conf.peering import Peering
-from threadshift.consensus.book import Machine
-from threadshift.consensus.member import Told
+from threadshift.consensus.state_machines import StateMachine
+from threadshift.consensus.member import CommittedEntry
 from threadshift.eviction.force import Forces
 from threadshift.gateway.batch_service import BatchService, Front
 from threadshift.gateway.eviction_service import EvictionService
@@ -32,7 +32,8 @@
         self.front, self.told_peers = front, told
         self.told_forms = 0
         self.cancels, self.forces, self.rollouts = Cancels(), Forces(), Rollouts()
-        machines: dict[str, Machine] = {"batches": self.cancels, "eviction": self.forces, "rollouts": self.rollouts}
+        machines: dict[str, StateMachine] = {
+            "batches": self.cancels, "eviction": self.forces, "rollouts": self.rollouts}
         self.carrier = Carrier(told, front.name, machines, self, front.chance, disk)
         self.eviction_service = EvictionService(front, self.carrier, self.forces)
         self.carrier.answers["policies"] = self.eviction_service.policies
@@ -64,9 +65,10 @@
     def tick(self, at: int) -> None:
         self.batch_service.tick(at)
         self.eviction_service.tick(at)
-        if at - self.told_forms >= FORMS and self.carrier.member.age(now()) is not None:
+        if at - self.told_forms >= FORMS and self.carrier.member.staleness(now()) is not None:
             self.told_forms = at
-            if self.carrier.book.reads.get(self.front.name) != self.carrier.book.forms:
+            if (self.carrier.state_machines.announced_forms.get(self.front.name)
+                    != self.carrier.state_machines.supported_forms):
                 gevent.spawn(self.tell_forms)
 
     def tell_forms(self) -> None:
@@ -74,7 +76,7 @@
         with suppress(NotHeard):
             self.carrier.tell_forms(ENTER)
 
-    def told(self, told: Told, changed: bool) -> None:
+    def told(self, told: CommittedEntry, changed: bool) -> None:
         """An entry was applied, or all of them at once."""
         if told.state is not None:
             self.batch_service.told(list(self.cancels.all.values()))
@@ -115,7 +117,7 @@
     @property
     def leaving(self) -> int:
         """ns that handing over may take."""
-        return LEAVE * self.told_peers.timing.beat
+        return LEAVE * self.told_peers.timing.heartbeat_interval
 
     def leave(self) -> None:
         self.carrier.leave()
--- a/threadshift/gateway/rollout_service.py
+++ b/threadshift/gateway/rollout_service.py
@@ -92,7 +92,7 @@
 
     def report(self, name: str = "", say: dict[str, Any] | None = None) -> dict[str, Any]:
         it = self.rollouts.under_way
-        heard = self.carrier.member.age(now()) is not None
+        heard = self.carrier.member.staleness(now()) is not None
         sums = {type_: [*row[:5], list(row[5])] for type_, row in self.sums.items()}
         turned = sum(count for kind, count in self.front.api.refusal_counters.totals().items()
                      if not kind.startswith(FINALS))
@@ -192,7 +192,8 @@
             gevent.spawn(self.gather)
         told, self.due = self.due, []
         for it in self.rollouts.all.values():
-            if it.state == DONE and it.what.get("eviction") and f"evict-{it.id}" not in self.carrier.book.ids:
+            if (it.state == DONE and it.what.get("eviction")
+                    and f"evict-{it.id}" not in self.carrier.state_machines.ids):
                 told.append({"do": "evict.set", "id": f"evict-{it.id}", "why": f"rollout {it.id}",
                              **it.what["eviction"]})
         return told
@@ -200,7 +201,7 @@
     def gather(self) -> None:
         found = self.carrier.ask_all("report", {}, TELL)
         at = now()
-        if self.carrier.member.holds(at):
+        if self.carrier.member.holds_lease(at):
             self.conductor.fed(at, {name: self.read(told) for name, told in found.items()})
             self.due = self.conductor.due(at)
 
--- a/threadshift/peers/carrier.py
+++ b/threadshift/peers/carrier.py
@@ -16,9 +16,9 @@
 from gevent.queue import Empty, Full, Queue
 
 from threadshift.conf.peering import Peering
-from threadshift.consensus.book import Book, Machine
-from threadshift.consensus.keeper import Keeper
-from threadshift.consensus.member import Told
+from threadshift.consensus.state_machines import StateMachineRegistry, StateMachine
+from threadshift.consensus.durable_member import DurableMember
+from threadshift.consensus.member import CommittedEntry
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
 from threadshift.log import exception_fields
@@ -53,22 +53,22 @@
 class Follower(Protocol):
     """Who is told what the record says."""
 
-    def told(self, told: Told, changed: bool) -> None: ...
+    def told(self, told: CommittedEntry, changed: bool) -> None: ...
     def note(self, event: str, **fields: Any) -> None: ...
 
 
 class Carrier:
-    def __init__(self, told: Peering, name: str, machines: Mapping[str, Machine], owner: Follower,
+    def __init__(self, told: Peering, name: str, machines: Mapping[str, StateMachine], owner: Follower,
                  chance: Callable[[], float], disk: Disk | None = None,
                  answers: Mapping[str, Callable[[str, dict[str, Any]], dict[str, Any]]] | None = None):
         """`answers` has who answers which of the peers' questions. Raises what opening the file raises."""
         self.told, self.name, self.owner = told, name, owner
         told.folder.mkdir(parents=True, exist_ok=True)
         voters = list(told.voters)
-        self.keeper = Keeper(now(), Path(told.folder) / f"{name}.record", name, voters,
+        self.durable_member = DurableMember(now(), Path(told.folder) / f"{name}.record", name, voters,
                              [each.name for each in told.peers], chance, disk, told.timing)
-        self.member = self.keeper.member
-        self.book = Book(machines, voters)
+        self.member = self.durable_member.member
+        self.state_machines = StateMachineRegistry(machines, voters)
         self.answers = {"propose": self.offered, **(answers or {})}
         self.duties: list[Callable[[int], list[dict[str, Any]]]] = []
         self.began: list[Callable[[], None]] = []       # called when we come to hold the right
@@ -86,8 +86,8 @@
         self.holding, self.doubt, self.holder = False, "", ""
         self.life, self.serial = life, 0
         self.greenlet: gevent.Greenlet | None = None
-        if self.keeper.aside:
-            self.note("record-put-aside", level="error", problem=self.keeper.aside,
+        if self.durable_member.quarantine_reason:
+            self.note("record-put-aside", level="error", problem=self.durable_member.quarantine_reason,
                       help="none: all of it is learnt again from the other voters; look at the disk")
 
     def note(self, event: str, **fields: Any) -> None:
@@ -112,7 +112,7 @@
                 self.step(act)
             except Exception as fault:      # ours: this member promises nothing more, and calls go on
                 self.note("record-fault", level="error", **exception_fields(fault))
-                self.member.doubt(f"a fault of ours: {fault!r}"[:300])
+                self.member.mark_failed(f"a fault of ours: {fault!r}"[:300])
 
     def step(self, act: Callable[[int], None] | None) -> None:
         at = now()
@@ -132,48 +132,48 @@
     def carry(self) -> None:
         """Keep, send, tell; what telling brings the member to is carried as well."""
         while True:
-            effects = self.member.take()
-            if effects.records and not self.member.doubtful:
-                kept = gevent.get_hub().threadpool.apply(self.keeper.keep, (effects,))
+            output = self.member.take_output()
+            if output.records and not self.member.failure:
+                kept = gevent.get_hub().threadpool.apply(self.durable_member.persist, (output,))
             else:
-                kept = self.keeper.keep(effects)
-            if self.member.doubtful and self.member.doubtful != self.doubt:
-                self.doubt = self.member.doubtful
+                kept = self.durable_member.persist(output)
+            if self.member.failure and self.member.failure != self.doubt:
+                self.doubt = self.member.failure
                 self.note("record-in-doubt", level="error", problem=self.doubt,
                           help="this front end votes for nobody until it is started again on a disk that holds")
             if not kept:
                 continue
-            for message in effects.messages:
+            for message in output.messages:
                 if message.to in self.links:
                     self.links[message.to].say(message.kind, message.fields)
-            for told in effects.told:
-                changed = self.book.apply(told)
+            for told in output.committed:
+                changed = self.state_machines.apply(told)
                 self.owner.told(told, changed)
-            if effects.told:
+            if output.committed:
                 news, self.news = self.news, Event()
                 news.set()
-                self.keeper.shorten(self.book.state)
-            if not (effects.records or effects.told):
+                self.durable_member.compact_if_long(self.state_machines.dump)
+            if not (output.records or output.committed):
                 return
 
     def duty(self, at: int) -> None:
         """What falls to who holds the right, and only to it: asked at this moment, not remembered."""
-        holds = self.member.holds(at)
+        holds = self.member.holds_lease(at)
         if holds != self.holding:
             self.holding = holds
             self.note("record-held" if holds else "record-let-go", term=self.member.term)
             if holds:
                 for begin in self.began:
                     begin()
-        if self.member.holder and self.member.holder != self.holder:
-            self.holder = self.member.holder
+        if self.member.leader and self.member.leader != self.holder:
+            self.holder = self.member.leader
             self.note("record-holder", holder=self.holder, term=self.member.term)
         if not holds:
             return
         for duty in self.duties:
             for body in duty(at):
                 id_ = body["id"]
-                if id_ not in self.book.ids and at - self.proposed.get(id_, -REPROPOSE) >= REPROPOSE:
+                if id_ not in self.state_machines.ids and at - self.proposed.get(id_, -REPROPOSE) >= REPROPOSE:
                     self.proposed[id_] = at
                     self.member.propose(at, body)
         if len(self.proposed) > WAITING:
@@ -181,7 +181,7 @@
 
     def leave(self) -> None:
         """In order: whoever holds the right hands it over before it goes."""
-        self.put(self.member.hand_over)
+        self.put(self.member.transfer_leadership)
 
     def stop(self) -> None:
         if self.greenlet is not None:
@@ -189,7 +189,7 @@
         for link in self.links.values():
             link.stop()
         self.door.stop()
-        self.keeper.close()
+        self.durable_member.close()
 
     # What peers say.
 
@@ -199,7 +199,7 @@
 
     def heard(self, name: str, life: int, hear: str, say: dict[str, Any]) -> None:
         self.alive(name, life)
-        self.put(lambda at: getattr(self.member, hear)(at, name, **say))
+        self.put(lambda at: self.member.receive(at, name, hear, say))
 
     def questioned(self, name: str, what: str, say: dict[str, Any]) -> dict[str, Any]:
         answer = self.answers.get(what)
@@ -215,9 +215,9 @@
         body = say["body"]
         if not isinstance(body, dict) or not isinstance(body.get("id"), str) or not isinstance(body.get("do"), str):
             raise ValueError("an entry has a 'do' and an 'id'")
-        if self.member.holds(now()) and body["id"] not in self.book.ids:
+        if self.member.holds_lease(now()) and body["id"] not in self.state_machines.ids:
             self.put(lambda at: self.enter(at, body))
-        return {"holder": self.member.holder}
+        return {"holder": self.member.leader}
 
     # What this front end asks of the record. Any greenlet may; none that carries a call does.
 
@@ -227,12 +227,12 @@
 
     def propose(self, body: dict[str, Any], limit: int) -> Any:
         """Offers an entry until it is told back, at most `limit` ns: what came of it. Raises NotHeard, TooNew."""
-        if body.get("form", 1) > self.book.may_write(body["do"]):
+        if body.get("form", 1) > self.state_machines.writable_form(body["do"]):
             raise TooNew(f"form {body['form']} of '{body['do']}' is not read by every voter yet")
         if len(repr(body)) > LONGEST_BODY:
             raise ValueError("an entry is too long")
         id_, until, again = body["id"], time.monotonic_ns() + limit, 0
-        while id_ not in self.book.ids:
+        while id_ not in self.state_machines.ids:
             at = time.monotonic_ns()
             if at >= until:
                 raise NotHeard(f"entry {id_} was not told back within {limit // MS} ms")
@@ -240,11 +240,12 @@
                 again = at + RETRY
                 self.offer(body)
             self.news.wait((min(until, again) - at) / SECOND)
-        return self.book.results.get(id_)
+        return self.state_machines.results.get(id_)
 
     def tell_forms(self, limit: int) -> None:
         """Enters which entries this program reads. Raises NotHeard."""
-        self.propose({"do": "reads", "id": self.new_id("reads"), "who": self.name, "forms": self.book.forms}, limit)
+        self.propose({"do": "reads", "id": self.new_id("reads"), "who": self.name,
+                      "forms": self.state_machines.supported_forms}, limit)
 
     def catch_up(self, limit: int) -> None:
         """Returns once all that the record told anybody before this was asked is applied here: an entry of ours that
@@ -261,14 +262,14 @@
             self.catching.release()
 
     def enter(self, at: int, body: dict[str, Any]) -> None:
-        if body["id"] not in self.book.ids:
+        if body["id"] not in self.state_machines.ids:
             self.member.propose(at, body)
 
     def offer(self, body: dict[str, Any]) -> None:
-        if self.member.holds(now()):
+        if self.member.holds_lease(now()):
             self.put(lambda at: self.enter(at, body))
-        elif self.member.holder in self.links:
-            gevent.spawn(self.links[self.member.holder].ask, "propose", {"body": body}, RETRY)
+        elif self.member.leader in self.links:
+            gevent.spawn(self.links[self.member.leader].ask, "propose", {"body": body}, RETRY)
 
     def ask_all(self, what: str, fields: dict[str, Any], limit: int) -> dict[str, dict[str, Any] | None]:
         """One question to all at once, ourselves among them; None of those that did not answer in time."""
@@ -279,11 +280,13 @@
 
     def status(self) -> dict[str, Any]:
         at, it = now(), self.member
-        age = it.age(at)
-        return {"role": it.role.value, "term": it.term, "holder": it.holder, "holds": it.holds(at),
-                "age-ms": None if age is None else age // MS, "entries": it.commit, "applied": self.book.place,
-                "returning": it.returning is not None, "doubt": it.doubtful, "unknown": len(self.book.strange),
-                "reads": sorted(self.book.reads),
+        age = it.staleness(at)
+        return {"role": it.role.value, "term": it.term, "holder": it.leader, "holds": it.holds_lease(at),
+                "age-ms": None if age is None else age // MS, "entries": it.commit_index,
+                "applied": self.state_machines.applied_index,
+                "returning": it.recovery is not None, "doubt": it.failure,
+                "unknown": len(self.state_machines.unknown_entries),
+                "reads": sorted(self.state_machines.announced_forms),
                 "stood-still": self.hearing.blamed, "dropped": self.dropped,
                 "peers": {name: {"link": self.links[name].up, "problem": self.links[name].problem,
                                  "silent": self.hearing.silent(at, name), "lives": heard.lives,
--- a/threadshift/rollout/plan.py
+++ b/threadshift/rollout/plan.py
@@ -59,8 +59,8 @@
 class Rollouts:
     """The machine."""
 
-    words = {"rollout.start": 1, "rollout.take": 1, "rollout.pause": 1, "rollout.resume": 1, "rollout.back": 1,
-             "rollout.done": 1}
+    entry_forms = {"rollout.start": 1, "rollout.take": 1, "rollout.pause": 1, "rollout.resume": 1, "rollout.back": 1,
+                   "rollout.done": 1}
 
     def __init__(self) -> None:
         self.all: dict[str, Rollout] = {}
