--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -211,7 +211,7 @@
             with Live(4, work_ms=1, extra=extra) as live:
                 if kind == "on":
                     until(lambda it=live.front: it.replicated_services
-                          and it.replicated_services.carrier.status()["holds"], 10)
+                          and it.replicated_services.consensus.status()["holds"], 10)
                 done = [0]
 
                 def loop(it=live, done=done) -> None:
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -300,7 +300,7 @@
             disk = it.front.disk = Faulty()
             with it, closing(it.client()) as client:
                 until(lambda: it.front.replicated_services
-                      and it.front.replicated_services.carrier.status()["holds"], 10)
+                      and it.front.replicated_services.consensus.status()["holds"], 10)
                 batching = it.front.replicated_services.batch_service
                 answer = client.request("POST", "/v1/functions/check-a/calls", {
                     "Prefer": "respond-async", "Batch": "eve"}, b'{"mark":"m","work_ms":300}')
--- a/threadshift/emulator/record.py
+++ b/threadshift/emulator/record.py
@@ -132,7 +132,7 @@
         self.later(max(self.now + TICK, node.frozen + 1), lambda: self.beat(node, life))
 
     def carry(self, node: Node) -> None:
-        """What the live carrier does: keep, send, apply."""
+        """What the live consensus service does: keep, send, apply."""
         while node.durable_member is not None:
             output = node.durable_member.member.take_output()
             kept = node.durable_member.persist(output)
--- a/threadshift/gateway/batch_service.py
+++ b/threadshift/gateway/batch_service.py
@@ -27,8 +27,8 @@
 from threadshift.invoke.http import Exchange
 from threadshift.invoke.requests import Problem, Response
 from threadshift.log import exception_fields
-from threadshift.peers.carrier import Carrier, NotHeard
-from threadshift.peers.carrier import now as clock
+from threadshift.peers.consensus_service import ConsensusService, NotHeard
+from threadshift.peers.consensus_service import now as clock
 
 PART = 4                   # of the activations that may be under way, one part is for batches: others find the rest
 TELL = 700 * MS            # within which peers tell their counts, or are named as not heard
@@ -64,10 +64,10 @@
 
 
 class BatchService:
-    def __init__(self, front: Front, carrier: Carrier, cancels: Cancels, folder: Path, undo: int,
+    def __init__(self, front: Front, consensus: ConsensusService, cancels: Cancels, folder: Path, undo: int,
                  disk: Any = None):
         """Raises what opening the shelf raises."""
-        self.front, self.carrier, self.cancels, self.undo = front, carrier, cancels, undo
+        self.front, self.consensus, self.cancels, self.undo = front, consensus, cancels, undo
         self.shelf = Shelf(folder / f"{front.name}.calls", disk)
         self.queue = Queue(max(1, front.told.bounds.activations // PART))
         self.calls: dict[str, tuple[Waiting, Call, DeferredCall]] = {}
@@ -174,7 +174,7 @@
             self.final(it, Answer(FinalKind.REJECTED, "cancelled") if it.parked
                        else Answer(FinalKind.REJECTED, "time-up"))
         if not self.front.api.closing and (
-                self.carrier.member.staleness(clock()) is not None or now - self.started >= HEAR_FIRST):
+                self.consensus.member.staleness(clock()) is not None or now - self.started >= HEAR_FIRST):
             out = []
             for it in self.queue.next(now):
                 if not self.front.api.capacity.has_room(it.tenant):
@@ -312,7 +312,7 @@
     def everywhere(self, tenant: str, batch: str) -> tuple[Counts, int, list[str]]:
         """How a batch stands at all who are heard, what of its tenant waits, and who was not heard."""
         say = {"tenant": tenant, "batch": batch}
-        found = self.carrier.ask_all("batch", say, TELL)
+        found = self.consensus.query_all("batch", say, TELL)
         told = [each for each in found.values() if each is not None and "nearest" in each]
         all_ = Counts(**{name: sum(each[name] for each in told) for name in STOPPED})
         all_.nearest = min((each["nearest"] for each in told if each["nearest"]), default=0)
@@ -354,10 +354,10 @@
         if not (before.waiting or before.out or before.parked or silent):
             raise Problem(404, "no-such-batch", f"nothing of batch {batch!r} waits or is out at any front end"
                                                 + (f"; {before.done} calls of it are done" if before.done else ""))
-        id_ = self.carrier.new_id("cancel")
+        id_ = self.consensus.new_id("cancel")
         part = before.waiting / waits if waits else 0.0
-        done = self.carrier.propose({"do": "batch.cancel", "id": id_, "tenant": tenant, "batch": batch, "part": part,
-                                     "window": self.undo, "at": time.time_ns()}, ENTER)
+        done = self.consensus.propose({"do": "batch.cancel", "id": id_, "tenant": tenant, "batch": batch,
+                                       "part": part, "window": self.undo, "at": time.time_ns()}, ENTER)
         it = done or self.cancels.all[id_]
         counts, _, silent = self.everywhere(tenant, batch)
         return {**self.tell(it), "already": it.id != id_, "stopped": told_counts(counts), "not-heard": silent}
@@ -366,7 +366,7 @@
         """Raises NoSuchCancel, CancelOver, NotHeard."""
         it = self.known(tenant, id_)
         if it.state == OPEN:
-            self.carrier.propose({"do": "batch.restore", "id": f"restore-{id_}", "cancel": id_}, ENTER)
+            self.consensus.propose({"do": "batch.restore", "id": f"restore-{id_}", "cancel": id_}, ENTER)
         if it.state == CLOSED:
             raise CancelOver(f"cancel {id_} is closed: what it stopped was answered as cancelled")
         counts, _, silent = self.everywhere(tenant, it.batch)
@@ -378,7 +378,7 @@
         try:
             return self.cancels.find(id_, tenant)
         except NoSuchCancel:
-            self.carrier.catch_up(ENTER)
+            self.consensus.catch_up(ENTER)
             return self.cancels.find(id_, tenant)
 
     def tell(self, it: Cancel) -> dict[str, Any]:
--- a/threadshift/gateway/eviction_service.py
+++ b/threadshift/gateway/eviction_service.py
@@ -13,7 +13,7 @@
 from threadshift.eviction.policies import digest
 from threadshift.interface import SECOND
 from threadshift.links.codec import Frame
-from threadshift.peers.carrier import Carrier, NotHeard
+from threadshift.peers.consensus_service import ConsensusService, NotHeard
 
 EACH = SECOND              # between two words to each worker, where nothing else is said
 ENTER = 5 * SECOND         # until an entry must have been told back
@@ -31,8 +31,8 @@
 
 
 class EvictionService:
-    def __init__(self, front: Links, carrier: Carrier, forces: Forces):
-        self.front, self.carrier, self.forces = front, carrier, forces
+    def __init__(self, front: Links, consensus: ConsensusService, forces: Forces):
+        self.front, self.consensus, self.forces = front, consensus, forces
         self.evictor = Evictor(front.name)
         self.has: dict[str, dict[str, str]] = {}         # worker: its policies, with their digests
         self.epochs: dict[str, int] = {}                 # worker: the epoch that it goes by
@@ -82,12 +82,12 @@
         self.complained.add((node, epoch))
         self.front.note("policy-complaint", level="warning", node=node, epoch=epoch, what=what[:200])
         self.enter({"do": "evict.complaint", "id": f"complaint-{node}-{epoch}", "node": node, "epoch": epoch,
-                    "what": what[:200], "of": max(1, len(self.has) + len(self.carrier.links) + 1)})
+                    "what": what[:200], "of": max(1, len(self.has) + len(self.consensus.links) + 1)})
 
     def enter(self, body: dict[str, Any]) -> None:
         def run() -> None:
             try:
-                self.carrier.propose(body, ENTER)
+                self.consensus.propose(body, ENTER)
             except NotHeard:
                 self.complained.discard((body["node"], body["epoch"]))      # again, with its next word
         gevent.spawn(run)
@@ -126,7 +126,7 @@
 
     def everywhere(self) -> tuple[dict[str, dict[str, str]], dict[str, int], list[str]]:
         """All nodes heard with their policies, the epochs they go by, and front ends that were not heard."""
-        found = self.carrier.ask_all("policies", {}, TELL)
+        found = self.consensus.query_all("policies", {}, TELL)
         nodes: dict[str, dict[str, str]] = {}
         epochs: dict[str, int] = {}
         for each in found.values():
@@ -138,7 +138,7 @@
     def set(self, policy: str, parameters: dict[str, int], why: str, silent_too: bool = False) -> dict[str, Any]:
         """Puts a policy in force for all. Raises Lacking, NotHeard."""
         body = self.checked(policy, parameters, silent_too)
-        self.carrier.propose({"do": "evict.set", "id": self.carrier.new_id("evict"), "why": why, **body}, ENTER)
+        self.consensus.propose({"do": "evict.set", "id": self.consensus.new_id("evict"), "why": why, **body}, ENTER)
         return self.show()
 
     def checked(self, policy: str, parameters: dict[str, int], silent_too: bool = False) -> dict[str, Any]:
--- a/threadshift/gateway/replicated_services.py
+++ b/threadshift/gateway/replicated_services.py
@@ -16,7 +16,7 @@
 from threadshift.gateway.eviction_service import EvictionService
 from threadshift.gateway.rollout_service import RolloutService
 from threadshift.interface import SECOND
-from threadshift.peers.carrier import Carrier, NotHeard, now
+from threadshift.peers.consensus_service import ConsensusService, NotHeard, now
 from threadshift.rollout.plan import Rollouts
 
 FORMS = 10 * SECOND        # between two looks whether the record knows what this program reads
@@ -34,28 +34,28 @@
         self.cancels, self.forces, self.rollouts = Cancels(), Forces(), Rollouts()
         machines: dict[str, StateMachine] = {
             "batches": self.cancels, "eviction": self.forces, "rollouts": self.rollouts}
-        self.carrier = Carrier(told, front.name, machines, self, front.chance, disk)
-        self.eviction_service = EvictionService(front, self.carrier, self.forces)
-        self.carrier.answers["policies"] = self.eviction_service.policies
+        self.consensus = ConsensusService(told, front.name, machines, self, front.chance, disk)
+        self.eviction_service = EvictionService(front, self.consensus, self.forces)
+        self.consensus.query_handlers["policies"] = self.eviction_service.policies
         front.deferred_calls.eviction_order = self.eviction_service.evictor.order
-        self.rollout_service = RolloutService(front, told, self.carrier, self.rollouts, self.eviction_service,
+        self.rollout_service = RolloutService(front, told, self.consensus, self.rollouts, self.eviction_service,
                                              version, front.api.recent)
-        self.carrier.answers["report"] = self.rollout_service.report
-        self.carrier.duties.append(self.rollout_service.duties)
-        self.carrier.began.append(self.rollout_service.conductor.new_holder)
+        self.consensus.query_handlers["report"] = self.rollout_service.report
+        self.consensus.duties.append(self.rollout_service.duties)
+        self.consensus.election_listeners.append(self.rollout_service.conductor.new_holder)
         try:
-            self.batch_service = BatchService(front, self.carrier, self.cancels, told.folder, told.undo, disk)
+            self.batch_service = BatchService(front, self.consensus, self.cancels, told.folder, told.undo, disk)
         except BaseException:
-            self.carrier.stop()
+            self.consensus.stop()
             raise
-        self.carrier.answers["batch"] = self.batch_service.counts
-        self.carrier.duties.append(self.cancels.due)
-        self.carrier.began.append(self.cancels.new_holder)
+        self.consensus.query_handlers["batch"] = self.batch_service.counts
+        self.consensus.duties.append(self.cancels.due)
+        self.consensus.election_listeners.append(self.cancels.new_holder)
 
     def start(self) -> None:
         """Raises OSError; nothing is left open then."""
         try:
-            self.carrier.start()
+            self.consensus.start()
         except OSError:
             self.stop()
             raise
@@ -65,18 +65,18 @@
     def tick(self, at: int) -> None:
         self.batch_service.tick(at)
         self.eviction_service.tick(at)
-        if at - self.told_forms >= FORMS and self.carrier.member.staleness(now()) is not None:
+        if at - self.told_forms >= FORMS and self.consensus.member.staleness(now()) is not None:
             self.told_forms = at
-            if (self.carrier.state_machines.announced_forms.get(self.front.name)
-                    != self.carrier.state_machines.supported_forms):
+            if (self.consensus.state_machines.announced_forms.get(self.front.name)
+                    != self.consensus.state_machines.supported_forms):
                 gevent.spawn(self.tell_forms)
 
     def tell_forms(self) -> None:
         """Which entries this program reads: a later form is written only once every voter reads it."""
         with suppress(NotHeard):
-            self.carrier.tell_forms(ENTER)
+            self.consensus.announce_forms(ENTER)
 
-    def told(self, told: CommittedEntry, changed: bool) -> None:
+    def on_committed(self, told: CommittedEntry, changed: bool) -> None:
         """An entry was applied, or all of them at once."""
         if told.state is not None:
             self.batch_service.told(list(self.cancels.all.values()))
@@ -120,15 +120,15 @@
         return LEAVE * self.told_peers.timing.heartbeat_interval
 
     def leave(self) -> None:
-        self.carrier.leave()
+        self.consensus.leave()
 
     def stop(self) -> None:
         self.batch_service.stop()
-        self.carrier.stop()
+        self.consensus.stop()
 
     def status(self) -> dict[str, Any]:
         force = self.forces.now
-        return {"record": self.carrier.status(), "batches": self.batch_service.status(), "at": now(),
+        return {"record": self.consensus.status(), "batches": self.batch_service.status(), "at": now(),
                 "eviction": {"epoch": force.epoch, "policy": force.policy,
                              "own": self.eviction_service.evictor.force.epoch,
                              "lacks": self.eviction_service.evictor.lacks, "workers": self.eviction_service.epochs},
--- a/threadshift/gateway/rollout_service.py
+++ b/threadshift/gateway/rollout_service.py
@@ -26,7 +26,7 @@
 from threadshift.gateway.version_files import VersionFiles
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.api import Counts
-from threadshift.peers.carrier import Carrier, now
+from threadshift.peers.consensus_service import ConsensusService, now
 from threadshift.rollout.conduct import Conductor, Report
 from threadshift.rollout.judge import BUCKETS, Sums, bucket
 from threadshift.rollout.plan import CHECKING, DONE, STAGES, NoRollout, Rollout, Rollouts, UnderWay
@@ -49,9 +49,9 @@
 
 
 class RolloutService:
-    def __init__(self, front: Front, told: Peering, carrier: Carrier, rollouts: Rollouts,
+    def __init__(self, front: Front, told: Peering, consensus: ConsensusService, rollouts: Rollouts,
                  eviction_service: EvictionService, version: str, counts: Counts):
-        self.front, self.told_peers, self.carrier, self.rollouts = front, told, carrier, rollouts
+        self.front, self.told_peers, self.consensus, self.rollouts = front, told, consensus, rollouts
         self.eviction_service, self.version, self.counts = eviction_service, version, counts
         self.versions = VersionFiles(told.folder, front.name)
         self.conductor = Conductor(rollouts, told.peers)
@@ -92,12 +92,12 @@
 
     def report(self, name: str = "", say: dict[str, Any] | None = None) -> dict[str, Any]:
         it = self.rollouts.under_way
-        heard = self.carrier.member.staleness(now()) is not None
+        heard = self.consensus.member.staleness(now()) is not None
         sums = {type_: [*row[:5], list(row[5])] for type_, row in self.sums.items()}
         turned = sum(count for kind, count in self.front.api.refusal_counters.totals().items()
                      if not kind.startswith(FINALS))
         sums[DOOR] = [turned + self.front.engine.counts["taken"], turned, 0, 0, 0, [0] * BUCKETS]
-        return {"version": self.version, "life": self.carrier.life, "failed": self.versions.read_failed(),
+        return {"version": self.version, "life": self.consensus.life, "failed": self.versions.read_failed(),
                 "up": time.monotonic_ns() - self.started if heard else 0,
                 "can": self.can.get(it.id, "?") if it is not None else "",
                 "sums": sums,
@@ -193,15 +193,15 @@
         told, self.due = self.due, []
         for it in self.rollouts.all.values():
             if (it.state == DONE and it.what.get("eviction")
-                    and f"evict-{it.id}" not in self.carrier.state_machines.ids):
+                    and f"evict-{it.id}" not in self.consensus.state_machines.ids):
                 told.append({"do": "evict.set", "id": f"evict-{it.id}", "why": f"rollout {it.id}",
                              **it.what["eviction"]})
         return told
 
     def gather(self) -> None:
-        found = self.carrier.ask_all("report", {}, TELL)
+        found = self.consensus.query_all("report", {}, TELL)
         at = now()
-        if self.carrier.member.holds_lease(at):
+        if self.consensus.member.holds_lease(at):
             self.conductor.fed(at, {name: self.read(told) for name, told in found.items()})
             self.due = self.conductor.due(at)
 
@@ -226,8 +226,8 @@
         stages = [float(each) for each in told.get("stages", STAGES)]
         if not stages or stages != sorted(stages) or stages[-1] != 1.0 or stages[0] < 0:
             raise BadChange("stages are shares that grow up to 1")
-        id_ = self.carrier.new_id("rollout")
-        self.carrier.propose({"do": "rollout.start", "id": id_, "what": what, "stages": stages, "who": who,
+        id_ = self.consensus.new_id("rollout")
+        self.consensus.propose({"do": "rollout.start", "id": id_, "what": what, "stages": stages, "who": who,
                               "hold": int(float(told.get("hold-s", 60)) * SECOND)}, ENTER)
         if id_ not in self.rollouts.all:
             raise UnderWay("another rollout was begun first")
@@ -236,19 +236,19 @@
     def move(self, word: str, id_: str, why: str) -> dict[str, Any]:
         """pause, resume or abort. Raises NoRollout, NotHeard."""
         if (it := self.rollouts.under_way) is None or id_ and it.id != id_:
-            self.carrier.catch_up(ENTER)        # it may have been told elsewhere, and not have come here yet
+            self.consensus.catch_up(ENTER)        # it may have been told elsewhere, and not have come here yet
             it = self.rollouts.under_way
         if it is None or id_ and it.id != id_:
             raise NoRollout(f"no rollout {id_} goes on".replace("  ", " "))
         do = {"pause": "rollout.pause", "resume": "rollout.resume", "abort": "rollout.back"}[word]
-        self.carrier.propose({"do": do, "id": self.carrier.new_id(word), "rollout": it.id, "why": why}, ENTER)
+        self.consensus.propose({"do": do, "id": self.consensus.new_id(word), "rollout": it.id, "why": why}, ENTER)
         return self.show(it.id)
 
     def show(self, id_: str = "") -> dict[str, Any]:
         it = self.rollouts.all.get(id_) or next(reversed(self.rollouts.all.values()), None)
         if it is None:
             raise NoRollout("there was none yet")
-        found = self.carrier.ask_all("report", {}, TELL)
+        found = self.consensus.query_all("report", {}, TELL)
         return {"rollout": it.id, "state": it.state, "stage": it.stage, "stages": it.stages, "taken": it.taken,
                 "why": it.why, "who": it.who,
                 "runs": {name: each["version"] if each else None for name, each in sorted(found.items())},
--- a/threadshift/peers/__init__.py
+++ b/threadshift/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Front ends of one installation that speak with each other: links, and the record that they keep."""
+"""Connections between the front ends of one installation, and the replicated log that runs over them."""
--- a/threadshift/peers/link.py
+++ b/threadshift/peers/link.py
@@ -1,8 +1,8 @@
 """Connections between front ends, over the frames and the connection code of links/.
 
-What we say to a peer goes over a connection that we dialled, what it says to us over one that it did; so a way that
-is cut is cut for one direction of speech. Nothing here decides; what is not taken at once by a full buffer is
-dropped, and the record asks again."""
+Messages to a peer go over a connection that this process dialled, messages from the peer over one that the peer
+dialled; so a network fault in one direction affects one direction of messages only. What a full buffer does not take
+at once is dropped, and the consensus protocol sends it again."""
 from __future__ import annotations
 
 import time
@@ -21,94 +21,95 @@
 from threadshift.links.outbox import Outbox
 from threadshift.links.redial import ReconnectBackoff
 from threadshift.links.sockets import READ, arriving, connect, listener, write_out
-from threadshift.peers.words import checked
+from threadshift.peers.messages import validate_message
 
-BUFFER = 8 << 20           # bytes waiting for one peer: two snapshots
-LONGEST = 8 << 20          # bytes of a frame: a snapshot
-CONNECT = SECOND
-WRITE = 2 * SECOND         # a peer that takes no byte for so long is dialled anew
-# an incoming connection on which nothing comes for so long is ended; beats come each second
-QUIET = 20 * SECOND
-MOST_REDIAL = 500 * MS     # a peer that returns is found within this
+MAX_BUFFERED = 8 << 20     # bytes waiting for one peer: two snapshots
+MAX_FRAME_SIZE = 8 << 20   # bytes: a snapshot
+CONNECT_TIMEOUT = SECOND
+WRITE_TIMEOUT = 2 * SECOND         # a peer that takes no byte for so long is dialled again
+# an incoming connection without data for so long is closed; heartbeats come each second
+IDLE_TIMEOUT = 20 * SECOND
+MAX_REDIAL_PAUSE = 500 * MS        # a peer that returns is reached within this
 
 
-class Owner(Protocol):
-    """Who hears peers."""
+class PeerLinkOwner(Protocol):
+    """Receives what peers send."""
 
-    def heard(self, name: str, life: int, hear: str, say: dict[str, Any]) -> None: ...
-    def alive(self, name: str, life: int) -> None: ...
-    def questioned(self, name: str, what: str, say: dict[str, Any]) -> dict[str, Any]: ...
+    def on_message(self, name: str, life: int, kind: str, fields: dict[str, Any]) -> None: ...
+    def on_contact(self, name: str, life: int) -> None: ...
+    def answer_query(self, name: str, what: str, fields: dict[str, Any]) -> dict[str, Any]: ...
     def note(self, event: str, **fields: Any) -> None: ...
 
 
 class PeerLink:
-    """What we say to one peer. Its greenlets are started with the first word and ended by stop()."""
+    """The connection to one peer. Its greenlets are started by the first message and ended by stop()."""
 
-    def __init__(self, peer: Peer, hello: dict[str, Any], owner: Owner, chance: Callable[[], float]):
+    def __init__(self, peer: Peer, hello: dict[str, Any], owner: PeerLinkOwner, chance: Callable[[], float]):
         self.peer, self.hello, self.owner = peer, hello, owner
-        self.outbox = Outbox(BUFFER)
-        self.backoff = ReconnectBackoff(chance, MOST_REDIAL)
+        self.outbox = Outbox(MAX_BUFFERED)
+        self.backoff = ReconnectBackoff(chance, MAX_REDIAL_PAUSE)
         self.wake = Event()
-        self.asked: dict[int, AsyncResult] = {}
-        self.number = count(1).__next__
-        self.up = self.stopped = False
+        self.pending_queries: dict[int, AsyncResult] = {}
+        self.next_query_id = count(1).__next__
+        self.is_up = self.stopped = False
         self.problem = ""
         self.greenlet: gevent.Greenlet | None = None
 
-    def say(self, hear: str, fields: dict[str, Any]) -> None:
-        """A message of the record. While the link is down it is dropped: the record says it again, newer."""
+    def send_message(self, kind: str, fields: dict[str, Any]) -> None:
+        """Sends a consensus message. While the link is down it is dropped: the protocol sends a newer one later."""
         self.start()
-        if self.up and self.outbox.put(None, encode("record", hear=hear, say=fields)):
+        if self.is_up and self.outbox.put(None, encode("record", hear=kind, say=fields)):
             self.wake.set()
 
-    def ask(self, what: str, fields: dict[str, Any], limit: int) -> dict[str, Any] | None:
-        """Waits at most `limit` ns for the reply; None where none came."""
+    def query(self, what: str, fields: dict[str, Any], limit: int) -> dict[str, Any] | None:
+        """Waits at most `limit` ns for the reply; None if there was none."""
         self.start()
-        id_, result = self.number(), AsyncResult()
-        self.asked[id_] = result
+        id_, result = self.next_query_id(), AsyncResult()
+        self.pending_queries[id_] = result
         try:
             with gevent.Timeout(limit / SECOND, False):
-                while not self.up:
+                while not self.is_up:
                     gevent.sleep(0.01)
                 if self.outbox.put(None, encode("question", id=id_, what=what, say=fields)):
                     self.wake.set()
                     return result.get()
             return None
         finally:
-            self.asked.pop(id_, None)
+            self.pending_queries.pop(id_, None)
 
     def start(self) -> None:
         if self.greenlet is None and not self.stopped:
             self.greenlet = gevent.spawn(self.run)
 
     def run(self) -> None:
+        """Dials the peer again after each loss of the connection."""
         while not self.stopped:
-            sock, writer, said = None, None, ""
+            sock, writer, problem_text = None, None, ""
             try:
-                sock = connect(self.peer.address, CONNECT)
+                sock = connect(self.peer.address, CONNECT_TIMEOUT)
                 sock.sendall(encode("hello", version=VERSION, name=self.hello["name"], to=self.peer.name,
                                     life=self.hello["life"], voters=self.hello["voters"]))
-                frames = Frames(LONGEST)
+                frames = Frames(MAX_FRAME_SIZE)
                 writer = gevent.spawn(self.write, sock)
                 self.read(sock, frames)
-                said = "closed by the peer"
+                problem_text = "closed by the peer"
             except (OSError, ProtocolError) as problem:
-                said = str(problem) or type(problem).__name__
+                problem_text = str(problem) or type(problem).__name__
             finally:
-                was, self.up = self.up, False
+                was_up, self.is_up = self.is_up, False
                 if writer is not None:
                     writer.kill()
                 if sock is not None:
                     sock.close()
                 self.outbox.clear()
-            if was or said != self.problem:
-                self.owner.note("peer-lost", peer=self.peer.name, problem=said)
-            self.problem = said
+            if was_up or problem_text != self.problem:
+                self.owner.note("peer-lost", peer=self.peer.name, problem=problem_text)
+            self.problem = problem_text
             gevent.sleep(max(0, self.backoff.on_disconnected(time.monotonic_ns()) - time.monotonic_ns()) / SECOND)
 
     def read(self, sock: socket.socket, frames: Frames) -> None:
-        """The peer's hello, then replies."""
-        sock.settimeout(CONNECT / SECOND)
+        """Reads the peer's hello, then its replies to queries, until the connection is closed."""
+        sock.settimeout(CONNECT_TIMEOUT / SECOND)
         while data := sock.recv(READ):
             for frame in frames.feed(data):
                 kind = frame["kind"]
@@ -116,25 +117,25 @@
                     raise ProtocolError(frame["reason"][:200])
                 if kind == "hello":
                     if frame["name"] != self.peer.name:
-                        raise ProtocolError(f"this is {self.peer.name}'s address, and {frame['name'][:64]!r} answers")
-                    self.up, self.problem = True, ""
+                        raise ProtocolError(f"{self.peer.name} was dialled, and {frame['name'][:64]!r} answers")
+                    self.is_up, self.problem = True, ""
                     self.backoff.on_connected(time.monotonic_ns())
                     self.wake.set()
-                    sock.settimeout(None)       # silence is judged where beats are, not here
+                    sock.settimeout(None)       # the consensus protocol detects silence, by missing heartbeats
                 elif kind == "reply":
-                    if (waits := self.asked.get(frame["id"])) is not None:
-                        waits.set(frame["say"])
+                    if (result := self.pending_queries.get(frame["id"])) is not None:
+                        result.set(frame["say"])
                 else:
                     raise ProtocolError(f"'{kind}' is no reply")
 
     def write(self, sock: socket.socket) -> None:
         try:
             while True:
-                if self.up:
-                    write_out(sock, self.outbox, WRITE)
+                if self.is_up:
+                    write_out(sock, self.outbox, WRITE_TIMEOUT)
                 self.wake.clear()
-                if not self.wake.wait(QUIET / 4 / SECOND) and self.up:
-                    self.outbox.put(None, encode("ping"))       # who only follows says nothing to most others
+                if not self.wake.wait(IDLE_TIMEOUT / 4 / SECOND) and self.is_up:
+                    self.outbox.put(None, encode("ping"))       # a non-voter has no other messages for most peers
         except OSError:
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
@@ -145,27 +146,27 @@
             self.greenlet.kill()
 
 
-class Door:
-    """Where peers say what they have to say to us. Who is not of the configuration is refused."""
+class PeerListener:
+    """Accepts the connections of peers. Front ends outside the configuration are refused."""
 
-    def __init__(self, told: Peering, name: str, life: int, digest: str, owner: Owner):
-        self.told, self.name, self.life, self.digest, self.owner = told, name, life, digest, owner
-        self.peers = {each.name: each for each in told.peers if each.name != name}
-        self.open: dict[str, socket.socket] = {}        # by name: the newest connection of each
+    def __init__(self, peering: Peering, name: str, life: int, digest: str, owner: PeerLinkOwner):
+        self.peering, self.name, self.life, self.digest, self.owner = peering, name, life, digest, owner
+        self.peers = {each.name: each for each in peering.peers if each.name != name}
+        self.connections: dict[str, socket.socket] = {}     # by name: the newest connection of each peer
         self.greenlets: set[gevent.Greenlet] = set()
         self.sock: socket.socket | None = None
 
     def start(self) -> None:
         """Raises OSError."""
-        me = self.told.peer(self.name)
-        assert me is not None
-        self.sock = listener(me.address, shared=False)
+        own_entry = self.peering.peer(self.name)
+        assert own_entry is not None
+        self.sock = listener(own_entry.address, shared=False)
         self.spawn(self.accept)
 
-    def spawn(self, act: Callable[..., None], *words: Any) -> None:
-        it = gevent.spawn(act, *words)
-        self.greenlets.add(it)
-        it.link(self.greenlets.discard)
+    def spawn(self, function: Callable[..., None], *arguments: Any) -> None:
+        greenlet = gevent.spawn(function, *arguments)
+        self.greenlets.add(greenlet)
+        greenlet.link(self.greenlets.discard)
 
     def accept(self) -> None:
         assert self.sock is not None
@@ -173,59 +174,60 @@
             if len(self.greenlets) > 4 * len(self.peers) + 16:
                 sock.close()
                 continue
-            self.spawn(self.converse, sock)
+            self.spawn(self.serve_connection, sock)
 
-    def converse(self, sock: socket.socket) -> None:
-        name, frames, life = "", Frames(LONGEST), 0
+    def serve_connection(self, sock: socket.socket) -> None:
+        name, frames, life = "", Frames(MAX_FRAME_SIZE), 0
         try:
-            sock.settimeout(QUIET / SECOND)
+            sock.settimeout(IDLE_TIMEOUT / SECOND)
             while data := sock.recv(READ):
                 for frame in frames.feed(data):
                     if not name:
-                        name, life = self.greet(sock, frame)
+                        name, life = self.handshake(sock, frame)
                     elif frame["kind"] == "record":
-                        self.owner.heard(name, life, frame["hear"], checked(frame["hear"], frame["say"]))
+                        self.owner.on_message(name, life, frame["hear"],
+                                              validate_message(frame["hear"], frame["say"]))
                     elif frame["kind"] == "question":
-                        self.question(sock, name, frame)
+                        self.answer_query(sock, name, frame)
                     elif frame["kind"] == "ping":
-                        self.owner.alive(name, life)
+                        self.owner.on_contact(name, life)
                     else:
-                        raise ProtocolError(f"'{frame['kind']}' is not for a peer to say")
+                        raise ProtocolError(f"'{frame['kind']}' is not allowed from a peer")
         except ProtocolError as problem:
             self.owner.note("peer-refused", peer=name, problem=str(problem))
             with suppress(OSError):
                 sock.settimeout(0)
                 sock.send(encode("refused", reason=str(problem)[:1000]))
         except OSError:
-            pass                    # it dials again
+            pass                    # the peer dials again
         finally:
-            if self.open.get(name) is sock:
-                del self.open[name]
+            if self.connections.get(name) is sock:
+                del self.connections[name]
             sock.close()
 
-    def greet(self, sock: socket.socket, frame: Frame) -> tuple[str, int]:
-        """The peer's name and life. Raises ProtocolError."""
+    def handshake(self, sock: socket.socket, frame: Frame) -> tuple[str, int]:
+        """Checks and answers the peer's hello; returns its name and the life of its process. Raises ProtocolError."""
         if frame["kind"] != "hello" or frame["version"] != VERSION:
-            raise ProtocolError("a peer says hello first, in version 1")
+            raise ProtocolError("the first frame of a peer must be a hello in version 1")
         name, life = frame["name"], frame.get("life")
         if name not in self.peers:
             raise ProtocolError(f"{name[:64]!r} is no front end of this installation's configuration")
         if frame.get("to") != self.name:
             raise ProtocolError(f"this is {self.name}, and {str(frame.get('to'))[:64]!r} was dialled")
         if not isinstance(life, int) or life < 0:
-            raise ProtocolError("hello: 'life' is no time")
+            raise ProtocolError("hello: 'life' is not a valid time")
         if frame.get("voters") != self.digest:
-            raise ProtocolError("its configuration names other voters than ours: nothing is held in common with it")
-        before = self.open.get(name)
+            raise ProtocolError("its configuration names other voters, so it cannot share the replicated log")
+        before = self.connections.get(name)
         if before is not None:
-            with suppress(OSError):         # an earlier life, or a connection that is gone
+            with suppress(OSError):         # of an earlier process of the peer, or already closed
                 before.shutdown(socket.SHUT_RDWR)
-        self.open[name] = sock
+        self.connections[name] = sock
         sock.sendall(encode("hello", version=VERSION, name=self.name, life=self.life))
         return name, life
 
-    def question(self, sock: socket.socket, name: str, frame: Frame) -> None:
-        reply = self.owner.questioned(name, frame["what"], frame["say"])
+    def answer_query(self, sock: socket.socket, name: str, frame: Frame) -> None:
+        reply = self.owner.answer_query(name, frame["what"], frame["say"])
         sock.sendall(encode("reply", id=frame["id"], say=reply))
 
     def stop(self) -> None:
