--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -15,29 +15,29 @@
 from threadshift.storage.journal import CorruptJournal, Journal, WriteError, decode_records, encode_record
 
 
-class Journals(unittest.TestCase):
+class JournalFiles(unittest.TestCase):
     def setUp(self):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path = Path(folder.name) / "registry"
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.path = Path(directory.name) / "registry"
 
-    def writer(self):
-        it = Journal(self.path, write=True)
-        self.addCleanup(it.close)
-        return it, list(it.read())
+    def open_writer(self):
+        journal = Journal(self.path, write=True)
+        self.addCleanup(journal.close)
+        return journal, list(journal.read())
 
-    def test_cut_at_every_byte_it_holds_every_whole_record_and_goes_on(self):
+    def test_file_cut_at_any_byte_has_every_complete_record_and_is_writable(self):
         told = [{"n": n, "text": "x" * n} for n in range(6)]
         data = b"".join(map(encode_record, told))
         ends = [len(b"".join(map(encode_record, told[:n]))) for n in range(7)]
         for cut in range(len(data) + 1):
-            for tail in (b"", b"\0" * 40):      # a file system may have made room and written nothing
+            for tail in (b"", b"\0" * 40):      # a file system may have allocated space and written nothing
                 self.path.write_bytes(data[:cut] + tail)
                 whole = sum(end <= cut for end in ends[1:])
-                it, found = self.writer()
+                journal, found = self.open_writer()
                 self.assertEqual(found, told[:whole], (cut, tail))
-                it.append({"later": cut})
-                it.close()
+                journal.append({"later": cut})
+                journal.close()
                 self.assertEqual(list(Journal(self.path).read()), [*told[:whole], {"later": cut}])
 
     @settings(max_examples=150, deadline=None, derandomize=True)
@@ -53,75 +53,76 @@
             return
         self.assertEqual(found, told[:-1])      # only the last may pass for a torn write
 
-    def test_one_writer_at_a_time_and_readers_beside_it(self):
-        it, _ = self.writer()
+    def test_one_writer_and_several_readers_at_a_time(self):
+        journal, _ = self.open_writer()
         reader = Journal(self.path)
-        it.append({"a": 1})
+        journal.append({"a": 1})
         self.assertEqual(list(reader.read()), [{"a": 1}])
-        it.append({"b": 2})
+        journal.append({"b": 2})
         self.assertEqual(list(reader.read()), [{"b": 2}])
         with self.assertRaisesRegex(WriteError, "another process"):
             Journal(self.path, write=True)
 
-    def test_a_full_disk_leaves_nothing_of_the_record(self):
-        it, _ = self.writer()
-        it.append({"a": 1})
+    def test_full_disk_leaves_no_part_of_the_record(self):
+        journal, _ = self.open_writer()
+        journal.append({"a": 1})
         before = self.path.read_bytes()
         for fault in ("full", "full 2"):
             disk = Faulty()
-            it.close()
-            it = Journal(self.path, write=True, disk=disk)
-            self.assertEqual(list(it.read()), [{"a": 1}])
+            journal.close()
+            journal = Journal(self.path, write=True, disk=disk)
+            self.assertEqual(list(journal.read()), [{"a": 1}])
             disk.order(*fault.split())
             with self.assertRaises(WriteError):
-                it.append({"b": 2})
+                journal.append({"b": 2})
             self.assertEqual(self.path.read_bytes(), before)
         with self.assertRaises(WriteError):
-            it.append({"b": 2})
-        it.append({"c": 3})
+            journal.append({"b": 2})
+        journal.append({"c": 3})
         self.assertEqual(list(Journal(self.path).read()), [{"a": 1}, {"c": 3}])
-        it.close()
+        journal.close()
 
-    def test_after_a_sync_that_failed_no_more_is_written_until_it_is_opened_anew(self):
-        # Guards against going on over a page cache that may be gone: what came after would stand on nothing.
+    def test_after_a_failed_sync_nothing_is_written_until_the_file_is_opened_again(self):
+        # Guards against writes after a failed fsync: the kernel may have dropped the pages, so that later records
+        # would follow lost ones.
         disk = Faulty()
-        it = Journal(self.path, write=True, disk=disk)
-        it.append({"a": 1})
+        journal = Journal(self.path, write=True, disk=disk)
+        journal.append({"a": 1})
         disk.order("sync-fails")
         for record in ({"b": 2}, {"c": 3}):
             with self.assertRaisesRegex(WriteError, "Input/output|opened anew"):
-                it.append(record)
-        it.close()
-        it, found = self.writer()
+                journal.append(record)
+        journal.close()
+        journal, found = self.open_writer()
         self.assertEqual(found, [{"a": 1}])
-        it.append({"d": 4})
+        journal.append({"d": 4})
         self.assertEqual(list(Journal(self.path).read()), [{"a": 1}, {"d": 4}])
 
-    def test_a_disk_that_forgets_brings_back_what_stood_before(self):
+    def test_disk_that_ignores_syncs_returns_to_the_earlier_content(self):
         disk = Faulty()
-        it = Journal(self.path, write=True, disk=disk)
-        it.append({"a": 1})
+        journal = Journal(self.path, write=True, disk=disk)
+        journal.append({"a": 1})
         disk.order("forgets")
-        it.append({"b": 2})
-        it.append({"c": 3})
+        journal.append({"b": 2})
+        journal.append({"c": 3})
         self.assertEqual(list(Journal(self.path, disk=disk).read()), [{"a": 1}, {"b": 2}, {"c": 3}])
-        it.close()
-        self.assertEqual(self.writer()[1], [{"a": 1}])
+        journal.close()
+        self.assertEqual(self.open_writer()[1], [{"a": 1}])
 
-    def test_begun_anew_the_old_file_or_the_new_one_is_there_at_any_moment(self):
-        it, _ = self.writer()
+    def test_rewrite_leaves_the_old_or_the_new_file_at_any_moment(self):
+        journal, _ = self.open_writer()
         for n in range(5):
-            it.append({"n": n})
+            journal.append({"n": n})
         reader = Journal(self.path)
         list(reader.read())
-        it.rewrite({"snapshot": 4})
-        it.append({"n": 5})
+        journal.rewrite({"snapshot": 4})
+        journal.append({"n": 5})
         self.assertEqual(list(reader.read()), [{"snapshot": 4}, {"n": 5}])
         for verb in ("os.rename", "os.fsync", "os.write"):
             with mock.patch(verb, side_effect=OSError(errno.EIO, "no")), self.assertRaises(WriteError):
-                it.rewrite({"snapshot": 5})
-            it.close()
-            it, found = self.writer()
+                journal.rewrite({"snapshot": 5})
+            journal.close()
+            journal, found = self.open_writer()
             self.assertEqual(found, [{"snapshot": 4}, {"n": 5}])
 
     @settings(max_examples=200, deadline=None, derandomize=True)
@@ -152,15 +153,15 @@
                 self.assertIn(found, (told, told + tried))
                 told = found
 
-    def test_killed_at_any_moment_all_that_was_acknowledged_is_there(self):
+    def test_acknowledged_records_survive_a_kill_at_any_moment(self):
         program = ("import sys; from pathlib import Path; from threadshift.storage.journal import Journal\n"
                    "it = Journal(Path(sys.argv[1]), write=True); n = len(list(it.read()))\n"
                    "while True:\n    it.append({'n': n}); print(n, flush=True); n += 1\n")
         acknowledged = 0
-        for turn in range(4):
+        for round_ in range(4):
             child = subprocess.Popen([sys.executable, "-c", program, str(self.path)], stdout=subprocess.PIPE,
                                      text=True)
-            for _ in range(5 + 17 * turn):
+            for _ in range(5 + 17 * round_):
                 acknowledged = int(child.stdout.readline()) + 1
             child.send_signal(signal.SIGKILL)
             rest = child.stdout.read().split("\n")
--- a/threadshift/consensus/member.py
+++ b/threadshift/consensus/member.py
@@ -252,8 +252,8 @@
         self.has_resigned = True
         if self.role is not Role.LEADER:
             return
-        successors = [(it.match_index, it.acknowledged_at, each)
-                      for each, it in self.progress.items() if it.is_durable]
+        successors = [(peer.match_index, peer.acknowledged_at, name)
+                      for name, peer in self.progress.items() if peer.is_durable]
         self.become_follower(now, self.term, "")
         if successors:
             self.enqueue(max(successors)[2], "handed", term=self.term)
@@ -411,20 +411,20 @@
         if term > self.term:
             self.become_follower(now, term, "")
             return
-        it = self.progress.get(sender)
-        if self.role is not Role.LEADER or term != self.term or it is None or at < it.acknowledged_at or at > now:
+        peer = self.progress.get(sender)
+        if self.role is not Role.LEADER or term != self.term or peer is None or at < peer.acknowledged_at or at > now:
             return
-        it.acknowledged_at, it.is_durable = at, keeps
+        peer.acknowledged_at, peer.is_durable = at, keeps
         if yes:
-            it.match_index, it.next_index = min(index, self.last_index), min(index, self.last_index) + 1
+            peer.match_index, peer.next_index = min(index, self.last_index), min(index, self.last_index) + 1
         else:
-            it.match_index, it.next_index = 0, max(1, min(it.next_index - 1, index + 1))
+            peer.match_index, peer.next_index = 0, max(1, min(peer.next_index - 1, index + 1))
             self.send_entries(now, sender)
         commit_before = self.commit_index
         self.advance_commit_index(now)
         if self.commit_index > commit_before:
             self.replicate(now)
-        elif yes and it.next_index <= self.last_index and now > at:
+        elif yes and peer.next_index <= self.last_index and now > at:
             self.send_entries(now, sender)
 
     def advance_commit_index(self, now: int) -> None:
@@ -514,12 +514,12 @@
 
     def send_entries(self, now: int, to: str) -> None:
         """Sends one member the entries that follow its log, or a snapshot if they are compacted."""
-        it = self.progress[to]
-        it.sent_at = now
-        if it.next_index <= self.base[1]:
+        peer = self.progress[to]
+        peer.sent_at = now
+        if peer.next_index <= self.base[1]:
             self.enqueue(to, "snapshot", term=self.term, base=self.base, state=self.state, at=now)
             return
-        before = it.next_index - 1
+        before = peer.next_index - 1
         entries = self.log[before - self.base[1]:before - self.base[1] + MAX_ENTRIES_PER_MESSAGE]
         self.enqueue(to, "told", term=self.term, before=(self.term_at(before), before),
                      entries=[list(each) for each in entries], commit=self.commit_index, at=now)
--- a/threadshift/storage/__init__.py
+++ b/threadshift/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Records that last: an append-only file with snapshots, on a disk that may fail or lie."""
+"""Durable records: an append-only journal with snapshots, on disks that may fail or lose data."""
--- a/threadshift/storage/disk.py
+++ b/threadshift/storage/disk.py
@@ -1,5 +1,6 @@
-"""What is asked of a disk, in the few verbs that storage needs, so that a test or a day can put one that lies in its
-place. Files are named by path; one is kept open from its first write on, until close()."""
+"""The few disk operations that storage needs, so that tests and fault scenarios can replace them by a faulty disk.
+
+Files are identified by path. A file stays open from its first write until close()."""
 from __future__ import annotations
 
 import fcntl
@@ -9,17 +10,17 @@
 
 
 class Disk:
-    """The operating system's. Every verb may raise OSError."""
+    """The file system of the operating system. Every method may raise OSError."""
 
     def __init__(self) -> None:
         self.descriptors: dict[Path, int] = {}
 
     def read(self, path: Path) -> bytes:
-        """All of a file. Raises FileNotFoundError where there is none."""
+        """Returns the whole file. Raises FileNotFoundError."""
         return path.read_bytes()
 
     def create(self, path: Path) -> None:
-        """An empty file that lasts under its name, never over one that another process made meanwhile."""
+        """Creates a durable empty file, unless another process has created one under this name in the meantime."""
         temporary = path.with_name(f"{path.name}.{os.getpid()}.new")
         self.write_whole(temporary, b"")
         with suppress(FileExistsError):
@@ -28,28 +29,29 @@
         self.sync_directory(path.parent)
 
     def put(self, path: Path, data: bytes) -> None:
-        """A file with this content in place of the one that stands there: the old or the new, at any moment."""
+        """Replaces a file atomically and durably: at any moment either the old or the new content is there."""
         temporary = path.with_name(f"{path.name}.{os.getpid()}.new")
         self.write_whole(temporary, data)
         os.rename(temporary, path)
         self.sync_directory(path.parent)
-        self.close(path)                # what was open is the old one
+        self.close(path)                # the open descriptor is that of the old file
 
     def write(self, path: Path, offset: int, data: bytes) -> None:
-        """Bytes from this place on; not yet lasting."""
+        """Writes bytes at this offset. They are not durable before sync()."""
         written = os.pwrite(self.descriptor(path), data, offset)
         if written != len(data):
-            raise OSError(f"{written} of {len(data)} bytes were taken")
+            raise OSError(f"only {written} of {len(data)} bytes were written")
 
     def sync(self, path: Path) -> None:
-        """What was written lasts when this returns. Where it fails, nobody knows what of it does."""
+        """Makes all writes durable. After a failure it is unknown which of them are."""
         os.fsync(self.descriptor(path))
 
     def truncate(self, path: Path, size: int) -> None:
         os.ftruncate(self.descriptor(path), size)
 
     def lock(self, path: Path) -> int:
-        """Until released, or the end of the process: nobody else's. Raises BlockingIOError."""
+        """Locks a file until release() or the end of the process. Raises BlockingIOError if another one has the
+        lock."""
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT, 0o644)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -66,7 +68,7 @@
         if descriptor >= 0:
             os.close(descriptor)
 
-    # Small things.
+    # Helpers.
 
     def descriptor(self, path: Path) -> int:
         if path not in self.descriptors:
