--- a/tests/drawn.py
+++ b/tests/drawn.py
@@ -1,4 +1,4 @@
-"""Mixtures of faults between real processes, drawn from a seed, around a batch that is cancelled and restored."""
+"""Random mixtures of faults between real processes, while a batch is cancelled and restored."""
 import random
 import time
 
@@ -9,54 +9,56 @@
 from threadshift.invoke.client import NoAnswer
 
 FAULTS = ("freeze", "kill", "cut", "forth", "back", "delay", "reset", "tear")
-STEPS = 5
+STEPS = 5                  # of one mixture
 
 
 def play(seed):
-    """What it broke, and a line of what was done. Each step has one fault and one order of a client."""
-    draw, said = random.Random(seed), []
-    with Several(undo="5s") as it:
-        it.until(it.holder)
-        ids = {name: it.submit(name, "eve", 12, draw.choice(("submit-a", "check-a")), 80, 25_000)
-               for name in it.names}
+    """Runs one mixture, drawn from the seed; each step has one fault and one order of a client. Returns the violated
+    rules and a line with the actions."""
+    draw, actions = random.Random(seed), []
+    with Several(undo="5s") as cluster:
+        cluster.until(cluster.holder)
+        ids = {name: cluster.submit(name, "eve", 12, draw.choice(("submit-a", "check-a")), 80, 25_000)
+               for name in cluster.names}
         cancels, frozen = [], ""
         for _ in range(STEPS):
-            fault, name = draw.choice(FAULTS), draw.choice(it.names)
-            said.append(f"{fault} {name}")
-            if fault == "freeze" and not frozen and it.status(name):
+            fault, name = draw.choice(FAULTS), draw.choice(cluster.names)
+            actions.append(f"{fault} {name}")
+            if fault == "freeze" and not frozen and cluster.status(name):
                 frozen = name
-                it.freeze(name)
-                gevent.spawn_later(draw.uniform(0.5, 4), it.wake, name)
+                cluster.freeze(name)
+                gevent.spawn_later(draw.uniform(0.5, 4), cluster.wake, name)
             elif fault == "kill" and name != frozen:
-                it.kill(name)
-                it.start(name)
+                cluster.kill(name)
+                cluster.start(name)
             elif fault in ("cut", "forth", "back"):
-                it.cut(draw.sample(it.names, draw.randint(1, 2)), draw.randint(1, 4), fault)
+                cluster.cut(draw.sample(cluster.names, draw.randint(1, 2)), draw.randint(1, 4), fault)
             else:
                 torn = f"tear {draw.randrange(1, 200)}"
-                word = {"delay": "delay 3s 150", "reset": "reset", "tear": torn}.get(fault)
-                if word:
-                    it.rig.processes["relay"].order(f"* {word}")
-            asks, order = draw.choice(it.names), draw.choice(("cancel", "restore", "restore"))
+                relay_order = {"delay": "delay 3s 150", "reset": "reset", "tear": torn}.get(fault)
+                if relay_order:
+                    cluster.rig.processes["relay"].order(f"* {relay_order}")
+            front_end, order = draw.choice(cluster.names), draw.choice(("cancel", "restore", "restore"))
             path = "/v1/batches/eve/cancel" if order == "cancel" or not cancels else (
                 f"/v1/cancels/{draw.choice(cancels)}/restore")
             try:
-                status, told = it.ask(asks, "POST", path, limit=6)
-                said.append(f"{asks} {path.split('/')[-1]} {status}")
-                if status == 200 and told["cancel"] not in cancels:
-                    cancels.append(told["cancel"])
+                status, answer = cluster.ask(front_end, "POST", path, limit=6)
+                actions.append(f"{front_end} {path.split('/')[-1]} {status}")
+                if status == 200 and answer["cancel"] not in cancels:
+                    cancels.append(answer["cancel"])
             except NoAnswer:
-                said.append(f"{asks} does not answer")
+                actions.append(f"{front_end} does not answer")
             gevent.sleep(draw.uniform(0.2, 1.5))
         if frozen:
-            it.until(lambda: it.status(frozen), 10)
-        it.heal()
-        it.until(lambda: all(it.status(name) for name in it.names), 20)
+            cluster.until(lambda: cluster.status(frozen), 10)
+        cluster.heal()
+        cluster.until(lambda: all(cluster.status(name) for name in cluster.names), 20)
         end = time.monotonic() + 45
-        while time.monotonic() < end and not all(all(it.finals(name, some)) for name, some in ids.items()):
+        while time.monotonic() < end and not all(all(cluster.finals(name, some_ids))
+                                                 for name, some_ids in ids.items()):
             gevent.sleep(0.2)
-        open_ = [f"{name}: {found.count(None)} calls have no answer" for name, some in ids.items()
-                 if None in (found := it.finals(name, some))]
-        runs = [each for each in it.lines("run") if each["mark"]]
-        broken = open_ + [str(each) for each in together.told(it.told, runs)]
-        return broken, f"seed {seed}: {', '.join(said)}; {len(runs)} runs"
+        open_ = [f"{name}: {answers.count(None)} calls have no answer" for name, some_ids in ids.items()
+                 if None in (answers := cluster.finals(name, some_ids))]
+        runs = [each for each in cluster.lines("run") if each["mark"]]
+        broken = open_ + [str(each) for each in together.told(cluster.told, runs)]
+        return broken, f"seed {seed}: {', '.join(actions)}; {len(runs)} runs"
