--- a/threadshift/consensus/member.py
+++ b/threadshift/consensus/member.py
@@ -286,10 +286,10 @@
         set if the leader asked it to stand."""
         if not self.can_vote or sender not in self.voters:
             return
-        hears_leader = self.role is Role.LEADER and now < self.lease_end() or (
+        has_live_leader = self.role is Role.LEADER and now < self.lease_end() or (
             self.leader_heard_at > 0 and now - self.leader_heard_at < self.timing.lease)
         is_up_to_date = tuple(last) >= max(self.last_position, self.floor[1]) and term > self.floor[0]
-        if hears_leader and not handed:
+        if has_live_leader and not handed:
             yes = False                     # a leader that is heard is not replaced, and no term is started for it
         elif pre:
             yes = term > self.term and is_up_to_date
