--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -27,18 +27,18 @@
         return journal, list(journal.read())
 
     def test_file_cut_at_any_byte_has_every_complete_record_and_is_writable(self):
-        told = [{"n": n, "text": "x" * n} for n in range(6)]
-        data = b"".join(map(encode_record, told))
-        ends = [len(b"".join(map(encode_record, told[:n]))) for n in range(7)]
+        written = [{"n": n, "text": "x" * n} for n in range(6)]
+        data = b"".join(map(encode_record, written))
+        ends = [len(b"".join(map(encode_record, written[:n]))) for n in range(7)]
         for cut in range(len(data) + 1):
             for tail in (b"", b"\0" * 40):      # a file system may have allocated space and written nothing
                 self.path.write_bytes(data[:cut] + tail)
-                whole = sum(end <= cut for end in ends[1:])
+                complete = sum(end <= cut for end in ends[1:])
                 journal, found = self.open_writer()
-                self.assertEqual(found, told[:whole], (cut, tail))
+                self.assertEqual(found, written[:complete], (cut, tail))
                 journal.append({"later": cut})
                 journal.close()
-                self.assertEqual(list(Journal(self.path).read()), [*told[:whole], {"later": cut}])
+                self.assertEqual(list(Journal(self.path).read()), [*written[:complete], {"later": cut}])
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(st.integers(0, 10_000), st.integers(1, 255))
--- a/threadshift/peers/consensus_service.py
+++ b/threadshift/peers/consensus_service.py
@@ -85,7 +85,7 @@
         self.inbox: Queue = Queue(MAX_QUEUED)
         self.dropped = 0
         self.applied_event = Event()                    # set, and replaced by a new one, when entries were applied
-        # caught_up_at: when the last catch_up() that finished had proposed its entry
+        # caught_up_at: when the last catch_up() that finished had started to wait for its entry
         self.catch_up_lock, self.caught_up_at = BoundedSemaphore(1), 0
         self.proposed_at: dict[str, int] = {}           # of entries of duties, by id
         self.was_leader, self.logged_failure, self.logged_leader = False, "", ""
