--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -13,9 +13,9 @@
     ACCIDENT_CANCELS, ACCIDENT_FACTOR, CLOSED, OPEN, RESTORED, Cancel, Cancels, CancelOver, NoSuchCancel)
 from threadshift.batches.queue import FINAL_ANSWER_MARGIN, LATENCY_ALLOWANCE, RETRY_PAUSE, BatchCall, BatchQueue
 from threadshift.batches.store import BatchStore, UnsupportedVersion, make_record
-from threadshift.consensus.book import Book
-from threadshift.consensus.kept import Entry
-from threadshift.consensus.member import Told
+from threadshift.consensus.state_machines import StateMachineRegistry
+from threadshift.consensus.persistent_state import LogEntry
+from threadshift.consensus.member import CommittedEntry
 from threadshift.emulator.batches import Batches, Front
 from threadshift.emulator.disk import Plate
 from threadshift.emulator.record import Broken
@@ -213,33 +213,35 @@
         self.assertEqual((again.due_entries(NOW), len(again.due_entries(NOW + SECOND))), ([], 1))
 
     def test_entry_is_applied_once_and_unknown_entries_are_retained(self):
-        told = [Told(n, Entry(1, body)) for n, body in enumerate((
+        told = [CommittedEntry(n, LogEntry(1, body)) for n, body in enumerate((
             {"do": "hold", "holder": "a"}, {"do": "batch.cancel", **self.asked()[1]},
             {"do": "batch.cancel", **self.asked()[1]}, {"do": "moon.phase", "id": "m"},
             {"do": "batch.restore", "form": 2, "id": "r", "cancel": "k"}), 1)]
-        old = Book({"batches": Cancels()})
+        old = StateMachineRegistry({"batches": Cancels()})
         self.assertEqual([old.apply(each) for each in [*told, *told]], [False, True] + [False] * 8)
-        self.assertEqual([place for place, _ in old.strange], [4, 5])
+        self.assertEqual([place for place, _ in old.unknown_entries], [4, 5])
 
         class Newer(Cancels):
-            words = {**Cancels.words, "batch.restore": 2}
+            entry_forms = {**Cancels.entry_forms, "batch.restore": 2}
 
         for machines, left, state in (({"batches": Cancels()}, 2, OPEN), ({"batches": Newer()}, 1, RESTORED)):
-            new = Book(machines)
-            new.apply(Told(5, Entry(1, {}), old.state()))
-            self.assertEqual((len(new.strange), machines["batches"].all["k"].state, new.place), (left, state, 5))
-        without = Book({})
-        without.load(old.state())
-        self.assertEqual(without.state()["machines"], old.state()["machines"])      # passed on unchanged
+            new = StateMachineRegistry(machines)
+            new.apply(CommittedEntry(5, LogEntry(1, {}), old.dump()))
+            self.assertEqual((len(new.unknown_entries), machines["batches"].all["k"].state, new.applied_index),
+                             (left, state, 5))
+        without = StateMachineRegistry({})
+        without.load(old.dump())
+        self.assertEqual(without.dump()["machines"], old.dump()["machines"])      # passed on unchanged
 
     def test_later_form_is_written_once_every_voter_reads_it(self):
         class Newer(Cancels):
-            words = {**Cancels.words, "batch.restore": 2}
+            entry_forms = {**Cancels.entry_forms, "batch.restore": 2}
 
-        it = Book({"batches": Newer()}, ["a", "b"])
+        it = StateMachineRegistry({"batches": Newer()}, ["a", "b"])
         for who, forms, may in (("a", 2, 1), ("b", 1, 1), ("b", 2, 2)):
-            it.apply(Told(it.place + 1, Entry(1, {"do": "reads", "who": who, "forms": {"batch.restore": forms}})))
-            self.assertEqual(it.may_write("batch.restore"), may)
+            it.apply(CommittedEntry(it.applied_index + 1, LogEntry(1, {
+                "do": "reads", "who": who, "forms": {"batch.restore": forms}})))
+            self.assertEqual(it.writable_form("batch.restore"), may)
 
 
 class Stores(unittest.TestCase):
@@ -279,7 +281,7 @@
             for each in (self.take("b"), make_record("forget", ivk="b")):
                 anew = anew or it.on_written([each])
         self.assertEqual([(each["ivk"], each.get("colour")) for each in anew[:1]], [("a", "blue")])
-        it.journal.renew(*anew)
+        it.journal.rewrite(*anew)
         it.close()
         self.assertEqual(BatchStore(PATH, disk).calls["a"].extra, {"colour": "blue"})
 
@@ -301,7 +303,7 @@
             disk = it.front.disk = Faulty()
             with it, closing(it.client()) as client:
                 until(lambda: it.front.replicated_services
-                      and it.front.replicated_services.carrier.status()["holds"], 10)
+                      and it.front.replicated_services.consensus.status()["holds"], 10)
                 batch_service = it.front.replicated_services.batch_service
                 answer = client.request("POST", "/v1/functions/check-a/calls", {
                     "Prefer": "respond-async", "Batch": "eve"}, b'{"mark":"m","work_ms":300}')
--- a/threadshift/batches/cancels.py
+++ b/threadshift/batches/cancels.py
@@ -57,7 +57,7 @@
 class Cancels:
     """The replicated state machine."""
 
-    words = {"batch.cancel": 1, "batch.restore": 1, "batch.close": 1}
+    entry_forms = {"batch.cancel": 1, "batch.restore": 1, "batch.close": 1}
 
     def __init__(self) -> None:
         self.all: dict[str, Cancel] = {}
--- a/threadshift/batches/store.py
+++ b/threadshift/batches/store.py
@@ -111,7 +111,7 @@
             del self.calls[call.ivk]
 
     def write(self, records: list[dict[str, Any]]) -> None:
-        """Appends records, all or none, and waits for an fsync; may run on another thread. Raises Unwritten."""
+        """Appends records, all or none, and waits for an fsync; may run on another thread. Raises WriteError."""
         self.journal.append(*records)
 
     def on_written(self, records: list[dict[str, Any]]) -> list[dict[str, Any]]:
--- a/threadshift/eviction/active_policy.py
+++ b/threadshift/eviction/active_policy.py
@@ -41,7 +41,7 @@
 class ActivePolicyState:
     """The replicated state machine: the active policy and the complaints about it."""
 
-    words = {"evict.set": 1, "evict.complaint": 1}
+    entry_forms = {"evict.set": 1, "evict.complaint": 1}
 
     def __init__(self) -> None:
         self.active = ActivePolicy()
--- a/threadshift/gateway/batch_service.py
+++ b/threadshift/gateway/batch_service.py
@@ -29,8 +29,8 @@
 from threadshift.invoke.http import Exchange
 from threadshift.invoke.requests import Problem, Response
 from threadshift.log import exception_fields
-from threadshift.peers.carrier import Carrier, NotHeard
-from threadshift.peers.carrier import now as clock
+from threadshift.peers.consensus_service import ConsensusService, NotHeard
+from threadshift.peers.consensus_service import now as clock
 
 CAPACITY_DIVISOR = 4                 # batches may use one in four of the activations; other calls find the rest
 PEER_TIMEOUT = 700 * MS              # a peer that has not reported its counts by then is named as not heard
@@ -68,10 +68,10 @@
 class BatchService:
     """Accepts, sends out and answers the calls of batches, and handles requests on batches."""
 
-    def __init__(self, front: Front, carrier: Carrier, cancels: Cancels, folder: Path, undo_window: int,
+    def __init__(self, front: Front, consensus: ConsensusService, cancels: Cancels, folder: Path, undo_window: int,
                  disk: Any = None):
         """Raises what opening the store raises."""
-        self.front, self.carrier, self.cancels, self.undo_window = front, carrier, cancels, undo_window
+        self.front, self.consensus, self.cancels, self.undo_window = front, consensus, cancels, undo_window
         self.store = BatchStore(folder / f"{front.name}.calls", disk)
         self.queue = BatchQueue(max(1, front.config.bounds.activations // CAPACITY_DIVISOR))
         self.calls: dict[str, tuple[BatchCall, Call, DeferredCall]] = {}
@@ -119,7 +119,7 @@
         pool = gevent.get_hub().threadpool
         problem = pool.apply(exception_of, (self.store.write, records))
         if problem is None and (renewal := self.store.on_written(records)):
-            problem = pool.apply(exception_of, (self.store.journal.renew, *renewal))
+            problem = pool.apply(exception_of, (self.store.journal.rewrite, *renewal))
         if problem is not None:
             if str(problem) != self.last_failure:
                 self.last_failure = str(problem)
@@ -180,7 +180,7 @@
             self.finish(entry, Answer(FinalKind.REJECTED, "cancelled") if entry.parked_by
                        else Answer(FinalKind.REJECTED, "time-up"))
         if not self.front.api.closing and (
-                self.carrier.member.age(clock()) is not None or now - self.started_at >= RECORD_WAIT):
+                self.consensus.member.staleness(clock()) is not None or now - self.started_at >= RECORD_WAIT):
             out = []
             for entry in self.queue.take_ready(now):
                 if not self.front.api.capacity.has_room(entry.tenant):
@@ -323,7 +323,7 @@
         """Asks all front ends. Returns the counts of a batch, the number of calls of its tenant that wait, and
         the names of the front ends that did not answer."""
         request = {"tenant": tenant, "batch": batch}
-        found = self.carrier.ask_all("batch", request, PEER_TIMEOUT)
+        found = self.consensus.query_all("batch", request, PEER_TIMEOUT)
         reports = [each for each in found.values() if each is not None and "nearest" in each]
         total = BatchCounts(**{name: sum(each[name] for each in reports) for name in COUNT_NAMES})
         total.nearest = min((each["nearest"] for each in reports if each["nearest"]), default=0)
@@ -366,9 +366,9 @@
         if not (before.waiting or before.out or before.parked or silent):
             raise Problem(404, "no-such-batch", f"no call of batch {batch!r} waits or is under way at any front end"
                                                 + (f"; {before.done} of its calls are done" if before.done else ""))
-        cancel_id = self.carrier.new_id("cancel")
+        cancel_id = self.consensus.new_id("cancel")
         part = before.waiting / waiting_of_tenant if waiting_of_tenant else 0.0
-        done = self.carrier.propose({
+        done = self.consensus.propose({
             "do": "batch.cancel", "id": cancel_id, "tenant": tenant, "batch": batch, "part": part,
             "window": self.undo_window, "at": time.time_ns()}, PROPOSE_TIMEOUT)
         cancel = done or self.cancels.all[cancel_id]
@@ -380,7 +380,7 @@
         """Raises NoSuchCancel, CancelOver, NotHeard."""
         cancel = self.find_cancel(tenant, cancel_id)
         if cancel.state == OPEN:
-            self.carrier.propose({"do": "batch.restore", "id": f"restore-{cancel_id}", "cancel": cancel_id},
+            self.consensus.propose({"do": "batch.restore", "id": f"restore-{cancel_id}", "cancel": cancel_id},
                                  PROPOSE_TIMEOUT)
         if cancel.state == CLOSED:
             raise CancelOver(f"cancel {cancel_id} is closed: the calls that it stopped were answered as cancelled")
@@ -394,7 +394,7 @@
         try:
             return self.cancels.find(cancel_id, tenant)
         except NoSuchCancel:
-            self.carrier.catch_up(PROPOSE_TIMEOUT)
+            self.consensus.catch_up(PROPOSE_TIMEOUT)
             return self.cancels.find(cancel_id, tenant)
 
     def cancel_fields(self, cancel: Cancel) -> dict[str, Any]:
--- a/threadshift/gateway/eviction_service.py
+++ b/threadshift/gateway/eviction_service.py
@@ -15,7 +15,7 @@
 from threadshift.eviction.policies import digest
 from threadshift.interface import SECOND
 from threadshift.links.codec import Frame
-from threadshift.peers.carrier import Carrier, NotHeard
+from threadshift.peers.consensus_service import ConsensusService, NotHeard
 
 UPDATE_INTERVAL = SECOND             # between updates to each worker, where nothing else is sent
 PROPOSE_TIMEOUT = 5 * SECOND         # for an entry of the record to be applied here
@@ -35,8 +35,8 @@
 class EvictionService:
     """Keeps the workers of one front end informed of the active eviction policy."""
 
-    def __init__(self, front: FrontEndLinks, carrier: Carrier, policy_state: ActivePolicyState):
-        self.front, self.carrier, self.policy_state = front, carrier, policy_state
+    def __init__(self, front: FrontEndLinks, consensus: ConsensusService, policy_state: ActivePolicyState):
+        self.front, self.consensus, self.policy_state = front, consensus, policy_state
         self.evictor = Evictor(front.name)
         self.worker_policies: dict[str, dict[str, str]] = {}    # by worker: its policies and their digests
         self.epochs: dict[str, int] = {}                        # by worker: the epoch that it applies
@@ -88,12 +88,12 @@
         self.complained.add((node, epoch))
         self.front.note("policy-complaint", level="warning", node=node, epoch=epoch, what=what[:200])
         self.propose({"do": "evict.complaint", "id": f"complaint-{node}-{epoch}", "node": node, "epoch": epoch,
-                      "what": what[:200], "of": max(1, len(self.worker_policies) + len(self.carrier.links) + 1)})
+                      "what": what[:200], "of": max(1, len(self.worker_policies) + len(self.consensus.links) + 1)})
 
     def propose(self, body: dict[str, Any]) -> None:
         def run() -> None:
             try:
-                self.carrier.propose(body, PROPOSE_TIMEOUT)
+                self.consensus.propose(body, PROPOSE_TIMEOUT)
             except NotHeard:
                 self.complained.discard((body["node"], body["epoch"]))      # it is entered again with its next report
         gevent.spawn(run)
@@ -133,7 +133,7 @@
     def gather_policies(self) -> tuple[dict[str, dict[str, str]], dict[str, int], list[str]]:
         """Asks all front ends. Returns the policies of all nodes, the epochs that these apply, and the front ends
         that did not answer."""
-        found = self.carrier.ask_all("policies", {}, PEER_TIMEOUT)
+        found = self.consensus.query_all("policies", {}, PEER_TIMEOUT)
         nodes: dict[str, dict[str, str]] = {}
         epochs: dict[str, int] = {}
         for each in found.values():
@@ -146,7 +146,7 @@
                    silent_too: bool = False) -> dict[str, Any]:
         """Makes a policy the active one on all nodes. Raises Lacking, NotHeard."""
         body = self.checked_policy(policy, parameters, silent_too)
-        self.carrier.propose({"do": "evict.set", "id": self.carrier.new_id("evict"), "why": why, **body},
+        self.consensus.propose({"do": "evict.set", "id": self.consensus.new_id("evict"), "why": why, **body},
                              PROPOSE_TIMEOUT)
         return self.show()
 
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -43,7 +43,7 @@
 from threadshift.links.link import Link
 from threadshift.links.sockets import accept_connections, listener
 from threadshift.log import Log, exception_fields
-from threadshift.storage.journal import Taken
+from threadshift.storage.journal import JournalInUse
 from threadshift.timer import ticks
 
 TAKEOVER_RETRY_INTERVAL = 50 * MS    # between tries to open what the front end that is replaced still holds
@@ -112,7 +112,7 @@
                 self.note("joined-in", version=self.version)
                 return
             except ThreadshiftError as problem:
-                is_held, fields = isinstance(problem, Taken), problem.as_fields()
+                is_held, fields = isinstance(problem, JournalInUse), problem.as_fields()
             except OSError as problem:
                 is_held, fields = problem.errno == errno.EADDRINUSE, {"problem": str(problem)}
             if not is_held and logged_problem != fields["problem"]:
--- a/threadshift/gateway/replicated_services.py
+++ b/threadshift/gateway/replicated_services.py
@@ -11,14 +11,14 @@
 
 from threadshift.batches.cancels import Cancels
 from threadshift.conf.peering import Peering
-from threadshift.consensus.book import Machine
-from threadshift.consensus.member import Told
+from threadshift.consensus.state_machines import StateMachine
+from threadshift.consensus.member import CommittedEntry
 from threadshift.eviction.active_policy import ActivePolicyState
 from threadshift.gateway.batch_service import BatchService, Front
 from threadshift.gateway.eviction_service import EvictionService
 from threadshift.gateway.rollout_service import RolloutService
 from threadshift.interface import SECOND
-from threadshift.peers.carrier import Carrier, NotHeard, now
+from threadshift.peers.consensus_service import ConsensusService, NotHeard, now
 from threadshift.rollout.plan import Rollouts
 
 FORMS_CHECK_INTERVAL = 10 * SECOND   # between checks whether the record knows which entries this program reads
@@ -34,30 +34,31 @@
         self.front, self.peering = front, peering
         self.forms_checked_at = 0
         self.cancels, self.policy_state, self.rollouts = Cancels(), ActivePolicyState(), Rollouts()
-        machines: dict[str, Machine] = {"batches": self.cancels, "eviction": self.policy_state,
+        machines: dict[str, StateMachine] = {
+            "batches": self.cancels, "eviction": self.policy_state,
                                         "rollouts": self.rollouts}
-        self.carrier = Carrier(peering, front.name, machines, self, front.chance, disk)
-        self.eviction_service = EvictionService(front, self.carrier, self.policy_state)
-        self.carrier.answers["policies"] = self.eviction_service.local_policies
+        self.consensus = ConsensusService(peering, front.name, machines, self, front.chance, disk)
+        self.eviction_service = EvictionService(front, self.consensus, self.policy_state)
+        self.consensus.query_handlers["policies"] = self.eviction_service.local_policies
         front.deferred_calls.eviction_order = self.eviction_service.evictor.eviction_order
-        self.rollout_service = RolloutService(front, peering, self.carrier, self.rollouts, self.eviction_service,
+        self.rollout_service = RolloutService(front, peering, self.consensus, self.rollouts, self.eviction_service,
                                              version, front.api.call_recorder)
-        self.carrier.answers["report"] = self.rollout_service.report
-        self.carrier.duties.append(self.rollout_service.duties)
-        self.carrier.began.append(self.rollout_service.coordinator.on_became_leader)
+        self.consensus.query_handlers["report"] = self.rollout_service.report
+        self.consensus.duties.append(self.rollout_service.duties)
+        self.consensus.election_listeners.append(self.rollout_service.coordinator.on_became_leader)
         try:
-            self.batch_service = BatchService(front, self.carrier, self.cancels, peering.folder, peering.undo, disk)
+            self.batch_service = BatchService(front, self.consensus, self.cancels, peering.folder, peering.undo, disk)
         except BaseException:
-            self.carrier.stop()
+            self.consensus.stop()
             raise
-        self.carrier.answers["batch"] = self.batch_service.local_counts
-        self.carrier.duties.append(self.cancels.due_entries)
-        self.carrier.began.append(self.cancels.on_became_leader)
+        self.consensus.query_handlers["batch"] = self.batch_service.local_counts
+        self.consensus.duties.append(self.cancels.due_entries)
+        self.consensus.election_listeners.append(self.cancels.on_became_leader)
 
     def start(self) -> None:
         """Raises OSError, with nothing left open."""
         try:
-            self.carrier.start()
+            self.consensus.start()
         except OSError:
             self.stop()
             raise
@@ -67,17 +68,18 @@
     def tick(self, at: int) -> None:
         self.batch_service.tick(at)
         self.eviction_service.tick(at)
-        if at - self.forms_checked_at >= FORMS_CHECK_INTERVAL and self.carrier.member.age(now()) is not None:
+        if at - self.forms_checked_at >= FORMS_CHECK_INTERVAL and self.consensus.member.staleness(now()) is not None:
             self.forms_checked_at = at
-            if self.carrier.book.reads.get(self.front.name) != self.carrier.book.forms:
+            if (self.consensus.state_machines.announced_forms.get(self.front.name)
+                    != self.consensus.state_machines.supported_forms):
                 gevent.spawn(self.publish_forms)
 
     def publish_forms(self) -> None:
         """Records which forms of entries this program reads. A later form is used only once every voter reads it."""
         with suppress(NotHeard):
-            self.carrier.tell_forms(PROPOSE_TIMEOUT)
+            self.consensus.announce_forms(PROPOSE_TIMEOUT)
 
-    def told(self, told: Told, changed: bool) -> None:
+    def on_committed(self, told: CommittedEntry, changed: bool) -> None:
         """Called when an entry of the record was applied, or a snapshot of all of them."""
         if told.state is not None:
             self.batch_service.on_cancels_changed(list(self.cancels.all.values()))
@@ -120,18 +122,18 @@
     @property
     def handover_time(self) -> int:
         """The time, in ns, that a handover of the leadership may take."""
-        return HANDOVER_BEATS * self.peering.timing.beat
+        return HANDOVER_BEATS * self.peering.timing.heartbeat_interval
 
     def leave(self) -> None:
-        self.carrier.leave()
+        self.consensus.leave()
 
     def stop(self) -> None:
         self.batch_service.stop()
-        self.carrier.stop()
+        self.consensus.stop()
 
     def status(self) -> dict[str, Any]:
         policy = self.policy_state.active
-        return {"record": self.carrier.status(), "batches": self.batch_service.status(), "at": now(),
+        return {"record": self.consensus.status(), "batches": self.batch_service.status(), "at": now(),
                 "eviction": {"epoch": policy.epoch, "policy": policy.policy,
                              "own": self.eviction_service.evictor.active_policy.epoch,
                              "lacks": self.eviction_service.evictor.policy_mismatch,
--- a/threadshift/gateway/rollout_service.py
+++ b/threadshift/gateway/rollout_service.py
@@ -28,7 +28,7 @@
 from threadshift.gateway.version_files import VersionFiles
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.api import CallRecorder
-from threadshift.peers.carrier import Carrier, now
+from threadshift.peers.consensus_service import ConsensusService, now
 from threadshift.rollout.canary_analysis import LATENCY_BUCKETS, CallStats, latency_bucket
 from threadshift.rollout.coordinator import FrontEndReport, RolloutCoordinator
 from threadshift.rollout.plan import CHECKING, DEFAULT_STAGES, DONE, NoRollout, Rollout, Rollouts, UnderWay
@@ -55,9 +55,9 @@
 class RolloutService:
     """Takes part in rollouts for one front end, and handles operators' requests on them."""
 
-    def __init__(self, front: Front, peering: Peering, carrier: Carrier, rollouts: Rollouts,
+    def __init__(self, front: Front, peering: Peering, consensus: ConsensusService, rollouts: Rollouts,
                  eviction_service: EvictionService, version: str, call_recorder: CallRecorder):
-        self.front, self.peering, self.carrier, self.rollouts = front, peering, carrier, rollouts
+        self.front, self.peering, self.consensus, self.rollouts = front, peering, consensus, rollouts
         self.eviction_service, self.version, self.call_recorder = eviction_service, version, call_recorder
         self.versions = VersionFiles(peering.folder, front.name)
         self.coordinator = RolloutCoordinator(rollouts, peering.peers)
@@ -100,12 +100,12 @@
     def report(self, peer: str = "", request: dict[str, Any] | None = None) -> dict[str, Any]:
         """Answers a peer: the version and the counts of this front end."""
         rollout = self.rollouts.under_way
-        is_connected = self.carrier.member.age(now()) is not None
+        is_connected = self.consensus.member.staleness(now()) is not None
         sums = {type_: [*row[:5], list(row[5])] for type_, row in self.sums.items()}
         refused = sum(count for kind, count in self.front.api.refusal_counters.totals().items()
                      if not kind.startswith(FINAL_ANSWER_PREFIXES))
         sums[REFUSED_STRATUM] = [refused + self.front.engine.counts["taken"], refused, 0, 0, 0, [0] * LATENCY_BUCKETS]
-        return {"version": self.version, "life": self.carrier.life, "failed": self.versions.read_failed(),
+        return {"version": self.version, "life": self.consensus.life, "failed": self.versions.read_failed(),
                 "up": time.monotonic_ns() - self.started_at if is_connected else 0,
                 "can": self.problems.get(rollout.id, "?") if rollout is not None else "",
                 "sums": sums,
@@ -209,16 +209,16 @@
         entries, self.due_entries = self.due_entries, []
         for rollout in self.rollouts.all.values():
             if (rollout.state == DONE and rollout.what.get("eviction")
-                    and f"evict-{rollout.id}" not in self.carrier.book.ids):
+                    and f"evict-{rollout.id}" not in self.consensus.state_machines.ids):
                 entries.append({"do": "evict.set", "id": f"evict-{rollout.id}", "why": f"rollout {rollout.id}",
                                 **rollout.what["eviction"]})
         return entries
 
     def gather(self) -> None:
         """Collects the reports of all front ends for the coordinator."""
-        found = self.carrier.ask_all("report", {}, PEER_TIMEOUT)
+        found = self.consensus.query_all("report", {}, PEER_TIMEOUT)
         at = now()
-        if self.carrier.member.holds(at):
+        if self.consensus.member.holds_lease(at):
             self.coordinator.record_reports(at, {name: self.parse_report(fields) for name, fields in found.items()})
             self.due_entries = self.coordinator.due_entries(at)
 
@@ -243,8 +243,8 @@
         stages = [float(each) for each in request.get("stages", DEFAULT_STAGES)]
         if not stages or stages != sorted(stages) or stages[-1] != 1.0 or stages[0] < 0:
             raise BadChange("stages must be shares in ascending order, with 1 as the last")
-        rollout_id = self.carrier.new_id("rollout")
-        self.carrier.propose({"do": "rollout.start", "id": rollout_id, "what": what, "stages": stages, "who": who,
+        rollout_id = self.consensus.new_id("rollout")
+        self.consensus.propose({"do": "rollout.start", "id": rollout_id, "what": what, "stages": stages, "who": who,
                               "hold": int(float(request.get("hold-s", 60)) * SECOND)}, PROPOSE_TIMEOUT)
         if rollout_id not in self.rollouts.all:
             raise UnderWay("another rollout was begun first")
@@ -253,12 +253,12 @@
     def control(self, action: str, rollout_id: str, why: str) -> dict[str, Any]:
         """Pauses, resumes or aborts a rollout. Raises NoRollout, NotHeard."""
         if (rollout := self.rollouts.under_way) is None or rollout_id and rollout.id != rollout_id:
-            self.carrier.catch_up(PROPOSE_TIMEOUT)    # it may not have been applied here yet
+            self.consensus.catch_up(PROPOSE_TIMEOUT)    # it may not have been applied here yet
             rollout = self.rollouts.under_way
         if rollout is None or rollout_id and rollout.id != rollout_id:
             raise NoRollout(f"no rollout {rollout_id} is under way".replace("  ", " "))
         do = {"pause": "rollout.pause", "resume": "rollout.resume", "abort": "rollout.back"}[action]
-        self.carrier.propose({"do": do, "id": self.carrier.new_id(action), "rollout": rollout.id, "why": why},
+        self.consensus.propose({"do": do, "id": self.consensus.new_id(action), "rollout": rollout.id, "why": why},
                              PROPOSE_TIMEOUT)
         return self.show(rollout.id)
 
@@ -266,7 +266,7 @@
         rollout = self.rollouts.all.get(rollout_id) or next(reversed(self.rollouts.all.values()), None)
         if rollout is None:
             raise NoRollout("there was no rollout yet")
-        found = self.carrier.ask_all("report", {}, PEER_TIMEOUT)
+        found = self.consensus.query_all("report", {}, PEER_TIMEOUT)
         return {"rollout": rollout.id, "state": rollout.state, "stage": rollout.stage, "stages": rollout.stages,
                 "taken": rollout.taken, "why": rollout.why, "who": rollout.who,
                 "runs": {name: each["version"] if each else None for name, each in sorted(found.items())},
