--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -112,7 +112,7 @@
 
     def list_workers(self, n):
         for worker in self.workers:
-            self.feeds[n].obey(["worker", worker.machine.name, str(worker.address)])
+            self.feeds[n].execute_order(["worker", worker.machine.name, str(worker.address)])
 
     def connect(self):
         """Clients: a new connection every 5 ms, closed again."""
@@ -152,8 +152,8 @@
         elif cause == "drained":
             process.signal(signal.SIGTERM)
         elif cause == "workers gone":
-            self.feeds[0].obey(["drop", "w0"])
-            self.feeds[0].obey(["drop", "w1"])
+            self.feeds[0].execute_order(["drop", "w0"])
+            self.feeds[0].execute_order(["drop", "w1"])
         elif cause == "stands still":
             process.signal(signal.SIGSTOP)
         else:
@@ -178,7 +178,7 @@
                 for cause in CAUSES:
                     print(json.dumps([cause, *it.trial(cause)]), flush=True)
         finally:
-            it.rig.end()
+            it.rig.stop()
 
 
 def percentile(values, part):
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -103,14 +103,15 @@
     with constants_of(Job({}, seed, policy, constants, text)):
         it = Emulation(day, seed, POLICIES[policy])
         it.run()
-    seen = it.seen()
+    seen = it.recorded_events()
     found = losses(seen, day.told.deployment)
     told = breaches(seen, day.told.deployment, day.fleet.cores)
     per = [got / asked for asked, got in found.served.values() if asked > 3]
     return {"policy": policy, "day": name, "fronts": fronts, "uneven": uneven, "seed": seed, "asked": found.asked,
             "lost": dict(found.by_cause), "sends": found.sends, "learnt": found.learnt, "again": found.again,
-            "loads": found.loads, "needless": found.needless, "asks": sum(front.asks for front in it.lives),
-            "links": sum(len(front.links) for front in it.lives) / max(1, len(it.lives)),
+            "loads": found.loads, "needless": found.needless,
+            "asks": sum(front.probe_count for front in it.front_ends_started),
+            "links": sum(len(front.links) for front in it.front_ends_started) / max(1, len(it.front_ends_started)),
             "fell": sum(each.event == "fell-over" for each in seen), "jain": jain(per),
             "worst": min(per) if per else 1.0, "tries": sum(each.event == "try" for each in seen),
             "breaches": [str(each) for each in told[:3]]}
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -38,11 +38,11 @@
 
 
 def history(told: tuple[int, int]) -> tuple[str, float, int]:
-    from threadshift.emulator.record import Broken, Record
-    it = Record(told[0], told[1], 2)
+    from threadshift.emulator.record import InvariantViolation, ConsensusSimulation
+    it = ConsensusSimulation(told[0], told[1], 2)
     try:
         it.run()
-    except Broken as problem:
+    except InvariantViolation as problem:
         return str(problem), 0, 0
     return "", it.longest_without / 1e9, len(it.committed)
 
@@ -62,12 +62,12 @@
 
 
 def batch_history(seed: int) -> tuple[str, dict[str, int]]:
-    from threadshift.emulator.batches import Batches
-    from threadshift.emulator.record import Broken
-    it = Batches(seed)
+    from threadshift.emulator.batches import BatchSimulation
+    from threadshift.emulator.record import InvariantViolation
+    it = BatchSimulation(seed)
     try:
         it.run()
-    except Broken as problem:
+    except InvariantViolation as problem:
         return str(problem), {}
     return "", dict(Counter(it.finals.values()))
 
@@ -96,8 +96,8 @@
 
 
 def rollout(told: tuple[str, int]) -> tuple[str, int, int]:
-    from threadshift.emulator.changes import Change, Trial
-    it = Trial(told[1], Change(**KINDS[told[0]]))
+    from threadshift.emulator.changes import Change, RolloutSimulation
+    it = RolloutSimulation(told[1], Change(**KINDS[told[0]]))
     end = it.run()
     return end if end in ("done", "stands") else "stopped", it.second, it.harmed
 
@@ -114,13 +114,13 @@
 
 def record() -> None:
     from threadshift.consensus.keeper import Keeper
-    from threadshift.emulator.disk import Plate
+    from threadshift.emulator.disk import SimulatedDisk
     names = ["a", "b", "c"]
     for kind in ("with fsync", "without a disk"):
         with tempfile.TemporaryDirectory() as folder:
             now = 10**12
             keepers = {name: Keeper(now, Path(folder) / name, name, names, (), random.Random(name).random,
-                                    None if kind == "with fsync" else Plate()) for name in names}
+                                    None if kind == "with fsync" else SimulatedDisk()) for name in names}
 
             def settle(now: int, keepers=keepers) -> None:
                 moved = True
--- a/benchmarks/validate.py
+++ b/benchmarks/validate.py
@@ -106,7 +106,7 @@
         subprocess.run([sys.executable, "-m", "threadshift", "play", f"{folder}/a.day", "--seed", str(seed),
                         "--record", f"{folder}/r"], capture_output=True, check=False)
         played = figures(day, records.read(Path(folder, "r")))
-    return name, seed, figures(day, it.seen()), played
+    return name, seed, figures(day, it.recorded_events()), played
 
 
 def main():
--- a/tests/live.py
+++ b/tests/live.py
@@ -117,7 +117,7 @@
         return worker
 
     def list(self, name, worker_address):
-        self.feed.obey(["worker", name, str(worker_address)])
+        self.feed.execute_order(["worker", name, str(worker_address)])
 
     def __enter__(self):
         self.running = gevent.spawn(self.front.run)
--- a/tests/several.py
+++ b/tests/several.py
@@ -88,23 +88,22 @@
 
     def __enter__(self):
         rig = self.rig
-        rig.standin("store", "store", load_ms=20, work_ms=5, memory_mb=50)
-        rig.standin("roster", "roster")
+        rig.start_standin("store", "store", load_ms=20, work_ms=5, memory_mb=50)
+        rig.start_standin("roster", "roster")
         ways = [(one, other) for one in self.names for other in self.names if one != other]
         rig.start("relay", "standin", "relay", *(
             f"--route={one}-{other}=127.0.0.1:0=127.0.0.1:{self.peer[other]}" for one, other in ways))
         for worker in self.workers:
-            rig.standin(worker, "worker", name=worker, memory_mb=self.memory_mb, store=rig.listening("store") if
-            worker == "w0" else
-                        rig.at["store"])
+            rig.start_standin(worker, "worker", name=worker, memory_mb=self.memory_mb,
+                              store=rig.wait_for_address("store") if worker == "w0" else rig.addresses["store"])
         self.way = {}
         with gevent.Timeout(20):
             for each in rig.processes["relay"].process.stdout.readline().decode().split()[1].split(","):
                 name, _, at = each.partition("=")
                 self.way[name] = at
-        rig.listening("roster")
+        rig.wait_for_address("roster")
         for worker in self.workers:
-            rig.processes["roster"].order(f"worker {worker} {rig.listening(worker)}")
+            rig.processes["roster"].order(f"worker {worker} {rig.wait_for_address(worker)}")
         for name in self.names:
             self.start(name)
         self.until(lambda: all(self.status(name) for name in self.names), 20)
@@ -114,7 +113,7 @@
         return self
 
     def __exit__(self, *_):
-        self.rig.end()
+        self.rig.stop()
         if self.paths is None:
             os.environ.pop("PYTHONPATH", None)
         else:
@@ -126,7 +125,7 @@
             f"    {'voter' if n < self.facts['voters'] else 'follower'} {other} "
             f"{f'127.0.0.1:{self.peer[other]}' if other == name else self.way[f'{name}-{other}']}"
             for n, other in enumerate(self.names))
-        text = CONF.format(port=self.port[name], admin=self.admin[name], name=name, feed=self.rig.at["roster"],
+        text = CONF.format(port=self.port[name], admin=self.admin[name], name=name, feed=self.rig.addresses["roster"],
         peers=peers,
                            folder=self.folder / name, **{**self.facts, **changes})
         path = self.folder / f"{name}.conf"
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -175,7 +175,7 @@
         def run(live, ask):
             ask.call("submit-x")
             for worker in live.workers.values():
-                worker.obey(["break-after-run", "5s"])
+                worker.execute_order(["break-after-run", "5s"])
             ask.call("submit-x")
         self.both(2, told(), run, lie)
 
@@ -186,7 +186,7 @@
         def run(live, ask):
             ask.call("f")
             for name in live.workers:
-                live.feed.obey(["state", name, "draining"])
+                live.feed.execute_order(["state", name, "draining"])
             gevent.sleep(0.1 + SLACK / SECOND + 0.05)
             ask.call("f", 300)
         self.both(3, told(), run, deaf)
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -16,11 +16,11 @@
 from threadshift.consensus.book import Book
 from threadshift.consensus.kept import Entry
 from threadshift.consensus.member import Told
-from threadshift.emulator.batches import Batches, Front
-from threadshift.emulator.disk import Plate
-from threadshift.emulator.record import Broken
+from threadshift.emulator.batches import BatchSimulation, BatchFrontEnd
+from threadshift.emulator.disk import SimulatedDisk
+from threadshift.emulator.record import InvariantViolation
 from threadshift.interface import MS, SECOND
-from threadshift.standins.disk import Faulty
+from threadshift.standins.disk import FaultyDisk
 
 NOW = 1_000 * SECOND
 PATH = Path("/calls")
@@ -253,7 +253,7 @@
                       effect=effect, parked="", call={"type": "submit", "function": "f", "left": 10 * SECOND}, **more)
 
     def test_what_a_crash_leaves_errs_on_the_side_that_runs_nothing_twice(self):
-        disk = Plate(lambda: 0.0)
+        disk = SimulatedDisk(lambda: 0.0)
         self.shelf(disk, self.take("a"), self.take("b"), self.take("c", "repeatable"), self.take("d"),
                    record("out", ivk="b"), record("out", ivk="c"), record("out", ivk="d"),
                    record("back", ivk="d", tries=1), record("stop", cancel="k", ivks=["a"]))
@@ -264,12 +264,12 @@
                           "d": (False, False, "")})
 
     def test_its_own_time_goes_on_while_it_lies_and_a_clock_set_back_gives_it_no_more(self):
-        it = self.shelf(Plate(), self.take("a"))
+        it = self.shelf(SimulatedDisk(), self.take("a"))
         for wall, left in ((100, 10), (104, 6), (200, -90), (40, 10)):
             self.assertEqual(it.calls["a"].remaining(wall * SECOND), left * SECOND)
 
     def test_a_long_file_begins_anew_with_all_that_stands_and_what_it_does_not_know(self):
-        disk = Plate()
+        disk = SimulatedDisk()
         it = self.shelf(disk, self.take("a", colour="blue"))
         anew = []
         for _ in range(1_200):
@@ -281,7 +281,7 @@
         self.assertEqual(Shelf(PATH, disk).calls["a"].extra, {"colour": "blue"})
 
     def test_a_later_form_is_left_alone(self):
-        disk = Plate()
+        disk = SimulatedDisk()
         it = self.shelf(disk)
         it.write([{"form": 2, "do": "take"}])
         it.close()
@@ -295,7 +295,7 @@
         # Guards an answer told and not kept: after a crash the same call was told as aborted.
         with tempfile.TemporaryDirectory() as folder:
             it = Live(1, extra=f"peers {{\n folder {folder}\n voter front-0 127.0.0.1:{free_port()}\n}}")
-            disk = it.front.disk = Faulty()
+            disk = it.front.disk = FaultyDisk()
             with it, closing(it.client()) as client:
                 until(lambda: it.front.replicated_services
                       and it.front.replicated_services.carrier.status()["holds"], 10)
@@ -311,24 +311,24 @@
                 self.assertEqual(batching.store.calls[ivk].answer["final"], "completed")
 
 
-class ForgetsThatItWentOut(Front):
+class ForgetsThatItWentOut(BatchFrontEnd):
     def keep(self, records):
         return super().keep([each for each in records if each["do"] != "out"])
 
 
-class TakesBackWhatBegan(Front):
+class TakesBackWhatBegan(BatchFrontEnd):
     def heard(self, cancels):
         self.begun.clear()
         super().heard(cancels)
 
 
-class TellsBeforeItKeeps(Front):
+class TellsBeforeItKeeps(BatchFrontEnd):
     def final(self, it, final):
         self.world.told(it.ivk, final)
         super().final(it, final)
 
 
-class ClosesByItsOwnClock(Front):
+class ClosesByItsOwnClock(BatchFrontEnd):
     def tick(self):
         now = self.node.clock(self.world.now)
         for id_ in self.cancels.open.values():
@@ -346,17 +346,17 @@
     def test_drawn_histories_keep_all_promises(self):
         finals = set()
         for seed in range(6):
-            it = Batches(seed, seconds=15)
+            it = BatchSimulation(seed, seconds=15)
             it.run()
             finals |= set(it.finals.values())
         self.assertEqual(finals, {"completed", "rejected", "aborted", "cancelled"})
 
     def test_planted_faults_are_found(self):
         for front in (ForgetsThatItWentOut, TakesBackWhatBegan, TellsBeforeItKeeps, ClosesByItsOwnClock):
-            with self.subTest(front.__name__), mock.patch("threadshift.emulator.batches.Front", front), (
-                    self.assertRaises(Broken)):
+            with self.subTest(front.__name__), mock.patch("threadshift.emulator.batches.BatchFrontEnd", front), (
+                    self.assertRaises(InvariantViolation)):
                 for seed in range(8):
-                    Batches(seed, seconds=15).run()
+                    BatchSimulation(seed, seconds=15).run()
 
 
 if __name__ == "__main__":
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -104,7 +104,7 @@
             began = time.monotonic()
             hall.live.front.end()
             until(lambda: hall.live.front.service_announcer.drain.standing is Standing.LAST)
-            hall.router.obey(["reset", "front-0"])
+            hall.router.execute_order(["reset", "front-0"])
             hall.live.running.join(5)
             self.assertLess(time.monotonic() - began, 2)
 
@@ -113,7 +113,7 @@
             until(lambda: hall.held.verdict.reason == "cold")            # both workers have only just started
             self.assertEqual(hall.held.verdict.standing, Standing.POOR)
             for name in hall.live.workers:
-                hall.live.feed.obey(["drop", name])
+                hall.live.feed.execute_order(["drop", name])
             until(lambda: hall.route().med == 900)
             self.assertEqual(hall.held.verdict.reason, "no-worker")
             self.assertEqual(hall.call("submit-x").headers["final"], "rejected")
@@ -162,11 +162,11 @@
             for fault, ends in (("reset", True), ("garbage", True), ("malformed", False), ("refresh", False),
                                 ("down", True)):
                 ups = hall.neighbour.ups
-                hall.router.obey([fault, "front-0"])
+                hall.router.execute_order([fault, "front-0"])
                 if ends:
                     until(lambda ups=ups: hall.neighbour.downs >= ups)
                 if fault == "down":
-                    hall.router.obey(["up", "front-0"])
+                    hall.router.execute_order(["up", "front-0"])
                 hall.neighbour.pause = 0                # damping has a test of its own
                 if hall.neighbour.idle_until:
                     hall.neighbour.idle_until = time.monotonic_ns()
@@ -180,7 +180,7 @@
     def test_a_peer_that_falls_silent_is_let_go_at_the_hold_time(self):
         with Hall(hold="3s") as hall:
             began = time.monotonic()
-            hall.router.obey(["stall", "front-0"])
+            hall.router.execute_order(["stall", "front-0"])
             until(lambda: hall.neighbour.downs, 8)
             self.assertTrue(1.9 < time.monotonic() - began < 4.5)
             self.assertIn("hold time", hall.neighbour.last)
@@ -188,7 +188,7 @@
     def test_a_machine_that_vanished_and_is_back_within_the_hold_time(self):
         """The router still holds its old session and refuses the new one, until the hold time has ended the old."""
         with Hall(hold="3s") as hall:
-            hall.router.obey(["stall", "front-0"])      # as if every packet from here on were lost
+            hall.router.execute_order(["stall", "front-0"])      # as if every packet from here on were lost
             hall.neighbour.session.wire.connection.sock.shutdown(2)
             began, peer = time.monotonic(), hall.router.speaker.neighbours["front-0"]
             until(lambda: "6/7" in hall.neighbour.last, 3)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -5,9 +5,9 @@
 from threadshift.consensus.keeper import LONG, Alone, Keeper
 from threadshift.consensus.kept import Entry, Kept, Unfit, Unknown, entries_record, snapshot_record, term_record
 from threadshift.consensus.member import Member, Timing, Voters, checked
-from threadshift.emulator.disk import Plate
+from threadshift.emulator.disk import SimulatedDisk
 from threadshift.emulator.explore import Budget, explore
-from threadshift.emulator.record import FILE, Broken, Record
+from threadshift.emulator.record import FILE, InvariantViolation, ConsensusSimulation
 from threadshift.interface import MS, SECOND
 from threadshift.storage.journal import Journal
 
@@ -212,7 +212,7 @@
 
     def test_a_damaged_file_is_put_aside_with_others_up_and_refused_alone(self):
         for voters in ("abc", "a"):
-            disk = Plate()
+            disk = SimulatedDisk()
             it = self.keeper(disk, voters)
             it.journal.append(term_record(1, "a"), term_record(2, "a"))
             it.journal.append(term_record(3, "a"))
@@ -228,7 +228,7 @@
             self.assertTrue(disk.read(Path("/record.damaged")))
 
     def test_a_sync_that_fails_throws_away_what_was_about_to_be_said(self):
-        disk = Plate()
+        disk = SimulatedDisk()
         it = self.keeper(disk, "a")
         disk.refuse = {"sync"}
         it.member.tick(NOW + 10 * SECOND)
@@ -238,7 +238,7 @@
         self.assertFalse(it.member.holds(NOW + 10 * SECOND))
 
     def test_the_file_begins_anew_once_it_is_long(self):
-        disk = Plate()
+        disk = SimulatedDisk()
         it = self.keeper(disk, "a")
         it.member.tick(NOW + 10 * SECOND)
         applied = 0
@@ -305,15 +305,15 @@
     def test_drawn_histories_keep_all_promises(self):
         for voters, others, seeds in ((3, 2, 60), (5, 2, 12), (1, 2, 8)):
             for seed in range(seeds):
-                it = Record(seed, voters, others, lies=voters > 1)
+                it = ConsensusSimulation(seed, voters, others, lies=voters > 1)
                 it.run()
         self.assertTrue(it.committed)
 
     def test_planted_faults_are_found(self):
         for make, seeds in ((NoVotesKept, 10), (FileAlone, 12), (LongRight, 10), (NoCheckOnWaking, 100)):
-            with self.subTest(make.__name__), self.assertRaises(Broken):
+            with self.subTest(make.__name__), self.assertRaises(InvariantViolation):
                 for seed in range(seeds if make is not NoCheckOnWaking else 94):
-                    Record(seed if make is not NoCheckOnWaking else 93 - seed, 3, 0, make=make).run()
+                    ConsensusSimulation(seed if make is not NoCheckOnWaking else 93 - seed, 3, 0, make=make).run()
 
 
 class Explored(unittest.TestCase):
@@ -326,10 +326,10 @@
             self.assertGreater(states, 1000)
 
     def test_planted_faults_are_found(self):
-        with self.assertRaisesRegex(Broken, "hold at once"):
+        with self.assertRaisesRegex(InvariantViolation, "hold at once"):
             explore(7, make=LongRightMember, budget=NONE, path=("time passes", "a stands still"))
         after = (*ON_TWO, "b is killed, its file goes back", *3 * ["time passes"], "c ticks")
-        with self.assertRaisesRegex(Broken, "entry 2 is"):
+        with self.assertRaisesRegex(InvariantViolation, "entry 2 is"):
             explore(8, make=FileAloneMember, budget=NONE, path=after)
         states, _ = explore(8, budget=NONE, path=after)
         self.assertGreater(states, 10)
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -246,7 +246,7 @@
                 self.assertTrue(live.front.engine.dispatcher.workers["w0"].ready)
                 act()
                 self.assertFalse(live.front.engine.dispatcher.workers["w0"].ready)
-                live.feed.obey(["state", "w0", "ready"])
+                live.feed.execute_order(["state", "w0", "ready"])
 
     def test_requests_read_updates(self):
         with Live(workers=1) as live, mock.patch.object(live.front.api, "read_updates") as asked:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -7,7 +7,7 @@
 from threadshift.audit.rules import breaches
 from threadshift.choice import Dispatcher
 from threadshift.days.day import KINDS, read_text
-from threadshift.emulator.clock import Clock, Spans
+from threadshift.emulator.clock import Clock, ActiveFaults
 from threadshift.emulator.front import ModelFront
 from threadshift.emulator.router import PREFIX
 from threadshift.emulator.run import Emulation
@@ -182,7 +182,7 @@
                   if line["e"] == "chosen"]
         start = next(line["start"] for line in it.records["conductor"] if line["e"] == "day")
         alone = [hops for t, hops in chosen if start + 3.5 * SECOND < t < start + 10 * SECOND]
-        third = str(it.fronts["front-2"].hall.hop)
+        third = str(it.fronts["front-2"].service_announcer.hop)
         self.assertEqual([hops for hops in alone if third not in hops], [])
         self.assertEqual([str(each) for each in verdict(it, text)[0]], [])
 
@@ -193,7 +193,8 @@
         it.run()
         start = next(line["start"] for line in it.records["conductor"] if line["e"] == "day")
         self.assertEqual([line for line in it.records["router"] if line["e"] == "chosen" and line["t"] > start], [])
-        self.assertEqual({front.hall.announcer.held[PREFIX].changes for front in it.fronts.values()}, {1})
+        self.assertEqual({front.service_announcer.announcer.held[PREFIX].changes
+                          for front in it.fronts.values()}, {1})
         done = sum(line["e"] == "answer" and line["final"] == "completed" for line in it.records["clients"])
         self.assertGreater(done / 64, 0.6 * 6 * 2 / 0.05)       # of six workers of two cores, 50 ms a call
 
@@ -201,13 +202,13 @@
         it, _ = self.steered("routes", "balancer_stall at 3s for 2s front 0")
         hops = [line["routes"]["192.0.2.1/32"] for line in it.records["router"] if line["e"] == "chosen"]
         self.assertEqual(len(hops[-1]), 3)
-        hall = it.fronts["front-1"].hall
+        hall = it.fronts["front-1"].service_announcer
         it.stop("front-1")
         it.clock.run(it.clock.now + 4 * SECOND)
         self.assertNotIn(1, it.router.routes)
         it.go_on("front-1")
         it.clock.run(it.clock.now + 2 * SECOND)
-        self.assertIs(it.router.halls[1], hall)
+        self.assertIs(it.router.sessions[1], hall)
         self.assertIn(1, it.router.routes)
 
     def test_more_than_the_processor_can_do_is_refused_at_the_door(self):
@@ -218,8 +219,8 @@
         front = it.fronts["front-0"]
         self.assertGreater(front.admission.refused_count, 1000)
         calls = [line for line in it.records["clients"] if line["e"] in ("try", "answer")]
-        self.assertLess(front.used, calls[-1]["t"] - calls[0]["t"])         # it was one processor
-        self.assertGreater(front.used, 2.5 * SECOND)
+        self.assertLess(front.processor_time, calls[-1]["t"] - calls[0]["t"])         # it was one processor
+        self.assertGreater(front.processor_time, 2.5 * SECOND)
         late = [line for line in calls if line["e"] == "answer" and line["final"] == "completed"]
         self.assertGreater(len(late), 1000)
 
@@ -260,7 +261,7 @@
 
     def test_faults_in_force(self):
         clock = Clock()
-        it = Spans(clock)
+        it = ActiveFaults(clock)
         it.order("slow", SECOND, 3.0)
         self.assertEqual((it.amount("slow"), it.left("slow"), it.once("other")), (3.0, SECOND, False))
         self.assertTrue(it.once("slow"))
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -84,7 +84,7 @@
         """Sends for each first attempt: over the whole run, and in its worst two seconds."""
         it = Emulation(read_text(BUSY + trouble, seed=seed), seed, policy)
         it.run()
-        seen = it.seen()
+        seen = it.recorded_events()
         firsts = [each.t for each in seen if each.event == "try" and each["mark"] == each["first"]]
         sent = [each.t for each in seen if each.event == "invoke"]
         spans = [(firsts[0] + n * SECOND // 2, firsts[0] + n * SECOND // 2 + 2 * SECOND) for n in range(20)]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -116,7 +116,7 @@
     def test_a_drain_ends_in_the_configured_time_whatever_is_pending(self):
         with Live(bounds="drain 300ms") as live:
             for worker in live.workers.values():
-                worker.obey(["hang", "9s"])
+                worker.execute_order(["hang", "9s"])
             pending = gevent.spawn(live.call, "submit-x")
             until(lambda: live.front.engine.owed)
             began = time.monotonic()
@@ -229,7 +229,7 @@
 
     def test_a_gap_in_the_feed_leads_to_a_full_list(self):
         with Live() as live:
-            live.feed.obey(["gap"])
+            live.feed.execute_order(["gap"])
             live.worker("late")
             until(lambda: "late" in live.front.links and live.front.links["late"].up)
             self.assertIn("generation", live.log.of("roster-lost")[0]["problem"])
@@ -237,13 +237,13 @@
     def test_a_worker_that_reports_its_drain_gets_no_new_calls(self):
         with Live() as live:
             live.call("f")
-            first = next(name for name, it in live.workers.items() if it.shelves)
-            live.workers[first].obey(["drain"])
+            first = next(name for name, it in live.workers.items() if it.functions)
+            live.workers[first].execute_order(["drain"])
             until(lambda: live.log.of("worker-drains"))
-            before = live.workers[first].shelves.keys()
+            before = live.workers[first].functions.keys()
             for n in range(10):
                 self.assertEqual(live.call(f"g{n}").status, 200)
-            self.assertEqual(live.workers[first].shelves.keys(), before)
+            self.assertEqual(live.workers[first].functions.keys(), before)
 
     def test_a_worker_that_moves_is_connected_to_at_its_new_address(self):
         with Live(workers=1) as live:
@@ -256,7 +256,7 @@
 
     def test_a_worker_that_is_gone_loses_its_link(self):
         with Live() as live:
-            live.feed.obey(["drop", "w1"])
+            live.feed.execute_order(["drop", "w1"])
             until(lambda: "w1" not in live.front.links)
             self.assertEqual(live.call("f").status, 200)
 
@@ -280,13 +280,13 @@
 class Loading(unittest.TestCase):
     def test_a_corrupt_pack_is_never_run(self):
         with Live() as live:
-            live.store.obey(["corrupt", "9s"])
+            live.store.execute_order(["corrupt", "9s"])
             reply = live.call("submit-x", time_left="700")
             self.assertEqual(reply.headers["final"], "rejected")
-            self.assertFalse(any(shelf.copies for it in live.workers.values() for shelf in it.shelves.values()))
-            self.assertTrue(any("digest" in shelf.failed for it in live.workers.values()
-                                for shelf in it.shelves.values()))
-            live.store.obey(["corrupt", "1us"])
+            self.assertFalse(any(state.copies for it in live.workers.values() for state in it.functions.values()))
+            self.assertTrue(any("digest" in state.failed for it in live.workers.values()
+                                for state in it.functions.values()))
+            live.store.execute_order(["corrupt", "1us"])
             until(lambda: live.call("submit-x").status == 200)
 
     def test_a_miss_leads_to_a_load_order_and_the_call_continues(self):
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -63,7 +63,7 @@
 def run_and_judge(text, seed=1, tamper=None):
     it = emulation(text, seed, tamper)
     it.run()
-    return judge(it.day, it.seen())
+    return judge(it.day, it.recorded_events())
 
 
 def drawn_day(seed):
--- a/tests/test_invoke.py
+++ b/tests/test_invoke.py
@@ -140,8 +140,8 @@
 
     def test_a_wait_is_limited_and_the_final_answer_comes_when_the_call_ends(self):
         with Live(bounds="longest-wait 100ms") as live, closing(live.client()) as client:
-            live.workers["w0"].obey(["hang", "9s"])
-            live.workers["w1"].obey(["hang", "9s"])
+            live.workers["w0"].execute_order(["hang", "9s"])
+            live.workers["w1"].execute_order(["hang", "9s"])
             where = client.request("POST", "/v1/functions/submit-x/calls",
                                    {"Prefer": "respond-async", "Time-Left": "400"}).headers["location"]
             self.assertEqual(client.request("GET", where, {"Prefer": "wait=60"}).status, 202)
@@ -153,7 +153,7 @@
     def test_the_number_of_deferred_calls_is_limited(self):
         with Live(bounds="deferred 3") as live, closing(live.client()) as client:
             for worker in live.workers.values():
-                worker.obey(["hang", "9s"])
+                worker.execute_order(["hang", "9s"])
             got = [client.request("POST", "/v1/functions/submit-x/calls",
                                   {"Prefer": "respond-async", "Time-Left": "300"})
                    for _ in range(5)]
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -157,7 +157,7 @@
         live = Live(workers=0)
         with socket.socket() as sock:
             sock.bind(("127.0.0.1", 0))      # bound, not listening: refused
-            live.feed.obey(["worker", "w0", f"127.0.0.1:{sock.getsockname()[1]}"])
+            live.feed.execute_order(["worker", "w0", f"127.0.0.1:{sock.getsockname()[1]}"])
             with live:
                 until(lambda: live.front.links)
                 reply = live.call("submit-x", time_left="700")
@@ -319,7 +319,7 @@
             calls = [gevent.spawn(live.call, f"f{n}", b"x" * 4_000_000, time_left="2000") for n in range(8)]
             outbox = live.front.links["w0"].outbox
             until(lambda: outbox.unwritten)
-            live.feed.obey(["state", "w0", "draining"])
+            live.feed.execute_order(["state", "w0", "draining"])
             until(lambda: not outbox.unwritten, 1.0)
             gevent.joinall(calls)
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -11,7 +11,7 @@
 from threadshift.conf.patch import patched, text
 from threadshift.conf.reading import Mistake, parse
 from threadshift.conf.values import Address
-from threadshift.emulator.changes import Change, Trial
+from threadshift.emulator.changes import Change, RolloutSimulation
 from threadshift.interface import SECOND
 from threadshift.invoke.client import Client, NoAnswer
 from threadshift.rollout.judge import BUCKETS, Judge, Sums
@@ -171,15 +171,15 @@
     """Whole rollouts over modelled front ends (emulator/changes.py): 1,000 of each kind in benchmarks/rollouts.py."""
 
     def test_good_ones_end_and_bad_ones_go_back(self):
-        ends = [Trial(seed).run() for seed in range(10, 18)]
+        ends = [RolloutSimulation(seed).run() for seed in range(10, 18)]
         self.assertEqual(set(ends), {"done"})
         for change, said in ((Change(crash=0.05), "started again"), (Change(errors=0.05), "errors"),
                              (Change(starts=False), "could not start")):
             for seed in range(6):
-                self.assertIn(said, Trial(seed, change).run())
+                self.assertIn(said, RolloutSimulation(seed, change).run())
 
     def test_silence_moves_nothing(self):
-        it = Trial(1, faults=0.0)
+        it = RolloutSimulation(1, faults=0.0)
         report, it.report = it.report, lambda front: None if front.name == "f5" else report(front)
         self.assertEqual((it.run(200), it.rollouts.all["r"].taken), ("stands", []))
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from threadshift.emulator.disk import Plate
-from threadshift.standins.disk import Faulty
+from threadshift.emulator.disk import SimulatedDisk
+from threadshift.standins.disk import FaultyDisk
 from threadshift.storage.journal import Damaged, Journal, Unwritten, frame, records
 
 
@@ -68,7 +68,7 @@
         it.append({"a": 1})
         before = self.path.read_bytes()
         for fault in ("full", "full 2"):
-            disk = Faulty()
+            disk = FaultyDisk()
             it.close()
             it = Journal(self.path, write=True, disk=disk)
             self.assertEqual(list(it.read()), [{"a": 1}])
@@ -84,7 +84,7 @@
 
     def test_after_a_sync_that_failed_no_more_is_written_until_it_is_opened_anew(self):
         # Guards against going on over a page cache that may be gone: what came after would stand on nothing.
-        disk = Faulty()
+        disk = FaultyDisk()
         it = Journal(self.path, write=True, disk=disk)
         it.append({"a": 1})
         disk.order("sync-fails")
@@ -98,7 +98,7 @@
         self.assertEqual(list(Journal(self.path).read()), [{"a": 1}, {"d": 4}])
 
     def test_a_disk_that_forgets_brings_back_what_stood_before(self):
-        disk = Faulty()
+        disk = FaultyDisk()
         it = Journal(self.path, write=True, disk=disk)
         it.append({"a": 1})
         disk.order("forgets")
@@ -127,7 +127,7 @@
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.lists(st.sampled_from(["append", "append", "renew", "crash", "lose"]), max_size=14), st.randoms())
     def test_whatever_was_told_as_kept_is_there_after_any_crash(self, acts, random):
-        disk, path = Plate(random.random), Path("/j")
+        disk, path = SimulatedDisk(random.random), Path("/j")
         it = Journal(path, write=True, disk=disk)
         told, tried, n = list(it.read()), [], 0
         for act in acts:
--- a/threadshift/cli/days.py
+++ b/threadshift/cli/days.py
@@ -80,7 +80,7 @@
     if folder:
         clear(Path(folder))
         it.write(Path(folder), text)
-    verdict = judge(it.day, it.seen())
+    verdict = judge(it.day, it.recorded_events())
     for breach in verdict.breaches:
         click.echo(str(breach))
     click.echo(f"seed {seed} {verdict.line} (simulated, {it.clock.played} events in {took:.1f} s)")
--- a/threadshift/cli/serve.py
+++ b/threadshift/cli/serve.py
@@ -65,8 +65,8 @@
     if disk_orders is not None:
         from pathlib import Path
 
-        from threadshift.standins.disk import Faulty
-        disk = Faulty(Path(disk_orders))
+        from threadshift.standins.disk import FaultyDisk
+        disk = FaultyDisk(Path(disk_orders))
 
     def ready() -> None:
         if ready_fd >= 0:
--- a/threadshift/cli/standins.py
+++ b/threadshift/cli/standins.py
@@ -22,7 +22,7 @@
 
     from threadshift.standins.common import follow_orders
     server.start()
-    orders = gevent.spawn(follow_orders, server.obey)
+    orders = gevent.spawn(follow_orders, server.execute_order)
     gevent.signal_handler(signal.SIGTERM, orders.kill)
     gevent.signal_handler(signal.SIGINT, orders.kill)
     print(f"listening {server.address}", flush=True)
@@ -55,9 +55,9 @@
     """A worker."""
     from threadshift.standins.common import Record
     from threadshift.standins.worker import Machine, Worker
-    machine = Machine(name, zone, size, cores, memory_mb, keep=keep, cold_share=cold_share, cold_time=cold_time,
-                      fall_multiple=fall_multiple, fall_time=fall_time, report_every=report_every,
-                      loads_on_miss=not miss)
+    machine = Machine(name, zone, size, cores, memory_mb, idle_keep_alive=keep, cold_share=cold_share,
+                      cold_time=cold_time, fall_multiple=fall_multiple, fall_time=fall_time,
+                      report_every=report_every, loads_on_miss=not miss)
     attend(Worker(listen, machine, store, Record(record, worker=name)))
 
 
--- a/threadshift/days/play.py
+++ b/threadshift/days/play.py
@@ -44,7 +44,7 @@
             start = time.monotonic_ns() + SECOND // 2
             self.record.note("day", seed=self.seed, start=start, grace=self.day.told.deployment.drain_grace)
             if day_router := self.day.router:
-                ports = [self.rig.at["service"].port]
+                ports = [self.rig.addresses["service"].port]
                 self.record.note("router", converge=day_router.converge, steer=day_router.steer)
             clients = self.rig.start(
                 "clients", "standin", "clients", str(self.folder / "day.conf"), f"--seed={self.seed}",
@@ -64,11 +64,11 @@
     def start(self) -> list[int]:
         """Everything up, every front end linked to every worker and the fleet warm; the front ends' ports."""
         day, rig = self.day, self.rig
-        rig.standin("store", "store", capacity=day.store.capacity, load_ms=day.store.load_time / MS,
+        rig.start_standin("store", "store", capacity=day.store.capacity, load_ms=day.store.load_time / MS,
                     memory_mb=day.store.pack / MB)
-        rig.standin("roster", "roster")
-        rig.listening("store")
-        rig.listening("roster")
+        rig.start_standin("roster", "roster")
+        rig.wait_for_address("store")
+        rig.wait_for_address("roster")
         for name in self.zones:
             self.start_worker(name)
         for name in self.zones:
@@ -82,7 +82,7 @@
         for n, port in enumerate(ports):
             zone = day.fleet.zones[n % len(day.fleet.zones)]
             (self.folder / f"front-{n}.conf").write_text(
-                f"listen {hosts[n]}:{port}\nname front-{n}\nzone {zone}\nroster feed {rig.at['roster']}\n"
+                f"listen {hosts[n]}:{port}\nname front-{n}\nzone {zone}\nroster feed {rig.addresses['roster']}\n"
                 f"log json info\n{with_front_ends(day)}\n{self.announcing(n)}\n")
             self.start_front(n)
         for n, (host, port) in enumerate(zip(hosts, ports, strict=True)):
@@ -98,11 +98,11 @@
         assert it is not None
         peers = [f"--peer=front-{n}={host}={FIRST_AS + n}" for n, host in enumerate(hosts)]
         at = Address("127.0.0.1", free_ports(1)[0])
-        self.rig.at["service"] = at
+        self.rig.addresses["service"] = at
         self.rig.start("router", "standin", "router", "--listen=127.0.0.1:0", f"--service={SERVICE}={at}={port}",
                        f"--converge={it.converge // MS}ms", f"--hold={it.hold}", f"--steer={it.steer}",
                        f"--record={self.folder / 'router.jsonl'}", *peers)
-        self.rig.listening("router")
+        self.rig.wait_for_address("router")
 
     def announcing(self, n: int) -> str:
         it = self.day.router
@@ -111,7 +111,7 @@
         at = self.admin.setdefault(f"front-{n}", Address(self.host(n), free_ports(1)[0]))
         return (f"admin {at}\nbgp {{\nlocal-as {FIRST_AS + n}\nrouter-id 10.0.0.{n + 1}\nnext-hop {self.host(n)}\n"
                 f"hold-time {it.hold}s\nreflects yes\naddress {SERVICE} {{\n}}\npeer router {{\n"
-                f"address {self.rig.at['router']}\nas 65000\nsource {self.host(n)}\n}}\n}}")
+                f"address {self.rig.addresses['router']}\nas 65000\nsource {self.host(n)}\n}}\n}}")
 
     def start_front(self, n: int) -> None:
         self.rig.front_end(f"front-{n}", self.folder / f"front-{n}.conf")
@@ -119,20 +119,21 @@
 
     def start_worker(self, name: str) -> None:
         day, told = self.day, self.day.told.deployment
-        self.rig.standin(
-            name, "worker", name=name, store=self.rig.at["store"], zone=self.zones[name], cores=day.fleet.cores,
+        self.rig.start_standin(
+            name, "worker", name=name, store=self.rig.addresses["store"], zone=self.zones[name],
+            cores=day.fleet.cores,
             memory_mb=day.fleet.memory / MB, keep=f"{told.idle_keep_alive // MS}ms", cold_share=told.cold_share,
             cold_time=f"{told.cold_time // MS}ms", fall_multiple=told.fall_multiple,
             fall_time=f"{told.fall_time // MS}ms", report_every=f"{day.fleet.report_every // MS}ms")
         self.record.note("worker-up", worker=name)
 
     def list_worker(self, name: str) -> None:
-        at = self.rig.listening(name)
+        at = self.rig.wait_for_address(name)
         self.rig.processes["roster"].order(
             f"worker {name} {at} zone {self.zones[name]} started {time.time_ns()}")
 
     def wait_for(self, n: int, at: Address) -> None:
-        if self.rig.linked(f"front-{n}", at, self.day.fleet.workers, READY_LIMIT):
+        if self.rig.wait_until_linked(f"front-{n}", at, self.day.fleet.workers, READY_LIMIT):
             return
         raise RuntimeError(f"the front end at {at} did not link to its workers in time")
 
--- a/threadshift/emulator/batches.py
+++ b/threadshift/emulator/batches.py
@@ -18,7 +18,7 @@
 from threadshift.consensus.book import Book
 from threadshift.consensus.kept import Entry
 from threadshift.consensus.member import Told
-from threadshift.emulator.record import Node, Record
+from threadshift.emulator.record import Node, ConsensusSimulation
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
 
@@ -28,10 +28,10 @@
 HEAR_FIRST = 10 * SECOND
 
 
-class Front:
+class BatchFrontEnd:
     """What gateway/batch_service.py does, without its sockets; the order of what is kept and done is the same."""
 
-    def __init__(self, world: Batches, node: Node):
+    def __init__(self, world: BatchSimulation, node: Node):
         self.world, self.node, self.began = world, node, node.clock(world.now)
         self.cancels = Cancels()
         self.book = Book({"batches": self.cancels}, world.voters)
@@ -128,12 +128,12 @@
                 self.final(it, "cancelled")
 
 
-class Batches(Record):
+class BatchSimulation(ConsensusSimulation):
     """One drawn history."""
 
     def __init__(self, seed: int, voters: int = 3, others: int = 2, seconds: int = 30):
         super().__init__(seed, voters, others, seconds, lies=False)
-        self.fronts: dict[str, Front] = {}
+        self.fronts: dict[str, BatchFrontEnd] = {}
         self.accepted: dict[str, str] = {}       # activation: effect
         self.finals: dict[str, str] = {}
         self.runs: dict[str, int] = {}
@@ -146,7 +146,7 @@
     def carry(self, node: Node) -> None:
         if node.keeper is not None and node.front_of != node.life:
             node.front_of = node.life
-            self.fronts[node.name] = Front(self, node)
+            self.fronts[node.name] = BatchFrontEnd(self, node)
             self.look(node, node.life)
         super().carry(node)
 
@@ -202,7 +202,7 @@
                 node.member.propose(node.clock(self.now), body)
                 self.carry(node)
 
-    def send(self, front: Front, it: Waiting) -> None:
+    def send(self, front: BatchFrontEnd, it: Waiting) -> None:
         """To a modelled worker: in a moment its first byte leaves, and then it runs whatever becomes of us."""
         node, life, tries = front.node, front.node.life, it.tries
         self.later(self.now + self.random.randrange(20 * MS), partial(self.leaves, front, it, life, tries))
@@ -210,7 +210,7 @@
             self.reply(node, life, self.now + 30 * MS, lambda: front.returned(it, "unrun")
                        if it.tries == tries and it.ivk not in front.begun else None)
 
-    def leaves(self, front: Front, it: Waiting, life: int, tries: int) -> None:
+    def leaves(self, front: BatchFrontEnd, it: Waiting, life: int, tries: int) -> None:
         node = front.node
         if node.life != life or node.keeper is None or it.over or not it.out or it.tries != tries:
             return
--- a/threadshift/emulator/changes.py
+++ b/threadshift/emulator/changes.py
@@ -20,7 +20,7 @@
 START = 3                  # s that a front end takes to come up
 
 
-class Broken(ThreadshiftError):
+class InvariantViolation(ThreadshiftError):
     """A promise of a rollout that did not hold."""
 
     help = "run the same seed again"
@@ -52,7 +52,7 @@
     sums: dict[str, Sums] = field(default_factory=dict)
 
 
-class Trial:
+class RolloutSimulation:
     """One rollout over modelled front ends. run() gives how it ended."""
 
     def __init__(self, seed: int, change: Change | None = None, fronts: int = 12, rate: float = 20.0,
@@ -134,7 +134,7 @@
         it = self.rollouts.all["r"]
         share = it.stages[max(0, it.stage)]
         if it.taken and len(it.taken) > max(1, int(share * len(self.fronts) + 1e-9)):
-            raise Broken(f"{len(it.taken)} are new in a stage of {share}")
+            raise InvariantViolation(f"{len(it.taken)} are new in a stage of {share}")
         away = [name for name in ("f0", "f1", "f2") if self.fronts[name].up < 0 and name in it.taken]
         if len(away) > 1 and it.state not in (BACK, DONE):
-            raise Broken(f"voters {away} are away at once")
+            raise InvariantViolation(f"voters {away} are away at once")
--- a/threadshift/emulator/clock.py
+++ b/threadshift/emulator/clock.py
@@ -30,7 +30,7 @@
         self.now = max(self.now, until)
 
 
-class Spans:
+class ActiveFaults:
     """Faults in force, as the stand-ins have them: a name, until when, and how much."""
 
     def __init__(self, clock: Clock):
--- a/threadshift/emulator/disk.py
+++ b/threadshift/emulator/disk.py
@@ -9,7 +9,7 @@
 from threadshift.storage.disk import Disk
 
 
-class Plate(Disk):
+class SimulatedDisk(Disk):
     """Files are what they are, in `cached`, and what would be left of them, in `lasting`. chance() gives 0 to 1."""
 
     def __init__(self, chance: Callable[[], float] = lambda: 1.0):
--- a/threadshift/emulator/explore.py
+++ b/threadshift/emulator/explore.py
@@ -14,7 +14,7 @@
 
 from threadshift.consensus.kept import Entry, Kept
 from threadshift.consensus.member import Member, Message, Timing
-from threadshift.emulator.record import Broken
+from threadshift.emulator.record import InvariantViolation
 
 TIMING = Timing(beat=1_000, lease=9_000)
 STEP = 5_000               # of time: two of them pass a lease, one a beat
@@ -81,14 +81,14 @@
     world.air += [(name, each) for each in effects.messages]
     for told in effects.told:
         if world.known.setdefault(told.place, told.entry) != told.entry:
-            raise Broken(f"entry {told.place} is {world.known[told.place]} and, at {name}, {told.entry}: "
+            raise InvariantViolation(f"entry {told.place} is {world.known[told.place]} and, at {name}, {told.entry}: "
                          f"{'; '.join(world.path)}")
 
 
 def check(world: World) -> None:
     holders = [name for name, each in world.members.items() if each.holds(world.now[name])]
     if len(holders) > 1:
-        raise Broken(f"{holders} hold at once: {'; '.join(world.path)}")
+        raise InvariantViolation(f"{holders} hold at once: {'; '.join(world.path)}")
 
 
 def start(make: Callable[..., Member] = Member, budget: Budget | None = None, orderly: bool = True,
@@ -197,7 +197,7 @@
 def explore(depth: int, most: int = 1 << 62, make: Callable[..., Member] = Member,
             budget: Budget | None = None, orderly: bool = True, path: Sequence[str] = ()) -> tuple[int, int]:
     """Looks at all states up to this depth, breadth first, `most` of them at the most: how many states there were,
-    and the depth that was looked at whole. Raises Broken with the path."""
+    and the depth that was looked at whole. Raises InvariantViolation with the path."""
     first = start(make, budget, orderly, path)
     seen, queue, whole = {first.key()}, deque([(first, 0)]), 0
     while queue:
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -51,12 +51,12 @@
         self.registry = WorkerRegistry(told.drain_grace)
         self.tell, self.refuse = answered, refuse
         self.admission = Admission(min(each.target_latency for each in told.types), weights(told.tenants))
-        self.hall: Any = None        # its announcements, where it has any
+        self.service_announcer: Any = None        # its announcements, where it has any
         self.alive, self.closing = True, False
         self.inbox: deque[tuple] = deque()          # what waits for the processor
         self.busy_until = self.waiting = 0          # ns; the work of the inbox
-        self.used = 0                               # ns of processor, in all
-        self.asks = 0                               # questions for load, in all
+        self.processor_time = 0                               # ns of processor, in all
+        self.probe_count = 0                               # questions for load, in all
         self.backlog: list[tuple] | None = None     # what came while its process stood still
         self.held_up = 0                            # what is heard now may have waited so long unread
         self.backoffs: dict[str, ReconnectBackoff] = {}
@@ -97,7 +97,7 @@
 
     def do(self, cost: int, act: Callable[..., None], words: tuple, came: int) -> None:
         self.busy_until = self.clock.now + cost
-        self.used += cost
+        self.processor_time += cost
         self.held_up = self.clock.now - came    # unread, while the client's time ran (invoke/poll_monitor.py)
         act(*words)
         self.held_up = 0
@@ -124,7 +124,7 @@
             self.admission.record_lag(self.clock.now, self.lag)
         if call.left <= self.held_up or self.closing or not self.admission.admit(call.again, call.tenant):
             self.busy_until -= CALL - REFUSED
-            self.used -= CALL - REFUSED
+            self.processor_time -= CALL - REFUSED
             self.refuse(client)
             return
         call = call._replace(left=call.left - self.held_up)
@@ -169,8 +169,9 @@
 
     def drain(self) -> None:
         """Told to end in order: routes first, where it announces any."""
-        if self.hall is not None:
-            self.hall.drain.begin(self.clock.now, self.hall.arrivals.per_second(self.clock.now))
+        if self.service_announcer is not None:
+            self.service_announcer.drain.begin(
+                self.clock.now, self.service_announcer.arrivals.per_second(self.clock.now))
         else:
             self.close()
 
@@ -187,8 +188,8 @@
 
     def end(self) -> None:
         self.alive = False
-        if self.hall is not None:
-            self.hall.router.lost(self.hall)
+        if self.service_announcer is not None:
+            self.service_announcer.router.lost(self.service_announcer)
 
     def linked(self, worker: str) -> bool:
         return worker in self.links
@@ -220,8 +221,8 @@
         return it if it is not None and self.links.get(worker) == it.started else None
 
     def on_answered(self, pending: PendingRequest) -> None:
-        if self.hall is not None:
-            self.hall.recent.record(self.clock.now, pending)
+        if self.service_announcer is not None:
+            self.service_announcer.recent.record(self.clock.now, pending)
         self.tell(pending)
         if self.closing:
             self.clock.after(0, self.end_if_done)
@@ -297,7 +298,7 @@
 
     def probe(self, worker: str, question: PendingWorkerQuery) -> Outcome | None:
         it = self.link(worker)
-        self.asks += 1
+        self.probe_count += 1
         if it is None:
             return Outcome.UNREACHABLE
         self.out.setdefault(worker, {})[question] = None
--- a/threadshift/emulator/record.py
+++ b/threadshift/emulator/record.py
@@ -20,7 +20,7 @@
 from threadshift.consensus.keeper import Keeper
 from threadshift.consensus.kept import Entry
 from threadshift.consensus.member import Member, Message, Role, Timing
-from threadshift.emulator.disk import Plate
+from threadshift.emulator.disk import SimulatedDisk
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
 
@@ -29,7 +29,7 @@
 FAULTS = ("freeze", "kill", "cut", "one-way", "loss", "old", "forget", "refuse", "flip", "leave", *["propose"] * 8)
 
 
-class Broken(ThreadshiftError):
+class InvariantViolation(ThreadshiftError):
     """A promise that did not hold; says which, when, and with which seed."""
 
     help = "run the same seed again; the trace has what led to it"
@@ -42,7 +42,7 @@
     name: str
     rate: float
     offset: int
-    disk: Plate
+    disk: SimulatedDisk
     keeper: Keeper | None = None
     state: list[tuple[int, dict[str, Any]]] = field(default_factory=list)      # what it applied
     frozen: int = 0            # until then; what comes meanwhile lies unread
@@ -61,8 +61,8 @@
         return self.keeper is not None and self.keeper.member.holds(self.clock(at))
 
 
-class Record:
-    """One drawn history. run() raises Broken."""
+class ConsensusSimulation:
+    """One drawn history. run() raises InvariantViolation."""
 
     def __init__(self, seed: int, voters: int = 3, others: int = 2, seconds: int = 30, faults: float = 1.5,
                  lies: bool = True, make: Callable[..., Keeper] = Keeper):
@@ -72,7 +72,7 @@
         self.names = [*self.voters, *(f"f{n}" for n in range(others))]
         self.liar = self.random.choice(self.voters)
         self.nodes = {name: Node(name, 1 + self.random.uniform(-0.004, 0.004), self.random.randrange(10**12),
-                                 Plate(self.random.random)) for name in self.names}
+                                 SimulatedDisk(self.random.random)) for name in self.names}
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.serial = count().__next__
         self.cuts: dict[tuple[str, str], int] = {}
@@ -297,5 +297,5 @@
     def note(self, text: str) -> None:
         self.trace.append(f"{self.now / SECOND:.3f} {text}")
 
-    def broken(self, text: str) -> Broken:
-        return Broken(f"{text} (seed {self.seed}, at {self.now / SECOND:.3f} s)")
+    def broken(self, text: str) -> InvariantViolation:
+        return InvariantViolation(f"{text} (seed {self.seed}, at {self.now / SECOND:.3f} s)")
--- a/threadshift/emulator/router.py
+++ b/threadshift/emulator/router.py
@@ -27,7 +27,7 @@
 PREFIX = ipaddress.ip_network(SERVICE)
 
 
-class ModelHall:
+class ModelServiceAnnouncer:
     """The announcements of one front end's life."""
 
     def __init__(self, clock: Clock, front: ModelFront, router: ModelRouter, n: int):
@@ -78,16 +78,16 @@
     def __init__(self, clock: Clock, told: RouterOf, delay: Callable[[], int], note: Callable[..., Any]):
         self.clock, self.it, self.delay, self.note = clock, told, delay, note
         self.routes: dict[int, Path] = {}        # front end: what it announces
-        self.halls: dict[int, ModelHall] = {}    # the session that stands with each front end
+        self.sessions: dict[int, ModelServiceAnnouncer] = {}    # the session that stands with each front end
         self.hops: dict[int, int] = {}           # next hop: front end
         self.best: list[Path] = []
         self.steers: list[int] = []
         self.turn = 0
 
-    def heard(self, hall: ModelHall, path: Path | None) -> None:
-        if not hall.front.alive or hall.front.backlog is not None and self.halls.get(hall.n) is not hall:
+    def heard(self, hall: ModelServiceAnnouncer, path: Path | None) -> None:
+        if not hall.front.alive or hall.front.backlog is not None and self.sessions.get(hall.n) is not hall:
             return
-        self.halls[hall.n] = hall
+        self.sessions[hall.n] = hall
         self.hops[int(hall.hop)] = hall.n
         if path is None:
             self.routes.pop(hall.n, None)
@@ -95,26 +95,26 @@
             self.routes[hall.n] = path
         self.choose()
 
-    def lost(self, hall: ModelHall) -> None:
+    def lost(self, hall: ModelServiceAnnouncer) -> None:
         """Its session ended."""
-        if self.halls.get(hall.n) is hall:
-            del self.halls[hall.n]
+        if self.sessions.get(hall.n) is hall:
+            del self.sessions[hall.n]
             self.routes.pop(hall.n, None)
             self.choose()
 
-    def silent(self, hall: ModelHall) -> None:
+    def silent(self, hall: ModelServiceAnnouncer) -> None:
         """The hold time is over for one that stood still since."""
         if hall.front.backlog is not None:
             self.lost(hall)
 
-    def goes_on(self, hall: ModelHall) -> None:
+    def goes_on(self, hall: ModelServiceAnnouncer) -> None:
         """A front end that stood still reads again; where its session was lost it tells its route anew."""
-        if self.halls.get(hall.n) is not hall and hall.front.alive:
+        if self.sessions.get(hall.n) is not hall and hall.front.alive:
             hall.told = None
             self.clock.after(AGAIN, hall.tell, self.wanted(hall))
 
     @staticmethod
-    def wanted(hall: ModelHall) -> Path | None:
+    def wanted(hall: ModelServiceAnnouncer) -> Path | None:
         return hall.announcer.wanted(False).get(PREFIX)
 
     def choose(self) -> None:
@@ -122,7 +122,7 @@
             best = Router.choose(list(self.routes.values()))
         else:                                    # baselines: whether a session stands, or nothing at all
             known = sorted(self.hops) if self.it.steer == "static" else sorted(
-                int(hall.hop) for hall in self.halls.values())
+                int(hall.hop) for hall in self.sessions.values())
             best = [Path(ipaddress.ip_address(hop)) for hop in known]
         if best != self.best:
             self.best = best
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -17,7 +17,7 @@
 from threadshift.choice import Dispatcher
 from threadshift.emulator.front import CALL, ModelFront, Policy
 from threadshift.emulator.network import OTHER, Network
-from threadshift.emulator.router import ModelHall, ModelRouter
+from threadshift.emulator.router import ModelServiceAnnouncer, ModelRouter
 from threadshift.emulator.store import MB, ModelStore
 from threadshift.emulator.worker import ModelWorker
 from threadshift.gateway.service_announcer import OPERATOR_ORDERS
@@ -40,7 +40,7 @@
         self.network = Network(self.clock, seed, self.zones)
         self.store = ModelStore(self.clock, day.store, self.noter("store"))
         self.network.fronts = self.fronts = dict[str, ModelFront]()
-        self.lives: list[ModelFront] = []    # of front ends, one a start
+        self.front_ends_started: list[ModelFront] = []    # of front ends, one a start
         self.entries: dict[str, WorkerEntry] = {}
         self.late = 0
         self.late_until = 0
@@ -78,7 +78,7 @@
         self.clock.run(begin + self.day.length + 4 * longest + 5 * SECOND)
         conductor("over")
 
-    def seen(self) -> list[Seen]:
+    def recorded_events(self) -> list[Seen]:
         """The records as the audit reads them."""
         found = [Seen(line["t"], line["e"], source, line) for source, lines in sorted(self.records.items())
                  for line in lines]
@@ -96,7 +96,7 @@
     def start_worker(self, name: str) -> None:
         told, fleet = self.day.told.deployment, self.day.fleet
         machine = Machine(name, self.zones[name], 1.0, fleet.cores, fleet.memory / MB, fleet.loads,
-                          keep=told.idle_keep_alive, cold_share=told.cold_share, cold_time=told.cold_time,
+                          idle_keep_alive=told.idle_keep_alive, cold_share=told.cold_share, cold_time=told.cold_time,
                           fall_multiple=told.fall_multiple, fall_time=told.fall_time,
                           report_every=fleet.report_every, loads_on_miss=told.loads_on_miss)
         self.network.workers[name] = ModelWorker(self.clock, machine, self.store, self.noter(name, worker=name))
@@ -110,9 +110,9 @@
         zone = self.day.fleet.zones[n % len(self.day.fleet.zones)]
         front = self.fronts[name] = ModelFront(self.clock, self.day, name, zone, self.network, self.seed,
                                                self.answered, self.refused, self.policy)
-        self.lives.append(front)
+        self.front_ends_started.append(front)
         if self.router is not None:
-            front.hall = ModelHall(self.clock, front, self.router, n)
+            front.service_announcer = ModelServiceAnnouncer(self.clock, front, self.router, n)
         self.noter("conductor")("front-up", front=n)
         self.tell(list(self.entries.values()), True, [name])
 
@@ -194,17 +194,17 @@
         self.noter("conductor")("stopped", who=who)
         front = self.fronts[who]
         front.stop()
-        if self.router is not None and front.hall is not None:
+        if self.router is not None and front.service_announcer is not None:
             # Its last keepalive left up to a third of the hold time ago.
             hold = self.router.it.hold * SECOND
-            self.clock.after(int(hold * (1 - front.chance() / 3)), self.router.silent, front.hall)
+            self.clock.after(int(hold * (1 - front.chance() / 3)), self.router.silent, front.service_announcer)
 
     def go_on(self, who: str) -> None:
         self.noter("conductor")("goes-on", who=who)
         front = self.fronts[who]
         front.go_on()
-        if self.router is not None and front.hall is not None:
-            self.router.goes_on(front.hall)
+        if self.router is not None and front.service_announcer is not None:
+            self.router.goes_on(front.service_announcer)
 
     def drain(self, who: str) -> None:
         self.noter("conductor")("drains", who=who)
@@ -216,7 +216,7 @@
 
     def say(self, who: str, word: str) -> None:
         """An operator's word on its announcements."""
-        hall = self.fronts[who].hall
+        hall = self.fronts[who].service_announcer
         if hall is not None:
             hall.say(OPERATOR_ORDERS[word])
 
@@ -233,8 +233,8 @@
             note("broke", mark=mark, problem="refused")
             self.again(it, number, note, True)
             return
-        if front.hall is not None:
-            front.hall.arrivals.record(self.clock.now)
+        if front.service_announcer is not None:
+            front.service_announcer.arrivals.record(self.clock.now)
         # The mark and the true work travel as the call's own mark: the models read them, the decisions do not.
         known = self.day.told.function(it.function)
         call = Call(it.type.name, it.function, it.left, b"", it.tenant, f"{mark} {it.work}", it.hint,
--- a/threadshift/emulator/store.py
+++ b/threadshift/emulator/store.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from threadshift.days.day import Store
-from threadshift.emulator.clock import Clock, Spans
+from threadshift.emulator.clock import Clock, ActiveFaults
 from threadshift.interface import MS
 from threadshift.standins.store import CROWDED, pack
 
@@ -18,7 +18,7 @@
 
     def __init__(self, clock: Clock, told: Store, note: Callable[..., None]):
         self.clock, self.told, self.note = clock, told, note
-        self.faults = Spans(clock)
+        self.faults = ActiveFaults(clock)
         self.release = self.fetching = 0
         self.turned = 0.0
         self.packs: dict[str, dict[str, Any]] = {}
--- a/threadshift/emulator/worker.py
+++ b/threadshift/emulator/worker.py
@@ -7,7 +7,7 @@
 from functools import partial
 from typing import Any
 
-from threadshift.emulator.clock import Clock, Spans
+from threadshift.emulator.clock import Clock, ActiveFaults
 from threadshift.emulator.store import ModelStore
 from threadshift.interface import MS, Copy, Outcome, Report
 from threadshift.standins.worker import Machine
@@ -31,15 +31,15 @@
 
 
 @dataclass(slots=True, eq=False)
-class Loaded:
+class LoadedCopy:
     memory: float
     busy: int = 0
     idle_since: int = 0
 
 
 @dataclass(slots=True, eq=False)
-class Shelf:
-    copies: list[Loaded] = field(default_factory=list)
+class FunctionState:
+    copies: list[LoadedCopy] = field(default_factory=list)
     loading: int = 0
     lanes: int = 1
     queue: deque[Job] = field(default_factory=deque)
@@ -52,13 +52,13 @@
     def __init__(self, clock: Clock, machine: Machine, store: ModelStore, note: Callable[..., None]):
         self.clock, self.machine, self.store, self.note = clock, machine, store, note
         self.started = clock.now
-        self.faults = Spans(clock)
-        self.shelves: dict[str, Shelf] = {}
+        self.faults = ActiveFaults(clock)
+        self.functions: dict[str, FunctionState] = {}
         self.jobs: dict[Job, None] = {}
-        self.ready: deque[tuple[Shelf, Loaded, Job]] = deque()      # with a lane, waiting for a core
+        self.ready: deque[tuple[FunctionState, LoadedCopy, Job]] = deque()      # with a lane, waiting for a core
         self.running = self.loading = 0
         self.used = 0.0
-        self.waiting_loads: deque[tuple[str, Shelf]] = deque()
+        self.waiting_loads: deque[tuple[str, FunctionState]] = deque()
         self.draining = False
         self.alive = True
         self.pushed: deque[tuple[int, float]] = deque()
@@ -74,15 +74,15 @@
         self.push(hint / MS)
         if not self.alive:
             return
-        if len(self.jobs) >= self.machine.most or self.draining:
+        if len(self.jobs) >= self.machine.max_calls or self.draining:
             self.note("turned", mark=job.mark, kind="full")
             job.reply(Outcome.FULL, Copy.UNKNOWN, self.report)
             return
         self.jobs[job] = None
-        shelf = self.shelves.setdefault(job.function, Shelf())
-        shelf.lanes = lanes
-        shelf.queue.append(job)
-        self.serve(job.function, shelf, job)
+        state = self.functions.setdefault(job.function, FunctionState())
+        state.lanes = lanes
+        state.queue.append(job)
+        self.serve(job.function, state, job)
 
     def cancel(self, front: str, mark: str) -> None:
         """Noted only: what waits here is served all the same."""
@@ -109,55 +109,55 @@
     def slowness(self) -> float:
         return max(1.0, self.faults.amount("slow")) / self.able()
 
-    def serve(self, function: str, shelf: Shelf, newest: Job | None = None) -> None:
-        while shelf.queue:
-            free = next((copy for copy in shelf.copies if copy.busy < shelf.lanes), None)
+    def serve(self, function: str, state: FunctionState, newest: Job | None = None) -> None:
+        while state.queue:
+            free = next((copy for copy in state.copies if copy.busy < state.lanes), None)
             if free is None:
                 break
             free.busy += 1
-            self.ready.append((shelf, free, shelf.queue.popleft()))
+            self.ready.append((state, free, state.queue.popleft()))
         self.start_ready()
-        if newest is None or newest not in shelf.queue:
+        if newest is None or newest not in state.queue:
             return
         if not self.machine.loads_on_miss:
-            if not shelf.copies and not shelf.loading:
-                shelf.queue.remove(newest)
+            if not state.copies and not state.loading:
+                state.queue.remove(newest)
                 self.done(newest, Outcome.MISS, Copy.UNKNOWN)
-        elif len(shelf.queue) > shelf.loading * shelf.lanes:
+        elif len(state.queue) > state.loading * state.lanes:
             newest.copy = "began"
-            self.bring(function, shelf)
+            self.bring(function, state)
         else:
             newest.copy = "waited"
 
     def start_ready(self) -> None:
         while self.ready and self.running < self.machine.cores:
-            shelf, copy, job = self.ready.popleft()
+            state, copy, job = self.ready.popleft()
             hung = self.faults.left("hang")
             if hung:
-                self.ready.appendleft((shelf, copy, job))
+                self.ready.appendleft((state, copy, job))
                 self.clock.after(hung, self.start_ready)
                 return
             if job.cancelled or self.clock.now >= job.ends:
                 self.done(job, Outcome.FULL, Copy.UNKNOWN)
-                self.release(shelf, copy, job.function)
+                self.release(state, copy, job.function)
                 continue
             self.running += 1
             self.note("run", front=job.front, mark=job.mark, function=job.function, effect=job.effect)
-            self.clock.after(int(job.work * self.slowness() / self.machine.size), self.ran, shelf, copy, job)
+            self.clock.after(int(job.work * self.slowness() / self.machine.size), self.ran, state, copy, job)
 
-    def ran(self, shelf: Shelf, copy: Loaded, job: Job) -> None:
+    def ran(self, state: FunctionState, copy: LoadedCopy, job: Job) -> None:
         if hung := self.faults.left("hang"):
-            self.clock.after(hung, self.ran, shelf, copy, job)
+            self.clock.after(hung, self.ran, state, copy, job)
             return
         self.running -= 1
         late = int(self.faults.amount("late") * MS)
         self.clock.after(late, self.done, job, Outcome.COMPLETED, COPIES[job.copy])
-        self.release(shelf, copy, job.function)
+        self.release(state, copy, job.function)
 
-    def release(self, shelf: Shelf, copy: Loaded, function: str) -> None:
+    def release(self, state: FunctionState, copy: LoadedCopy, function: str) -> None:
         copy.busy -= 1
         copy.idle_since = self.clock.now
-        self.clock.after(0, self.serve, function, shelf)
+        self.clock.after(0, self.serve, function, state)
 
     def done(self, job: Job, outcome: Outcome, copy: Copy) -> None:
         if self.jobs.pop(job, job) is not None or not self.alive:
@@ -171,54 +171,54 @@
 
     # Copies.
 
-    def bring(self, function: str, shelf: Shelf) -> None:
-        shelf.loading += 1
-        self.waiting_loads.append((function, shelf))
+    def bring(self, function: str, state: FunctionState) -> None:
+        state.loading += 1
+        self.waiting_loads.append((function, state))
         self.begin_loads()
 
     def begin_loads(self) -> None:
-        while self.waiting_loads and self.loading < self.machine.loads:
-            function, shelf = self.waiting_loads.popleft()
+        while self.waiting_loads and self.loading < self.machine.max_loads:
+            function, state = self.waiting_loads.popleft()
             self.loading += 1
-            self.store.fetch(self.machine.name, function, partial(self.fetched, function, shelf))
+            self.store.fetch(self.machine.name, function, partial(self.fetched, function, state))
 
-    def fetched(self, function: str, shelf: Shelf, pack: dict[str, Any] | None, why: str) -> None:
+    def fetched(self, function: str, state: FunctionState, pack: dict[str, Any] | None, why: str) -> None:
         if pack is not None and not self.room(pack["memory_mb"]):
             pack, why = None, "no memory is free"
         if pack is None:
-            self.loaded(function, shelf, None, why)
+            self.loaded(function, state, None, why)
             return
         self.used += pack["memory_mb"]
-        self.clock.after(int(pack["start_ms"] * self.slowness() * MS), self.loaded, function, shelf, pack, "")
+        self.clock.after(int(pack["start_ms"] * self.slowness() * MS), self.loaded, function, state, pack, "")
 
-    def loaded(self, function: str, shelf: Shelf, pack: dict[str, Any] | None, why: str) -> None:
-        shelf.loading -= 1
+    def loaded(self, function: str, state: FunctionState, pack: dict[str, Any] | None, why: str) -> None:
+        state.loading -= 1
         self.loading -= 1
         self.note("load", function=function, failed=why)
         if pack is not None:
-            shelf.copies.append(Loaded(pack["memory_mb"], idle_since=self.clock.now))
-        elif not shelf.copies and not shelf.loading:
-            while shelf.queue:
-                job = shelf.queue.popleft()
+            state.copies.append(LoadedCopy(pack["memory_mb"], idle_since=self.clock.now))
+        elif not state.copies and not state.loading:
+            while state.queue:
+                job = state.queue.popleft()
                 self.done(job, Outcome.MISS, Copy.LOAD_FAILED)
-        for wanted, answer in [each for each in shelf.holders if len(shelf.copies) >= each[0] or not shelf.loading]:
-            shelf.holders.remove((wanted, answer))
-            answer(Outcome.COMPLETED if len(shelf.copies) >= wanted else Outcome.ERROR, len(shelf.copies))
+        for wanted, answer in [each for each in state.holders if len(state.copies) >= each[0] or not state.loading]:
+            state.holders.remove((wanted, answer))
+            answer(Outcome.COMPLETED if len(state.copies) >= wanted else Outcome.ERROR, len(state.copies))
         self.begin_loads()
-        self.serve(function, shelf)
+        self.serve(function, state)
 
     def room(self, wanted: float) -> bool:
-        idle = sorted(((copy.idle_since, number, shelf, copy) for number, (shelf, copy) in enumerate(
-            (shelf, copy) for shelf in self.shelves.values() for copy in shelf.copies if not copy.busy)),
+        idle = sorted(((copy.idle_since, number, state, copy) for number, (state, copy) in enumerate(
+            (state, copy) for state in self.functions.values() for copy in state.copies if not copy.busy)),
             key=lambda each: each[:2])
-        for _, _, shelf, copy in idle:
+        for _, _, state, copy in idle:
             if self.used + wanted <= self.machine.memory_mb:
                 break
-            self.unload(shelf, copy)
+            self.unload(state, copy)
         return self.used + wanted <= self.machine.memory_mb
 
-    def unload(self, shelf: Shelf, copy: Loaded) -> None:
-        shelf.copies.remove(copy)
+    def unload(self, state: FunctionState, copy: LoadedCopy) -> None:
+        state.copies.remove(copy)
         self.used -= copy.memory
 
     def hold(self, front: str, function: str, answer: Callable[[Outcome, int], None]) -> None:
@@ -226,15 +226,15 @@
         if self.draining:
             answer(Outcome.FULL, 0)
             return
-        shelf = self.shelves.setdefault(function, Shelf())
-        for copy in shelf.copies:
+        state = self.functions.setdefault(function, FunctionState())
+        for copy in state.copies:
             copy.idle_since = self.clock.now
-        if shelf.copies:
-            answer(Outcome.COMPLETED, len(shelf.copies))
+        if state.copies:
+            answer(Outcome.COMPLETED, len(state.copies))
             return
-        shelf.holders.append((1, answer))
-        if not shelf.loading:
-            self.bring(function, shelf)
+        state.holders.append((1, answer))
+        if not state.loading:
+            self.bring(function, state)
 
     # Beside.
 
@@ -243,18 +243,18 @@
         if not self.alive:
             return
         now = self.clock.now
-        for shelf in self.shelves.values():
-            for copy in [each for each in shelf.copies if not each.busy]:
-                if now - copy.idle_since > self.machine.keep:
-                    self.unload(shelf, copy)
+        for state in self.functions.values():
+            for copy in [each for each in state.copies if not each.busy]:
+                if now - copy.idle_since > self.machine.idle_keep_alive:
+                    self.unload(state, copy)
         if not self.faults.amount("lie"):
-            busy = sum(copy.memory for shelf in self.shelves.values() for copy in shelf.copies if copy.busy)
-            waiting = sum(len(shelf.queue) for shelf in self.shelves.values())
+            busy = sum(copy.memory for state in self.functions.values() for copy in state.copies if copy.busy)
+            waiting = sum(len(state.queue) for state in self.functions.values())
             self.report = Report(float(waiting), float(len(self.jobs)), self.running / self.machine.cores,
                                  float(self.loading), min(1.0, busy / self.machine.memory_mb))
         self.clock.after(self.machine.report_every, self.look)
 
     def flush(self) -> None:
-        for shelf in self.shelves.values():
-            for copy in [each for each in shelf.copies if not each.busy]:
-                self.unload(shelf, copy)
+        for state in self.functions.values():
+            for copy in [each for each in state.copies if not each.busy]:
+                self.unload(state, copy)
--- a/threadshift/gateway/demo.py
+++ b/threadshift/gateway/demo.py
@@ -48,34 +48,34 @@
         try:
             self.start()
         except BaseException:
-            self.rig.end()
+            self.rig.stop()
             raise
         return self
 
     def __exit__(self, *_: object) -> None:
-        self.rig.end()
+        self.rig.stop()
 
     def start(self) -> None:
         rig = self.rig
-        rig.standin("store", "store")
-        rig.standin("roster", "roster")
-        rig.listening("store")
-        rig.listening("roster")
+        rig.start_standin("store", "store")
+        rig.start_standin("roster", "roster")
+        rig.wait_for_address("store")
+        rig.wait_for_address("roster")
         names = [f"w{n}" for n in range(self.workers)]
         for name in names:
-            rig.standin(name, "worker", name=name, store=rig.at["store"])
+            rig.start_standin(name, "worker", name=name, store=rig.addresses["store"])
         for name in names:
-            rig.processes["roster"].order(f"worker {name} {rig.listening(name)}")
+            rig.processes["roster"].order(f"worker {name} {rig.wait_for_address(name)}")
         own_port = free_ports(1)[0] if self.front_ends == 1 else consecutive_ports(self.front_ends)
         conf = rig.folder / "threadshift.conf"
         conf.write_text(CONF.format(port=self.port, front_ends=self.front_ends, own=own_port,
-                                    roster=rig.at["roster"]))
+                                    roster=rig.addresses["roster"]))
         rig.start("front", "run", str(conf))
         for at in [self.port] if self.front_ends == 1 else range(own_port, own_port + self.front_ends):
             self.wait_until_ready(at)
 
     def wait_until_ready(self, port: int) -> None:
-        if self.rig.linked("front", Address("127.0.0.1", port), self.workers, READY_TIMEOUT_S):
+        if self.rig.wait_until_linked("front", Address("127.0.0.1", port), self.workers, READY_TIMEOUT_S):
             return
         errors = (self.rig.folder / "front.err").read_text().strip().splitlines()
         raise RuntimeError(f"the gateway did not start: {errors[-1] if errors else 'it wrote no message'}")
--- a/threadshift/standins/common.py
+++ b/threadshift/standins/common.py
@@ -158,13 +158,13 @@
         self.group.kill()
 
 
-def follow_orders(obey: Callable[[list[str]], None]) -> None:
+def follow_orders(execute_order: Callable[[list[str]], None]) -> None:
     """Reads orders, one a line, from standard input until it ends. A wrong one is said on standard error."""
     for line in FileObject(sys.stdin.buffer, "rb"):
         words = line.decode(errors="replace").split()
         if not words:
             continue
         try:
-            obey(words)
+            execute_order(words)
         except (ValueError, TypeError, KeyError) as problem:
             print(f"order '{' '.join(words)}': {problem}", file=sys.stderr, flush=True)
--- a/threadshift/standins/disk.py
+++ b/threadshift/standins/disk.py
@@ -18,7 +18,7 @@
 from threadshift.storage.disk import Disk
 
 
-class Faulty(Disk):
+class FaultyDisk(Disk):
     def __init__(self, orders: Path | None = None):
         super().__init__()
         self.orders, self.seen = orders, ""
--- a/threadshift/standins/feed.py
+++ b/threadshift/standins/feed.py
@@ -32,7 +32,7 @@
             for peer in self.peers:
                 peer.send("ping")
 
-    def obey(self, words: list[str]) -> None:
+    def execute_order(self, words: list[str]) -> None:
         order, rest = words[0], words[1:]
         if order == "worker":
             facts: dict[str, Any] = dict(zip(rest[2::2], rest[3::2], strict=True))
--- a/threadshift/standins/relay.py
+++ b/threadshift/standins/relay.py
@@ -31,7 +31,7 @@
         self.left = WHOLE                   # bytes until a connection is torn
         self.greenlets = {gevent.spawn(self.accept)}
 
-    def obey(self, words: list[str]) -> None:
+    def execute_order(self, words: list[str]) -> None:
         self.record.note("relay", route=self.name, words=words)
         if words[0] == "reset":
             self.reset()
@@ -117,10 +117,10 @@
     def start(self) -> None:
         """They listen from the first moment on."""
 
-    def obey(self, words: list[str]) -> None:
+    def execute_order(self, words: list[str]) -> None:
         names = self.routes if words[0] == "*" else words[0].split(",")
         for name in list(names):
-            self.routes[name].obey(words[1:])
+            self.routes[name].execute_order(words[1:])
 
     def stop(self) -> None:
         for route in self.routes.values():
--- a/threadshift/standins/rig.py
+++ b/threadshift/standins/rig.py
@@ -81,7 +81,7 @@
     def alive(self) -> bool:
         return self.process.poll() is None
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Tells it to end and waits; kills it where it does not."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
@@ -96,37 +96,37 @@
 
 
 class Rig:
-    """Processes by name, their records and errors in one folder. Ended by end(), or on leaving `with`."""
+    """Processes by name, their records and errors in one folder. Ended by stop(), or on leaving `with`."""
 
     def __init__(self, folder: Path):
         self.folder = folder
         self.processes: dict[str, Process] = {}
-        self.at: dict[str, Address] = {}
+        self.addresses: dict[str, Address] = {}
 
     def __enter__(self) -> Rig:
         return self
 
     def __exit__(self, *_: Any) -> None:
-        self.end()
+        self.stop()
 
     def start(self, name: str, *arguments: str) -> Process:
         it = self.processes[name] = Process(list(arguments), self.folder / f"{name}.err")
         return it
 
-    def standin(self, name: str, kind: str, /, **options: Any) -> Process:
+    def start_standin(self, name: str, kind: str, /, **options: Any) -> Process:
         """A stand-in whose options are those of its sub-command; it listens where it did before, if it did."""
         words = [f"--{key.replace('_', '-')}={value}" for key, value in options.items() if value is not None]
-        return self.start(name, "standin", kind, f"--listen={self.at.get(name, '127.0.0.1:0')}",
+        return self.start(name, "standin", kind, f"--listen={self.addresses.get(name, '127.0.0.1:0')}",
                           f"--record={self.folder / f'{name}.jsonl'}", *words)
 
-    def listening(self, name: str) -> Address:
-        self.at[name] = self.processes[name].address()
-        return self.at[name]
+    def wait_for_address(self, name: str) -> Address:
+        self.addresses[name] = self.processes[name].address()
+        return self.addresses[name]
 
     def front_end(self, name: str, conf: Path, index: int = 0) -> Process:
         return self.start(name, "front-end", str(conf), "--index", str(index))
 
-    def linked(self, name: str, at: Address, workers: int, limit: float) -> bool:
+    def wait_until_linked(self, name: str, at: Address, workers: int, limit: float) -> bool:
         """Waits until the front end at this address has links to so many workers; False where it dies or is late."""
         client, until = Client(at), time.monotonic() + limit
         while time.monotonic() < until and self.processes[name].alive:
@@ -146,9 +146,9 @@
             os.kill(process.pid, signal.SIGKILL)
             process.wait()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         # Front ends first: they need their workers to answer what they hold.
         for names in ([name for name in self.processes if name.startswith("front")],
                       [name for name in self.processes if not name.startswith("front")]):
-            gevent.joinall([gevent.spawn(self.processes[name].end) for name in names])
+            gevent.joinall([gevent.spawn(self.processes[name].stop) for name in names])
         self.processes.clear()
--- a/threadshift/standins/router.py
+++ b/threadshift/standins/router.py
@@ -81,7 +81,7 @@
             self.speaker.tick(time.monotonic_ns())
             if self.faults.amount("refuse"):
                 for name in self.speaker.told:
-                    self.obey(["reset", name])
+                    self.execute_order(["reset", name])
             best = self.chosen()
             if best != self.best:
                 self.best = best
@@ -172,7 +172,7 @@
 
     # Faults.
 
-    def obey(self, words: list[str]) -> None:
+    def execute_order(self, words: list[str]) -> None:
         order, rest = words[0], words[1:]
         self.record.note("order", words=words)
         if order == "refuse":
--- a/threadshift/standins/store.py
+++ b/threadshift/standins/store.py
@@ -36,7 +36,7 @@
         self.release = self.fetching = 0
         self.turned = 0.0
 
-    def obey(self, words: list[str]) -> None:
+    def execute_order(self, words: list[str]) -> None:
         if words[0] == "release":
             self.release += 1
         else:
--- a/threadshift/standins/worker.py
+++ b/threadshift/standins/worker.py
@@ -65,9 +65,9 @@
     size: float = 1.0
     cores: int = 2
     memory_mb: float = 4096
-    loads: int = 4               # at a time
-    most: int = 64               # calls held; past it, full
-    keep: int = 10 * SECOND      # an idle copy stays so long
+    max_loads: int = 4               # at a time
+    max_calls: int = 64               # calls held; past it, full
+    idle_keep_alive: int = 10 * SECOND      # an idle copy stays so long
     cold_share: float = 1.0
     cold_time: int = 0
     fall_multiple: float = 1e9
@@ -90,7 +90,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Loaded:
+class LoadedCopy:
     """One copy of a function."""
 
     pack: dict[str, Any]
@@ -101,10 +101,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class Shelf:
+class FunctionState:
     """A function here: its copies, loads under way and calls that wait for a lane."""
 
-    copies: list[Loaded] = field(default_factory=list)
+    copies: list[LoadedCopy] = field(default_factory=list)
     loading: int = 0
     lanes: int = 1
     queue: deque[Job] = field(default_factory=deque)
@@ -120,9 +120,9 @@
         super().__init__(address)
         self.machine, self.store, self.record = machine, store, record
         self.started, self.started_wall = time.monotonic_ns(), time.time_ns()
-        self.shelves: dict[str, Shelf] = {}
+        self.functions: dict[str, FunctionState] = {}
         self.cores = BoundedSemaphore(machine.cores)
-        self.load_slots = BoundedSemaphore(machine.loads)
+        self.load_slots = BoundedSemaphore(machine.max_loads)
         self.jobs: dict[tuple[int, int], Job] = {}
         self.loading = self.running = 0
         self.used_mb = 0.0
@@ -139,7 +139,7 @@
         self.record.note("up", started=self.started_wall, cores=self.machine.cores, size=self.machine.size,
                          zone=self.machine.zone)
 
-    def obey(self, words: list[str]) -> None:
+    def execute_order(self, words: list[str]) -> None:
         self.record.note("order", words=words)
         if words[0] == "die":
             os._exit(9)
@@ -148,9 +148,9 @@
             for peer in self.peers:
                 peer.send("draining")
         elif words[0] == "flush":
-            for shelf in self.shelves.values():
-                for copy in [each for each in shelf.copies if not each.busy]:
-                    self.unload(shelf, copy)
+            for state in self.functions.values():
+                for copy in [each for each in state.copies if not each.busy]:
+                    self.unload(state, copy)
         else:
             self.faults.order(*words)
 
@@ -181,9 +181,9 @@
             self.record.note("hold", front=peer.name, function=frame["function"])
             self.group.spawn(self.hold, peer, frame)
         elif kind == "unload":
-            shelf = self.shelf(frame["function"])
-            for copy in [each for each in shelf.copies if not each.busy]:
-                self.unload(shelf, copy)
+            state = self.state_of(frame["function"])
+            for copy in [each for each in state.copies if not each.busy]:
+                self.unload(state, copy)
         elif kind == "ask":
             if not self.faults.amount("hang"):
                 peer.send("status", id=frame["id"], load=self.load)
@@ -191,7 +191,7 @@
             self.told_of_eviction(peer, frame)
             it = self.evictor
             peer.send("pong", epoch=it.force.epoch, complaint=it.complaint, lacks=it.lacks,
-                      copies=[name for name, shelf in self.shelves.items() if shelf.copies][:MOST_COPIES])
+                      copies=[name for name, state in self.functions.items() if state.copies][:MOST_COPIES])
         elif kind != "refused":
             raise ProtocolError(f"'{kind}' is not for a worker to hear")
 
@@ -208,16 +208,16 @@
         self.record.note("invoke", front=peer.name, mark=mark_of(frame["body"]), function=frame["function"],
                          type=frame["type"], effect=frame["effect"], work_ms=work)
         self.push(now, work)
-        if len(self.jobs) >= self.machine.most or self.draining:
+        if len(self.jobs) >= self.machine.max_calls or self.draining:
             self.record.note("turned", mark=mark_of(frame["body"]), kind="full")
             self.answer(peer, "full", id=frame["id"])
             return
         job = Job(peer, frame, now, now + frame["left"])
         self.jobs[id(peer), frame["id"]] = job
-        shelf = self.shelf(frame["function"])
-        shelf.lanes = max(1, int(frame.get("lanes", 1)))
-        shelf.queue.append(job)
-        self.serve(frame["function"], shelf, job)
+        state = self.state_of(frame["function"])
+        state.lanes = max(1, int(frame.get("lanes", 1)))
+        state.queue.append(job)
+        self.serve(frame["function"], state, job)
 
     def push(self, now: int, work: float) -> None:
         """Falls over, and stays down, when sent too much while cold."""
@@ -239,34 +239,34 @@
 
     # Copies.
 
-    def shelf(self, function: str) -> Shelf:
-        return self.shelves.setdefault(function, Shelf())
+    def state_of(self, function: str) -> FunctionState:
+        return self.functions.setdefault(function, FunctionState())
 
-    def serve(self, function: str, shelf: Shelf, newest: Job | None = None) -> None:
+    def serve(self, function: str, state: FunctionState, newest: Job | None = None) -> None:
         """Begins what can begin; starts a load where calls wait and none is under way."""
-        while shelf.queue:
-            free = next((copy for copy in shelf.copies if copy.busy < shelf.lanes), None)
+        while state.queue:
+            free = next((copy for copy in state.copies if copy.busy < state.lanes), None)
             if free is None:
                 break
-            job = shelf.queue.popleft()
+            job = state.queue.popleft()
             free.busy += 1
             free.uses += 1
-            self.group.spawn(self.work, function, shelf, free, job)
-        if newest is None or newest not in shelf.queue:
+            self.group.spawn(self.work, function, state, free, job)
+        if newest is None or newest not in state.queue:
             return
         if not self.machine.loads_on_miss:
-            if not shelf.copies and not shelf.loading:
-                shelf.queue.remove(newest)
+            if not state.copies and not state.loading:
+                state.queue.remove(newest)
                 self.done(newest, "miss")
-        elif len(shelf.queue) > shelf.loading * shelf.lanes:
+        elif len(state.queue) > state.loading * state.lanes:
             newest.copy = "began"
-            self.group.spawn(self.bring, function, shelf)
+            self.group.spawn(self.bring, function, state)
         else:
             newest.copy = "waited"
 
-    def bring(self, function: str, shelf: Shelf) -> None:
+    def bring(self, function: str, state: FunctionState) -> None:
         """One load, from the fetch to the copy that stands."""
-        shelf.loading += 1
+        state.loading += 1
         self.loading += 1
         try:
             with self.load_slots:
@@ -277,18 +277,18 @@
                     self.used_mb += pack["memory_mb"]
                     gevent.sleep(pack["start_ms"] * self.slowness() / 1000)
                     now = time.monotonic_ns()
-                    shelf.copies.append(Loaded(pack, idle_since=now, since=now))
+                    state.copies.append(LoadedCopy(pack, idle_since=now, since=now))
         finally:
-            shelf.loading -= 1
+            state.loading -= 1
             self.loading -= 1
-        shelf.failed = pack if isinstance(pack, str) else ""
-        self.record.note("load", function=function, failed=shelf.failed)
-        if shelf.failed and not shelf.copies and not shelf.loading:
-            while shelf.queue:
-                self.done(shelf.queue.popleft(), "miss", load_failed=True)
-        changed, shelf.changed = shelf.changed, Event()
+        state.failed = pack if isinstance(pack, str) else ""
+        self.record.note("load", function=function, failed=state.failed)
+        if state.failed and not state.copies and not state.loading:
+            while state.queue:
+                self.done(state.queue.popleft(), "miss", load_failed=True)
+        changed, state.changed = state.changed, Event()
         changed.set()
-        self.serve(function, shelf)
+        self.serve(function, state)
 
     def fetch(self, function: str) -> dict[str, Any] | str:
         """The pack, checked against its digest, or why there is none. A pack that fails is never run."""
@@ -319,8 +319,8 @@
         if self.used_mb + wanted_mb <= self.machine.memory_mb:
             return True
         now = time.monotonic_ns()
-        of = {self.facts(now, name, copy, number): (shelf, copy) for name, shelf in self.shelves.items()
-              for number, copy in enumerate(shelf.copies)}
+        of = {self.facts(now, name, copy, number): (state, copy) for name, state in self.functions.items()
+              for number, copy in enumerate(state.copies)}
         for facts in self.evictor.order(now, list(of)):
             if self.used_mb + wanted_mb <= self.machine.memory_mb:
                 break
@@ -331,37 +331,37 @@
         return self.used_mb + wanted_mb <= self.machine.memory_mb
 
     @staticmethod
-    def facts(now: int, name: str, copy: Loaded, number: int) -> Facts:
+    def facts(now: int, name: str, copy: LoadedCopy, number: int) -> Facts:
         return Facts(name, int(copy.pack["memory_mb"] * (1 << 20)), int(copy.pack["start_ms"] * MS),
                      0 if copy.busy else now - copy.idle_since, now - copy.since, copy.uses, busy=copy.busy > 0,
                      number=number)
 
-    def unload(self, shelf: Shelf, copy: Loaded) -> None:
-        shelf.copies.remove(copy)
+    def unload(self, state: FunctionState, copy: LoadedCopy) -> None:
+        state.copies.remove(copy)
         self.used_mb -= copy.pack["memory_mb"]
 
     def hold(self, peer: Peer, frame: Frame) -> None:
         """Answers once the copies stand, or it is plain that they will not."""
-        shelf, wanted = self.shelf(frame["function"]), frame["copies"]
+        state, wanted = self.state_of(frame["function"]), frame["copies"]
         if self.draining:
             self.answer(peer, "held", id=frame["id"], outcome="full", copies=0)
             return
-        for copy in shelf.copies:
+        for copy in state.copies:
             copy.idle_since = time.monotonic_ns()
-        for _ in range(wanted - len(shelf.copies) - shelf.loading):
-            self.group.spawn(self.bring, frame["function"], shelf)
+        for _ in range(wanted - len(state.copies) - state.loading):
+            self.group.spawn(self.bring, frame["function"], state)
         gevent.sleep(0)
-        while len(shelf.copies) < wanted and shelf.loading:
-            shelf.changed.wait()
-        outcome = "stands" if len(shelf.copies) >= wanted else "error"
-        self.answer(peer, "held", id=frame["id"], outcome=outcome, copies=len(shelf.copies))
+        while len(state.copies) < wanted and state.loading:
+            state.changed.wait()
+        outcome = "stands" if len(state.copies) >= wanted else "error"
+        self.answer(peer, "held", id=frame["id"], outcome=outcome, copies=len(state.copies))
 
     # Running.
 
     def slowness(self) -> float:
         return max(1.0, self.faults.amount("slow")) / self.able(time.monotonic_ns())
 
-    def work(self, function: str, shelf: Shelf, copy: Loaded, job: Job) -> None:
+    def work(self, function: str, state: FunctionState, copy: LoadedCopy, job: Job) -> None:
         """One call on one lane."""
         try:
             while hung := self.faults.left("hang"):
@@ -392,7 +392,7 @@
         finally:
             copy.busy -= 1
             copy.idle_since = time.monotonic_ns()
-            self.serve(function, shelf)
+            self.serve(function, state)
 
     def done(self, job: Job, kind: str, **fields: Any) -> None:
         self.jobs.pop((id(job.peer), job.frame["id"]), None)
@@ -428,14 +428,14 @@
             if now - before > 5 * TICK:
                 self.record.note("stood-still", since=before)
             before = now
-            for shelf in self.shelves.values():
-                for copy in [each for each in shelf.copies if not each.busy]:
-                    if now - copy.idle_since > self.machine.keep:
-                        self.unload(shelf, copy)
+            for state in self.functions.values():
+                for copy in [each for each in state.copies if not each.busy]:
+                    if now - copy.idle_since > self.machine.idle_keep_alive:
+                        self.unload(state, copy)
             if now - reported >= self.machine.report_every and not self.faults.amount("lie"):
                 reported = now
-                pinned = sum(copy.pack["memory_mb"] for shelf in self.shelves.values()
-                             for copy in shelf.copies if copy.busy) / self.machine.memory_mb
-                self.load = {"waiting": float(sum(len(shelf.queue) for shelf in self.shelves.values())),
+                pinned = sum(copy.pack["memory_mb"] for state in self.functions.values()
+                             for copy in state.copies if copy.busy) / self.machine.memory_mb
+                self.load = {"waiting": float(sum(len(state.queue) for state in self.functions.values())),
                              "held": float(len(self.jobs)), "busy": self.running / self.machine.cores,
                              "loading": float(self.loading), "pinned": min(1.0, pinned)}
--- a/threadshift/trials/hunt.py
+++ b/threadshift/trials/hunt.py
@@ -137,7 +137,7 @@
     for each in (policy, against) if against else (policy,):
         it = Emulation(day, seed, each)
         it.run()
-        verdicts.append(judge(day, it.seen()))
+        verdicts.append(judge(day, it.recorded_events()))
     return Found(seed, text, tuple(map(str, verdicts[0].breaches)), verdicts[0].ratio,
                  verdicts[1].ratio - verdicts[0].ratio if against else 0.0)
 
--- a/threadshift/trials/policies.py
+++ b/threadshift/trials/policies.py
@@ -96,16 +96,16 @@
         # What is on its way counts as arrived: else all calls of one moment would go to one worker.
         queued = max(it.running + len(it.ready), len(worker.sends))
         cores = max(0, queued - it.machine.cores + 1) * work / it.machine.cores
-        shelf = it.shelves.get(act.function.name)
-        if shelf is not None and shelf.copies:
-            lanes = len(shelf.copies) * shelf.lanes
-            busy = sum(copy.busy for copy in shelf.copies) + len(shelf.queue)
+        state = it.functions.get(act.function.name)
+        if state is not None and state.copies:
+            lanes = len(state.copies) * state.lanes
+            busy = sum(copy.busy for copy in state.copies) + len(state.queue)
             return stuck + max(cores, max(0, busy - lanes + 1) * work / lanes) + work
         pack = it.store.pack(act.function.name)
         load = (pack["fetch_ms"] * max(1.0, it.store.faults.amount("slow")) + pack["start_ms"]) * MS
-        if shelf is not None and shelf.loading:
-            return stuck + load / 2 + (1 + len(shelf.queue)) * work
-        behind = (it.loading + len(it.waiting_loads)) / it.machine.loads
+        if state is not None and state.loading:
+            return stuck + load / 2 + (1 + len(state.queue)) * work
+        behind = (it.loading + len(it.waiting_loads)) / it.machine.max_loads
         return stuck + load * (1 + behind) + max(cores, 0) + work
 
 
--- a/threadshift/trials/runs.py
+++ b/threadshift/trials/runs.py
@@ -62,14 +62,15 @@
         it = Emulation(day, job.seed, POLICIES[job.policy])
         it.run()
     took = time.process_time() - began
-    seen = it.seen()
+    seen = it.recorded_events()
     verdict: Verdict = judge(day, seen)
     return Result(
         job.key, job.point, job.seed, job.policy, job.text, day.front_ends, day.fleet.workers, verdict.tries,
         verdict.firsts, verdict.asked, verdict.in_time, verdict.finals["completed"], verdict.finals["rejected"],
         verdict.finals["aborted"], verdict.broken, verdict.sends, verdict.orders, verdict.loads,
         len(verdict.breaches), str(verdict.breaches[0]) if verdict.breaches else "",
-        sum(front.used for front in it.lives), latencies(seen).encode().decode(), it.clock.played, took)
+        sum(front.processor_time for front in it.front_ends_started), latencies(seen).encode().decode(),
+        it.clock.played, took)
 
 
 def commit() -> str:
