--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -257,14 +257,14 @@
         it.run(8)
         self.assertEqual((seen, it.now), (["late", "a", "b"], 8))
         it.run(20)
-        self.assertEqual((seen[-1], it.now, it.played), ("c", 20, 4))
+        self.assertEqual((seen[-1], it.now, it.events_run), ("c", 20, 4))
 
     def test_faults_in_force(self):
         clock = Clock()
         it = ActiveFaults(clock)
         it.order("slow", SECOND, 3.0)
-        self.assertEqual((it.amount("slow"), it.left("slow"), it.once("other")), (3.0, SECOND, False))
-        self.assertTrue(it.once("slow"))
+        self.assertEqual((it.amount("slow"), it.remaining("slow"), it.consume("other")), (3.0, SECOND, False))
+        self.assertTrue(it.consume("slow"))
         self.assertEqual(it.amount("slow"), 0)
 
 
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -49,14 +49,14 @@
 
 def emulation(text, seed, tamper=None):
     it = Emulation(read_text(text, seed=seed), seed)
-    start = it.start_front
+    start = it.start_front_end
 
     def start_tampering(n):
         start(n)
         front = it.fronts[f"front-{n}"]
         front.__class__ = TamperingFrontEnd
         front.tamper = tamper and tamper(it, front)
-    it.start_front = start_tampering
+    it.start_front_end = start_tampering
     return it
 
 
@@ -83,9 +83,9 @@
             return
         other = next((name for name in it.zones if name in front.links and where(name, worker)), None)
         if other is not None:
-            open_before = front.out.get(other, {}).copy()
+            open_before = front.unanswered.get(other, {}).copy()
             ModelFront.send(front, other, pending, 99)
-            front.out[other] = open_before      # drops the answer to the second send
+            front.unanswered[other] = open_before      # drops the answer to the second send
     return tamper
 
 
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -222,7 +222,7 @@
         oracle = it.fronts["front-0"].engine.dispatcher
         self.assertIs(oracle.network, it.network)
         worker = oracle.ready_workers[0]
-        it.network.die(worker.name)
+        it.network.kill_worker(worker.name)
         self.assertEqual(oracle.ends(worker, None), float("inf"))
 
 
--- a/threadshift/cli/days.py
+++ b/threadshift/cli/days.py
@@ -83,7 +83,7 @@
     verdict = judge(it.day, it.recorded_events())
     for breach in verdict.breaches:
         click.echo(str(breach))
-    click.echo(f"seed {seed} {verdict.line} (simulated, {it.clock.played} events in {took:.1f} s)")
+    click.echo(f"seed {seed} {verdict.line} (simulated, {it.clock.events_run} events in {took:.1f} s)")
     sys.exit(1 if verdict.breaches else 0)
 
 
--- a/threadshift/emulator/__init__.py
+++ b/threadshift/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Days on a virtual clock: the real engine and decisions against modelled workers, store, network and clients."""
+"""Fault scenarios on a virtual clock: the real engine and dispatcher with simulated workers, store and network."""
--- a/threadshift/emulator/network.py
+++ b/threadshift/emulator/network.py
@@ -1,4 +1,4 @@
-"""Connections between front ends and workers: delays, cuts, and what breaks when one side dies."""
+"""Simulated connections between front ends and workers: delays, cuts, and breaks when a process ends."""
 from __future__ import annotations
 
 import random
@@ -9,58 +9,65 @@
 from threadshift.emulator.worker import ModelWorker
 from threadshift.interface import MS
 
-LOCAL = MS // 4            # one way within a machine, with both processes' own time; measured on loopback
-SPREAD = 0.5               # of it, by chance
-REPLY, OTHER = 130_000, 20_000     # ns of a front end's processor; see front.py
+ONE_WAY_DELAY = MS // 4        # within a machine, with the time that both processes need
+DELAY_JITTER = 0.5             # of the delay, at random
+REPLY_COST = 130_000           # ns of a front end's processor for an answer; see front.py
+OTHER_COST = 20_000            # ns of a front end's processor for any other event
 
 
-class Front(Protocol):
-    """What the network knows of a front end."""
+class FrontEnd(Protocol):
+    """The part of a front end that the network uses."""
 
     zone: str
 
-    def hear(self, cost: int, act: Callable[..., None], *words: Any) -> None: ...
-    def broke(self, worker: str) -> None: ...
+    def receive(self, cost: int, action: Callable[..., None], *arguments: Any) -> None: ...
+    def on_connection_lost(self, worker: str) -> None: ...
 
 
 class Network:
-    """Who reaches whom. A worker that is dead refuses; one that stalls or is cut off swallows until it ends."""
+    """Connects front ends with workers.
+
+    A dead worker refuses connections. What is sent to one that stalls or is cut off arrives when the fault ends."""
 
     def __init__(self, clock: Clock, seed: int, zones: dict[str, str]):
         self.clock, self.zones = clock, zones
-        self.chance = random.Random(f"network {seed}").random
+        self.random = random.Random(f"network {seed}").random
         self.workers: dict[str, ModelWorker] = {}
-        self.fronts: Mapping[str, Front] = {}       # its owner fills it
+        self.fronts: Mapping[str, FrontEnd] = {}       # by name; the emulation adds them
 
-    def reach(self, worker: str) -> ModelWorker | None:
-        it = self.workers.get(worker)
-        return it if it is not None and it.alive else None
+    def find_alive(self, name: str) -> ModelWorker | None:
+        worker = self.workers.get(name)
+        return worker if worker is not None and worker.alive else None
 
     def delay(self) -> int:
-        return int(LOCAL * (1 + SPREAD * self.chance()))
-
-    def held_up(self, front: Front, it: ModelWorker) -> int:
-        """ns for which nothing passes between them."""
-        cut = it.faults.left("cut") if self.zones.get(it.machine.name) != front.zone else 0
-        return max(cut, it.faults.left("stall"))
-
-    def forth(self, front: Front, it: ModelWorker, act: Callable[..., None], *words: Any) -> None:
-        self.clock.after(self.delay() + self.held_up(front, it), self.arrive, it, act, *words)
-
-    def arrive(self, it: ModelWorker, act: Callable[..., None], *words: Any) -> None:
-        if it.alive:            # else it breaks, of which the front end hears by the worker's death
-            act(*words)
-
-    def back(self, front: Front, it: ModelWorker, act: Callable[..., None], *words: Any) -> None:
-        """An answer, unless the worker died before it left."""
-        if it.alive:
-            self.clock.after(self.delay() + self.held_up(front, it), front.hear, REPLY, act, *words)
-
-    def die(self, name: str) -> None:
-        """A worker's process ends: every connection to it breaks."""
-        it = self.workers.get(name)
-        if it is None:
+        return int(ONE_WAY_DELAY * (1 + DELAY_JITTER * self.random()))
+
+    def blocked_for(self, front: FrontEnd, worker: ModelWorker) -> int:
+        """Time for which a fault lets nothing pass between them."""
+        cut = worker.faults.remaining("cut") if self.zones.get(worker.machine.name) != front.zone else 0
+        return max(cut, worker.faults.remaining("stall"))
+
+    def send_to_worker(self, front: FrontEnd, worker: ModelWorker, action: Callable[..., None],
+                       *arguments: Any) -> None:
+        """Calls `action` when the message arrives."""
+        self.clock.after(self.delay() + self.blocked_for(front, worker), self.deliver, worker, action, *arguments)
+
+    def deliver(self, worker: ModelWorker, action: Callable[..., None], *arguments: Any) -> None:
+        if worker.alive:            # a front end learns of a dead worker by its broken connection
+            action(*arguments)
+
+    def send_to_front_end(self, front: FrontEnd, worker: ModelWorker, action: Callable[..., None],
+                          *arguments: Any) -> None:
+        """Sends an answer, unless the worker is dead."""
+        if worker.alive:
+            self.clock.after(self.delay() + self.blocked_for(front, worker), front.receive, REPLY_COST, action,
+                             *arguments)
+
+    def kill_worker(self, name: str) -> None:
+        """Ends a worker's process and breaks every connection to it."""
+        worker = self.workers.get(name)
+        if worker is None:
             return
-        it.alive = False
+        worker.alive = False
         for front in self.fronts.values():
-            self.clock.after(self.delay(), front.hear, OTHER, front.broke, name)
+            self.clock.after(self.delay(), front.receive, OTHER_COST, front.on_connection_lost, name)
--- a/threadshift/emulator/router.py
+++ b/threadshift/emulator/router.py
@@ -1,7 +1,7 @@
-"""Announcements on the virtual clock: each front end's real announcer, and a router that chooses among routes.
+"""Route announcements on the virtual clock: the real announcer of each front end, and a simulated router.
 
-Sessions are modelled by their effect: routes reach the router after a network delay; a process that ends loses its
-routes at once, one that stands still loses them after the hold time and tells them again once it goes on.
+Only the effects of BGP sessions are simulated: routes reach the router after a network delay; a process that ends
+loses its routes at once, and a suspended one loses them after the hold time and announces them again when it resumes.
 """
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 from threadshift.interface import SECOND
 from threadshift.standins.router import Router
 
-AGAIN = SECOND             # until a session that was lost stands again; the least pause after a failure
+RECONNECT_DELAY = SECOND   # until a lost session is established again; the shortest pause after a failure
 PREFIX = ipaddress.ip_network(SERVICE)
 
 
 class ModelServiceAnnouncer:
-    """The announcements of one front end's life."""
+    """The announcements of one front end process, and its session with the router."""
 
     def __init__(self, clock: Clock, front: ModelFront, router: ModelRouter, n: int):
         self.clock, self.front, self.router, self.n = clock, front, router, n
         self.drain = Drain()
         self.hop = ipaddress.ip_address(f"127.{1 + n // 65025}.{n // 255 % 255}.{n % 255 + 1}")
-        self.announcer = Announcer(FIRST_AS + n, [self.hop], [ServiceAddress(PREFIX)], self.drain, front.chance,
+        self.announcer = Announcer(FIRST_AS + n, [self.hop], [ServiceAddress(PREFIX)], self.drain, front.random,
                                    clock.now)
         self.recent = RecentCalls({each.name: each.utility for each in front.day.told.deployment.types})
         self.arrivals = ConnectionRate()
-        self.told: Path | None = None
+        self.announced: Path | None = None
         self.tick()
 
     def tick(self) -> None:
@@ -47,97 +47,98 @@
             return
         if front.backlog is None:
             self.drain.tick(now, self.arrivals.per_second(now), self.arrivals.last, True)
-            self.announcer.tick(now, self.signs(now), lambda prefix: self.router.reflected(self.n))
-            self.tell(self.announcer.wanted(False).get(PREFIX))
+            self.announcer.tick(now, self.health(now), lambda prefix: self.router.reflected(self.n))
+            self.announce(self.announcer.wanted(False).get(PREFIX))
             if self.drain.stage is Stage.DONE:
                 front.close()
         self.clock.after(CHECK_INTERVAL, self.tick)
 
-    def tell(self, path: Path | None) -> None:
-        if path != self.told:
-            self.told = path
-            self.clock.after(self.router.delay(), self.router.heard, self, path)
+    def announce(self, path: Path | None) -> None:
+        if path != self.announced:
+            self.announced = path
+            self.clock.after(self.router.delay(), self.router.on_route, self, path)
 
-    def signs(self, now: int) -> Signs:
-        """As gateway/service_announcer.py gathers them; connections to workers stand unless a dial just failed."""
+    def health(self, now: int) -> Signs:
+        """The health signs as in gateway/service_announcer.py; workers count as connected unless a dial failed."""
         front = self.front
         return Signs(
             listening=not front.closing, lag=int(front.admission.smoothed_lag),
-            **fitness(front.engine.dispatcher, front.linked, now)._asdict(),
+            **fitness(front.engine.dispatcher, front.is_linked, now)._asdict(),
             asked_per_s=self.recent.per_second(now), refused=front.admission.refused_share,
             service=self.recent.service(now), drain=self.drain.standing)
 
-    def say(self, standing: Standing | None) -> None:
-        """The operator's word."""
+    def set_operator_override(self, standing: Standing | None) -> None:
         self.announcer.say(PREFIX, standing)
 
 
 class ModelRouter:
-    """Chooses as the stand-in router does, and steers each new connection after its convergence delay."""
+    """Selects routes like the stand-in router, and directs new connections after the convergence delay."""
 
-    def __init__(self, clock: Clock, told: RouterOf, delay: Callable[[], int], note: Callable[..., Any]):
-        self.clock, self.it, self.delay, self.note = clock, told, delay, note
-        self.routes: dict[int, Path] = {}        # front end: what it announces
-        self.sessions: dict[int, ModelServiceAnnouncer] = {}    # the session that stands with each front end
+    def __init__(self, clock: Clock, settings: RouterOf, delay: Callable[[], int], note: Callable[..., Any]):
+        self.clock, self.settings, self.delay, self.note = clock, settings, delay, note
+        self.routes: dict[int, Path] = {}        # front end: the path that it announces
+        self.sessions: dict[int, ModelServiceAnnouncer] = {}    # front end: its established session
         self.hops: dict[int, int] = {}           # next hop: front end
         self.best: list[Path] = []
         self.steers: list[int] = []
-        self.turn = 0
+        self.connection_count = 0
 
-    def heard(self, hall: ModelServiceAnnouncer, path: Path | None) -> None:
-        if not hall.front.alive or hall.front.backlog is not None and self.sessions.get(hall.n) is not hall:
+    def on_route(self, session: ModelServiceAnnouncer, path: Path | None) -> None:
+        if not session.front.alive or session.front.backlog is not None and (
+                self.sessions.get(session.n) is not session):
             return
-        self.sessions[hall.n] = hall
-        self.hops[int(hall.hop)] = hall.n
+        self.sessions[session.n] = session
+        self.hops[int(session.hop)] = session.n
         if path is None:
-            self.routes.pop(hall.n, None)
+            self.routes.pop(session.n, None)
         else:
-            self.routes[hall.n] = path
-        self.choose()
-
-    def lost(self, hall: ModelServiceAnnouncer) -> None:
-        """Its session ended."""
-        if self.sessions.get(hall.n) is hall:
-            del self.sessions[hall.n]
-            self.routes.pop(hall.n, None)
-            self.choose()
-
-    def silent(self, hall: ModelServiceAnnouncer) -> None:
-        """The hold time is over for one that stood still since."""
-        if hall.front.backlog is not None:
-            self.lost(hall)
-
-    def goes_on(self, hall: ModelServiceAnnouncer) -> None:
-        """A front end that stood still reads again; where its session was lost it tells its route anew."""
-        if self.sessions.get(hall.n) is not hall and hall.front.alive:
-            hall.told = None
-            self.clock.after(AGAIN, hall.tell, self.wanted(hall))
+            self.routes[session.n] = path
+        self.select()
+
+    def on_session_lost(self, session: ModelServiceAnnouncer) -> None:
+        """Removes a session and its routes."""
+        if self.sessions.get(session.n) is session:
+            del self.sessions[session.n]
+            self.routes.pop(session.n, None)
+            self.select()
+
+    def on_hold_time_over(self, session: ModelServiceAnnouncer) -> None:
+        """Ends the session of a front end that is still suspended."""
+        if session.front.backlog is not None:
+            self.on_session_lost(session)
+
+    def on_resumed(self, session: ModelServiceAnnouncer) -> None:
+        """Announces the route again if the session was lost while the front end was suspended."""
+        if self.sessions.get(session.n) is not session and session.front.alive:
+            session.announced = None
+            self.clock.after(RECONNECT_DELAY, session.announce, self.wanted_path(session))
 
     @staticmethod
-    def wanted(hall: ModelServiceAnnouncer) -> Path | None:
-        return hall.announcer.wanted(False).get(PREFIX)
-
-    def choose(self) -> None:
-        if self.it.steer == "routes":
-            best = Router.choose(list(self.routes.values()))
-        else:                                    # baselines: whether a session stands, or nothing at all
-            known = sorted(self.hops) if self.it.steer == "static" else sorted(
-                int(hall.hop) for hall in self.sessions.values())
+    def wanted_path(session: ModelServiceAnnouncer) -> Path | None:
+        return session.announcer.wanted(False).get(PREFIX)
+
+    def select(self) -> None:
+        if self.settings.steer == "routes":
+            best = Router.best_paths(list(self.routes.values()))
+        else:                                    # baselines: established sessions, or all front ends
+            known = sorted(self.hops) if self.settings.steer == "static" else sorted(
+                int(session.hop) for session in self.sessions.values())
             best = [Path(ipaddress.ip_address(hop)) for hop in known]
         if best != self.best:
             self.best = best
             self.note("chosen", routes={SERVICE: [str(path.next_hop) for path in best]})
-            self.clock.after(self.it.converge, self.take_effect, [self.hops[int(path.next_hop)] for path in best])
+            self.clock.after(self.settings.converge, self.take_effect,
+                             [self.hops[int(path.next_hop)] for path in best])
 
     def take_effect(self, fronts: list[int]) -> None:
         self.steers = fronts
 
     def reflected(self, to: int) -> list[Path]:
-        """The best of what others announce, as one front end hears it."""
-        return Router.choose([path for n, path in self.routes.items() if n != to])[:1]
+        """The best route of all others, as the router announces it to one front end."""
+        return Router.best_paths([path for n, path in self.routes.items() if n != to])[:1]
 
     def steer(self) -> int | None:
-        """The front end that a new connection goes to, None where no route stands."""
-        self.turn += 1
-        return self.steers[self.turn % len(self.steers)] if self.steers else None
+        """The front end for a new connection, round robin; None where there is no route."""
+        self.connection_count += 1
+        return self.steers[self.connection_count % len(self.steers)] if self.steers else None
 
--- a/threadshift/standins/__init__.py
+++ b/threadshift/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Workers, pack store, roster feed and clients of our own, as processes on loopback with faults to order."""
+"""Stand-in processes on loopback: workers, pack store, roster feed, router and relays, with faults on order."""
--- a/threadshift/standins/rig.py
+++ b/threadshift/standins/rig.py
@@ -1,4 +1,4 @@
-"""Starts the gateway and its stand-ins as real processes on loopback, passes orders on, and ends them all."""
+"""Starts the gateway and its stand-ins as processes on loopback, passes orders to them, and stops them all."""
 from __future__ import annotations
 
 import os
@@ -16,17 +16,18 @@
 from threadshift.conf.values import Address
 from threadshift.invoke.client import Client, NoAnswer
 
-START_LIMIT = 20           # s until a started process must say where it listens; many start at once
-END_LIMIT = 15             # s until one that was told to end is killed
-LOWEST_GIVEN = 32_768      # port; the usual setting of the system, where it cannot be read
+START_TIMEOUT = 20             # s until a started process must print its address; many start at once
+STOP_TIMEOUT = 15              # s from SIGTERM to SIGKILL
+DEFAULT_EPHEMERAL_PORT = 32_768    # the usual lowest one, where the system's setting cannot be read
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that nobody listened at a moment ago; all held open at once, so that they differ.
+    """Ports that are free now; all are bound at once, so that they differ.
 
-    None of the range that the system gives out itself: before we listened at one, it was given to a relay of the same
-    test, and an order to one front end came to another's peers."""
-    low = given_out_from()
+    They lie below the range from which the system assigns ports: from within it, a port could be assigned to another
+    process before its own one listens. It was once given to a relay of the same test, so that an order to one front
+    end reached the peers of another."""
+    low = lowest_ephemeral_port()
     socks: list[socket.socket] = []
     try:
         while len(socks) < count:
@@ -35,23 +36,23 @@
                 sock.bind(("127.0.0.1", random.randrange(low // 2, low)))
                 socks.append(sock)
             except OSError:
-                sock.close()        # somebody has it
+                sock.close()        # the port is in use
         return [sock.getsockname()[1] for sock in socks]
     finally:
         for sock in socks:
             sock.close()
 
 
-def given_out_from() -> int:
-    """The lowest port that the system gives to those who name none."""
+def lowest_ephemeral_port() -> int:
+    """The lowest port that the system assigns to sockets that are bound to none."""
     try:
         return int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
     except OSError:
-        return LOWEST_GIVEN
+        return DEFAULT_EPHEMERAL_PORT
 
 
 class Process:
-    """One process of ours."""
+    """One process that runs `python -m threadshift`."""
 
     def __init__(self, arguments: list[str], errors: Path):
         with open(errors, "ab") as file:
@@ -59,19 +60,20 @@
                                             stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=file)
 
     def address(self) -> Address:
-        """Where it says that it listens. Waits; raises RuntimeError where it says nothing in time."""
-        with gevent.Timeout(START_LIMIT, RuntimeError("a stand-in did not start in time")):
+        """Waits until the process prints where it listens. Raises RuntimeError if it does not within the limit."""
+        with gevent.Timeout(START_TIMEOUT, RuntimeError("a stand-in did not start in time")):
             line = self.process.stdout.readline().decode()
         if not line.startswith("listening "):
             raise RuntimeError(f"a stand-in did not start: {line!r}")
         return values.address(line.split()[1])
 
     def order(self, words: str) -> None:
+        """Writes an order to the standard input of the process."""
         try:
             self.process.stdin.write(words.encode() + b"\n")
             self.process.stdin.flush()
         except OSError:
-            pass                # it died before it heard; its record says so
+            pass                # the process has ended, as its record shows
 
     def signal(self, number: signal.Signals) -> None:
         if self.process.poll() is None:
@@ -82,11 +84,11 @@
         return self.process.poll() is None
 
     def stop(self) -> None:
-        """Tells it to end and waits; kills it where it does not."""
+        """Sends SIGTERM and waits; sends SIGKILL if the process does not end within the limit."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         try:
-            self.process.wait(END_LIMIT)
+            self.process.wait(STOP_TIMEOUT)
         except subprocess.TimeoutExpired:
             self.process.kill()
             self.process.wait()
@@ -96,7 +98,7 @@
 
 
 class Rig:
-    """Processes by name, their records and errors in one folder. Ended by stop(), or on leaving `with`."""
+    """Processes by name, with their records and errors in one folder. Leaving `with` stops them all."""
 
     def __init__(self, folder: Path):
         self.folder = folder
@@ -110,16 +112,17 @@
         self.stop()
 
     def start(self, name: str, *arguments: str) -> Process:
-        it = self.processes[name] = Process(list(arguments), self.folder / f"{name}.err")
-        return it
+        process = self.processes[name] = Process(list(arguments), self.folder / f"{name}.err")
+        return process
 
     def start_standin(self, name: str, kind: str, /, **options: Any) -> Process:
-        """A stand-in whose options are those of its sub-command; it listens where it did before, if it did."""
-        words = [f"--{key.replace('_', '-')}={value}" for key, value in options.items() if value is not None]
+        """Starts a stand-in with the options of its sub-command; a restarted one listens where it did before."""
+        options_given = [f"--{key.replace('_', '-')}={value}" for key, value in options.items() if value is not None]
         return self.start(name, "standin", kind, f"--listen={self.addresses.get(name, '127.0.0.1:0')}",
-                          f"--record={self.folder / f'{name}.jsonl'}", *words)
+                          f"--record={self.folder / f'{name}.jsonl'}", *options_given)
 
     def wait_for_address(self, name: str) -> Address:
+        """Waits until the process listens, and keeps its address."""
         self.addresses[name] = self.processes[name].address()
         return self.addresses[name]
 
@@ -127,9 +130,11 @@
         return self.start(name, "front-end", str(conf), "--index", str(index))
 
     def wait_until_linked(self, name: str, at: Address, workers: int, limit: float) -> bool:
-        """Waits until the front end at this address has links to so many workers; False where it dies or is late."""
-        client, until = Client(at), time.monotonic() + limit
-        while time.monotonic() < until and self.processes[name].alive:
+        """Waits until the front end at this address has links to so many workers.
+
+        Returns False if it ends, or does not have them within `limit` seconds."""
+        client, deadline = Client(at), time.monotonic() + limit
+        while time.monotonic() < deadline and self.processes[name].alive:
             try:
                 if client.request("GET", "/v1/status").body.count(b'"link": true') == workers:
                     client.close()
@@ -140,14 +145,14 @@
         return False
 
     def kill(self, name: str) -> None:
-        """SIGKILL, as a crash would."""
+        """Ends a process with SIGKILL, like a crash."""
         process = self.processes[name].process
         if process.poll() is None:
             os.kill(process.pid, signal.SIGKILL)
             process.wait()
 
     def stop(self) -> None:
-        # Front ends first: they need their workers to answer what they hold.
+        # Front ends are stopped first: they need their workers to answer their pending requests.
         for names in ([name for name in self.processes if name.startswith("front")],
                       [name for name in self.processes if not name.startswith("front")]):
             gevent.joinall([gevent.spawn(self.processes[name].stop) for name in names])
--- a/threadshift/standins/router.py
+++ b/threadshift/standins/router.py
@@ -1,9 +1,10 @@
-"""A router: hears front ends' routes, chooses among them, and steers new connections to service addresses.
+"""A router: receives the routes of front ends, selects among them, and forwards connections to service addresses.
 
-Best path, the documented part of RFC 4271 section 9.1.2.2: the shortest AS path, the lowest origin, the lowest MED
-(compared between all neighbours); among equals connections take turns. A change of choice takes effect after the
-stated convergence delay. Every best route is reflected to the other neighbours, its next hop kept, so that front ends
-can see each other. Service connections are carried through as bytes: one that stands stays where it is.
+The best path is selected by a part of RFC 4271 section 9.1.2.2: the shortest AS path, then the lowest origin, then
+the lowest MED (compared between all neighbours); connections are spread round robin over equal paths. A new selection
+takes effect after the convergence delay. Each best route is reflected to the other neighbours with its next hop
+unchanged, so that front ends can see each other. Service connections are relayed as bytes, and an established one
+keeps its front end.
 """
 from __future__ import annotations
 
@@ -25,11 +26,11 @@
 from threadshift.links.sockets import READ_SIZE, connect, listener
 from threadshift.standins.common import Faults, Record
 
-LOOK = 10 * MS             # how often routes are looked at
+ROUTE_CHECK_INTERVAL = 10 * MS
 
 
 class Router:
-    """`services` are triples: a prefix, where its clients connect, and the port at which front ends serve it.
+    """`services` are triples of a prefix, the address for its clients, and the port on which front ends serve it.
 
     Orders: reset PEER, stall PEER, garbage PEER, malformed PEER, refresh PEER, refuse L, down PEER, up PEER.
     """
@@ -40,14 +41,14 @@
         self.services = [(ipaddress.ip_network(prefix), at, port) for prefix, at, port in services]
         self.converge, self.record, self.steer = converge, record, steer
         self.faults = Faults()
-        can = Capabilities(frozenset(Family), asn, True)
+        capabilities = Capabilities(frozenset(Family), asn, True)
         self.speaker = Speaker(
-            Us(asn, 0x7F000001, hold, can),
+            Us(asn, 0x7F000001, hold, capabilities),
             [PeerAddress(Them(name, number, passive=True), Address(host, 0)) for name, host, number in peers],
             listen, self.reflected, self.note, lambda: 0.5)
-        self.best: dict[Prefix, list[Path]] = {}         # chosen
-        self.steers: dict[Prefix, list[Path]] = {}       # in effect, the convergence delay later
-        self.turn = 0
+        self.best: dict[Prefix, list[Path]] = {}         # the current selection
+        self.steers: dict[Prefix, list[Path]] = {}       # the selection in effect, after the convergence delay
+        self.connection_count = 0
         self.group = Group()
         self.socks: list[socket.socket] = []
         self.address = listen
@@ -60,8 +61,8 @@
             sock = listener(at, shared=False)
             self.services[n] = (prefix, Address(at.host, sock.getsockname()[1]), port)
             self.socks.append(sock)
-            self.group.spawn(self.serve, sock, prefix, port)
-        self.group.spawn(self.look)
+            self.group.spawn(self.accept_clients, sock, prefix, port)
+        self.group.spawn(self.watch_routes)
 
     def stop(self) -> None:
         for sock in self.socks:
@@ -74,15 +75,15 @@
 
     # Routes.
 
-    def look(self) -> None:
-        """Chooses anew whenever routes changed; refusing, it closes what comes."""
+    def watch_routes(self) -> None:
+        """Selects again whenever routes changed; while `refuse` is active, resets every session."""
         while True:
-            gevent.sleep(LOOK / SECOND)
+            gevent.sleep(ROUTE_CHECK_INTERVAL / SECOND)
             self.speaker.tick(time.monotonic_ns())
             if self.faults.amount("refuse"):
                 for name in self.speaker.told:
                     self.execute_order(["reset", name])
-            best = self.chosen()
+            best = self.select_all()
             if best != self.best:
                 self.best = best
                 self.record.note("chosen", routes={str(prefix): [str(path.next_hop) for path in paths]
@@ -90,10 +91,10 @@
                 self.group.spawn(self.take_effect, best)
                 self.speaker.announce()
 
-    def chosen(self) -> dict[Prefix, list[Path]]:
+    def select_all(self) -> dict[Prefix, list[Path]]:
         if self.steer == "routes":
-            return {prefix: self.choose(self.speaker.heard.of(prefix)) for prefix in self.prefixes()}
-        # Baselines: what front ends say of themselves is not heeded, at most whether they are there.
+            return {prefix: self.best_paths(self.speaker.heard.of(prefix)) for prefix in self.prefixes()}
+        # The baselines ignore announcements: "alive" uses every established session, "static" every configured one.
         hops = [Path(ipaddress.ip_address(peer.address.host)) for name, peer in self.speaker.peers.items()
                 if self.steer == "static" or name in self.speaker.told]
         return {prefix: hops for prefix, _, _ in self.services}
@@ -102,32 +103,33 @@
         return {prefix for routes in self.speaker.heard.routes.values() for prefix in routes}
 
     @staticmethod
-    def choose(paths: list[Path]) -> list[Path]:
+    def best_paths(paths: list[Path]) -> list[Path]:
         def rank(path: Path) -> tuple:
             return len(path.as_path) + len(path.as_sets), path.origin, path.med or 0
         least = min(map(rank, paths), default=())
         return sorted((path for path in paths if rank(path) == least), key=lambda path: int(path.next_hop))
 
     def take_effect(self, best: dict[Prefix, list[Path]]) -> None:
+        """Uses a new selection after the convergence delay."""
         gevent.sleep(self.converge / SECOND)
         self.steers = best
         self.record.note("steers", routes={str(prefix): [str(path.next_hop) for path in paths]
                                            for prefix, paths in best.items()})
 
     def reflected(self, them: Them) -> dict[Prefix, Path]:
-        """The best of what others announce, for one neighbour."""
+        """The best routes of all other neighbours, to announce to this one."""
         found = {}
         for prefix in self.prefixes():
             paths = [routes[prefix] for name, routes in self.speaker.heard.routes.items()
                      if name != them.name and prefix in routes]
-            if chosen := self.choose(paths):
-                found[prefix] = Path(chosen[0].next_hop, (self.speaker.us.asn, *chosen[0].as_path), chosen[0].origin,
-                                     chosen[0].med, None, chosen[0].communities, chosen[0].large)
+            if best := self.best_paths(paths):
+                found[prefix] = Path(best[0].next_hop, (self.speaker.us.asn, *best[0].as_path), best[0].origin,
+                                     best[0].med, None, best[0].communities, best[0].large)
         return found
 
-    # Steering.
+    # Forwarding.
 
-    def serve(self, sock: socket.socket, prefix: Prefix, port: int) -> None:
+    def accept_clients(self, sock: socket.socket, prefix: Prefix, port: int) -> None:
         while True:
             try:
                 client, _ = sock.accept()
@@ -138,12 +140,12 @@
                 self.record.note("unrouted", prefix=str(prefix))
                 client.close()
                 continue
-            self.turn += 1
-            hop = paths[self.turn % len(paths)].next_hop
+            self.connection_count += 1
+            hop = paths[self.connection_count % len(paths)].next_hop
             self.record.note("steered", prefix=str(prefix), hop=str(hop))
-            self.group.spawn(self.carry, client, Address(str(hop), port))
+            self.group.spawn(self.forward, client, Address(str(hop), port))
 
-    def carry(self, client: socket.socket, to: Address) -> None:
+    def forward(self, client: socket.socket, to: Address) -> None:
         try:
             front = connect(to, SECOND)
         except OSError:
@@ -184,7 +186,7 @@
         if order == "reset" and connection is not None:
             connection.sock.shutdown(socket.SHUT_RDWR)
         elif order == "stall" and connection is not None:
-            connection.greenlets.kill()         # reads and writes nothing more, and closes nothing
+            connection.greenlets.kill()         # stops all reads and writes, and leaves the connection open
         elif order == "garbage":
             session.wire.send(b"\0" * 64)
         elif order == "malformed":
@@ -196,4 +198,4 @@
         elif order == "up":
             neighbour.start(now)
         else:
-            raise ValueError("no such order, or no session")
+            raise ValueError("unknown order, or the peer has no session")
--- a/threadshift/standins/store.py
+++ b/threadshift/standins/store.py
@@ -1,4 +1,4 @@
-"""A pack store: serves what functions are made of, slows down when crowded, and turns fetches away past a limit."""
+"""A pack store: serves the packs of functions, slows down under load, and rejects fetches beyond a limit."""
 from __future__ import annotations
 
 import hashlib
@@ -12,12 +12,15 @@
 from threadshift.standins.common import Peer, Record, Server
 
 OPERATIONS = ("echo", "upper", "reverse", "count", "sum", "digest")
-CROWDED = 4.0              # fetches at a time over the capacity, in capacities, at which more are turned away
+MAX_LOAD_FACTOR = 4.0      # concurrent fetches in multiples of the capacity; more are rejected
 
 
 def pack(function: str, release: int, work_ms: float, memory_mb: float, load_ms: float) -> bytes:
-    """The bytes of a pack. The operation is named by the function's last part ('text-upper'), else echo; figures
-    vary by half with the name, so that a fleet's functions differ and every run has the same."""
+    """The bytes of a pack.
+
+    The last part of the function's name selects the operation ('text-upper'), which is echo otherwise. Work, memory
+    and load time vary with a hash of the name from 0.75 to 1.25 of the mean, so that functions differ and every run
+    has the same ones."""
     spread = 0.75 + (zlib.crc32(function.encode()) % 1000) / 2000
     name = function.rsplit("-", 1)[-1]
     return json.dumps({
@@ -32,9 +35,9 @@
     def __init__(self, address: Address, capacity: float, work_ms: float, memory_mb: float, load_ms: float,
                  record: Record):
         super().__init__(address)
-        self.capacity, self.figures, self.record = capacity, (work_ms, memory_mb, load_ms), record
+        self.capacity, self.means, self.record = capacity, (work_ms, memory_mb, load_ms), record
         self.release = self.fetching = 0
-        self.turned = 0.0
+        self.rejection_credit = 0.0        # grows by the share of `refuse` with each fetch; 1 rejects one
 
     def execute_order(self, words: list[str]) -> None:
         if words[0] == "release":
@@ -42,27 +45,28 @@
         else:
             self.faults.order(*words)
 
-    def hear(self, peer: Peer, frame: Frame) -> None:
+    def handle_frame(self, peer: Peer, frame: Frame) -> None:
         if frame["kind"] == "hello":
             peer.name = frame["name"]
         elif frame["kind"] == "fetch":
             self.group.spawn(self.fetch, peer, frame["id"], frame["function"])
         else:
-            raise ProtocolError(f"'{frame['kind']}' is not for a store to hear")
+            raise ProtocolError(f"'{frame['kind']}' is not a message to a pack store")
 
     def fetch(self, peer: Peer, id_: int, function: str) -> None:
-        self.turned += self.faults.amount("refuse")
-        if self.turned >= 1 or self.fetching >= self.capacity * CROWDED:
-            self.turned = max(0.0, self.turned - 1)
+        """Answers one fetch after its simulated time; `corrupt` changes the last byte, but not the digest."""
+        self.rejection_credit += self.faults.amount("refuse")
+        if self.rejection_credit >= 1 or self.fetching >= self.capacity * MAX_LOAD_FACTOR:
+            self.rejection_credit = max(0.0, self.rejection_credit - 1)
             self.record.note("turned-away", function=function, worker=peer.name)
             peer.send("no-pack", id=id_, reason="crowded")
             return
-        body = pack(function, self.release, *self.figures)
+        body = pack(function, self.release, *self.means)
         self.fetching += 1
         try:
-            crowd = max(1.0, self.fetching / self.capacity)
-            slow = max(1.0, self.faults.amount("slow"))
-            gevent.sleep(json.loads(body)["fetch_ms"] * crowd * slow / 1000)
+            load_factor = max(1.0, self.fetching / self.capacity)
+            slowdown = max(1.0, self.faults.amount("slow"))
+            gevent.sleep(json.loads(body)["fetch_ms"] * load_factor * slowdown / 1000)
         finally:
             self.fetching -= 1
         digest = hashlib.sha256(body).hexdigest()
--- a/threadshift/trials/policies.py
+++ b/threadshift/trials/policies.py
@@ -92,7 +92,7 @@
         if it is None or not it.alive or it.draining:
             return float("inf")
         work = (act.cost_hint or USUAL_WORK) * it.slowness()
-        stuck = max(it.faults.left("hang"), it.faults.left("stall"))
+        stuck = max(it.faults.remaining("hang"), it.faults.remaining("stall"))
         # What is on its way counts as arrived: else all calls of one moment would go to one worker.
         queued = max(it.running + len(it.ready), len(worker.sends))
         cores = max(0, queued - it.machine.cores + 1) * work / it.machine.cores
--- a/threadshift/trials/runs.py
+++ b/threadshift/trials/runs.py
@@ -70,7 +70,7 @@
         verdict.finals["aborted"], verdict.broken, verdict.sends, verdict.orders, verdict.loads,
         len(verdict.breaches), str(verdict.breaches[0]) if verdict.breaches else "",
         sum(front.processor_time for front in it.front_ends_started), latencies(seen).encode().decode(),
-        it.clock.played, took)
+        it.clock.events_run, took)
 
 
 def commit() -> str:
