--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -201,7 +201,7 @@
             calls = [gevent.spawn(ask.call, "f", 1500, 200) for _ in range(30)]
             gevent.joinall(calls)
         fleet = "    cold-share 20%\n    cold-time 20s\n    fall-multiple 2\n    fall-time 1s\n"
-        self.both(4, told(**cold), run, careless, fleet=fleet, workers=1, cores=2, most=1000)
+        self.both(4, told(**cold), run, careless, fleet=fleet, workers=1, cores=2, max_calls=1000)
 
     def test_rule_5_loads_ordered_without_end(self):
         window = dict(load_window=5 * SECOND, load_free=1, load_ratio=0.1)
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -111,7 +111,7 @@
     def test_a_full_fleet_receives_few_sends_for_each_call(self):
         """Over sockets, with workers that run two calls each and refuse the rest."""
         with tempfile.TemporaryDirectory() as folder:
-            with Live(workers=4, records=folder, work_ms=30, most=2) as live:
+            with Live(workers=4, records=folder, work_ms=30, max_calls=2) as live:
                 jobs = []
                 for n in range(200):
                     jobs.append(gevent.spawn(live.call, f"f{n % 10}", time_left="800"))
