--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -44,7 +44,7 @@
         it.run()
     except InvariantViolation as problem:
         return str(problem), 0, 0
-    return "", it.longest_without / 1e9, len(it.committed)
+    return "", it.longest_leaderless / 1e9, len(it.committed)
 
 
 def seeds(count: int) -> None:
@@ -99,7 +99,7 @@
     from threadshift.emulator.changes import Change, RolloutSimulation
     it = RolloutSimulation(told[1], Change(**KINDS[told[0]]))
     end = it.run()
-    return end if end in ("done", "stands") else "stopped", it.second, it.harmed
+    return end if end in ("done", "stands") else "stopped", it.second, it.harmed_calls
 
 
 def rollouts(count: int) -> None:
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -317,15 +317,15 @@
 
 
 class TakesBackWhatBegan(BatchFrontEnd):
-    def heard(self, cancels):
-        self.begun.clear()
-        super().heard(cancels)
+    def on_cancels(self, cancels):
+        self.possibly_sent.clear()
+        super().on_cancels(cancels)
 
 
 class TellsBeforeItKeeps(BatchFrontEnd):
-    def final(self, it, final):
-        self.world.told(it.ivk, final)
-        super().final(it, final)
+    def finish(self, it, final):
+        self.world.record_final(it.ivk, final)
+        super().finish(it, final)
 
 
 class ClosesByItsOwnClock(BatchFrontEnd):
@@ -336,7 +336,7 @@
             it.heard = it.heard or now
             if now - it.heard > it.window:
                 for each in self.queue.over(it):
-                    self.final(each, "cancelled")
+                    self.finish(each, "cancelled")
         super().tick()
 
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -326,7 +326,7 @@
             self.assertGreater(states, 1000)
 
     def test_planted_faults_are_found(self):
-        with self.assertRaisesRegex(InvariantViolation, "hold at once"):
+        with self.assertRaisesRegex(InvariantViolation, "are leaders at the same time"):
             explore(7, make=LongRightMember, budget=NONE, path=("time passes", "a stands still"))
         after = (*ON_TWO, "b is killed, its file goes back", *3 * ["time passes"], "c ticks")
         with self.assertRaisesRegex(InvariantViolation, "entry 2 is"):
--- a/threadshift/emulator/disk.py
+++ b/threadshift/emulator/disk.py
@@ -1,5 +1,6 @@
-"""A disk in memory with a cache in front, for seeds by the thousand: a crash keeps what was synced, and by the
-seed's word a part of the rest, or less than was promised."""
+"""A disk in memory with a write cache, for simulations of many seeds.
+
+A crash keeps what was synced and, at random, a part of the rest; on request it keeps less than was synced."""
 from __future__ import annotations
 
 import errno
@@ -10,21 +11,23 @@
 
 
 class SimulatedDisk(Disk):
-    """Files are what they are, in `cached`, and what would be left of them, in `lasting`. chance() gives 0 to 1."""
+    """Files as processes see them, in `cached`, and as they would be after a crash, in `durable`.
+
+    `random` returns a number from 0 to 1."""
 
-    def __init__(self, chance: Callable[[], float] = lambda: 1.0):
+    def __init__(self, random: Callable[[], float] = lambda: 1.0):
         super().__init__()
-        self.chance = chance
+        self.random = random
         self.cached: dict[Path, bytearray] = {}
-        self.lasting: dict[Path, bytes] = {}
-        self.kept: dict[Path, list[bytes]] = {}     # older copies, for a roll-back
-        self.refuse: set[str] = set()               # verbs that fail: write, sync, put
-        self.lies = False                           # sync says yes and keeps nothing
+        self.durable: dict[Path, bytes] = {}
+        self.older: dict[Path, list[bytes]] = {}     # earlier durable copies, the oldest first
+        self.refuse: set[str] = set()               # operations that fail: write, sync, put
+        self.lies = False                           # sync succeeds, but makes nothing durable
         self.locks: set[Path] = set()
 
-    def fail(self, verb: str) -> None:
-        if verb in self.refuse:
-            raise OSError(errno.EIO, f"no {verb}")
+    def raise_if_refused(self, operation: str) -> None:
+        if operation in self.refuse:
+            raise OSError(errno.EIO, f"simulated failure of {operation}")
 
     def read(self, path: Path) -> bytes:
         if path not in self.cached:
@@ -35,23 +38,23 @@
         self.put(path, b"")
 
     def put(self, path: Path, data: bytes) -> None:
-        self.fail("put")
+        self.raise_if_refused("put")
         self.cached[path] = bytearray(data)
-        self.last(path)
+        self.make_durable(path)
 
     def write(self, path: Path, at: int, data: bytes) -> None:
-        self.fail("write")
+        self.raise_if_refused("write")
         self.cached[path][at:] = data
 
     def sync(self, path: Path) -> None:
-        self.fail("sync")
-        self.last(path)
+        self.raise_if_refused("sync")
+        self.make_durable(path)
 
-    def last(self, path: Path) -> None:
+    def make_durable(self, path: Path) -> None:
         if not self.lies:
-            if path in self.lasting:
-                self.kept.setdefault(path, []).append(self.lasting[path])
-            self.lasting[path] = bytes(self.cached[path])
+            if path in self.durable:
+                self.older.setdefault(path, []).append(self.durable[path])
+            self.durable[path] = bytes(self.cached[path])
 
     def cut(self, path: Path, size: int) -> None:
         del self.cached[path][size:]
@@ -68,25 +71,25 @@
     def close(self, path: Path) -> None:
         pass
 
-    # What befalls it.
+    # Faults.
 
     def crash(self, back: int = 0) -> None:
-        """Power is gone: what lasted is left, and of an append under way any part; `back` syncs are undone."""
+        """Simulates a power failure: keeps what is durable and any part of a pending append; undoes `back` syncs."""
         self.locks.clear()
         for path, cached in self.cached.items():
-            lasting = self.lasting.get(path, b"")
-            older = self.kept.get(path, [])
+            durable = self.durable.get(path, b"")
+            older = self.older.get(path, [])
             if back and older:
-                lasting = older[max(0, len(older) - back)]
+                durable = older[max(0, len(older) - back)]
                 del older[max(0, len(older) - back):]
-            elif bytes(cached).startswith(lasting):
-                lasting += bytes(cached[len(lasting):])[:int(self.chance() * (len(cached) - len(lasting) + 1))]
-            self.lasting[path] = lasting
-        self.cached = {path: bytearray(data) for path, data in self.lasting.items()}
+            elif bytes(cached).startswith(durable):
+                durable += bytes(cached[len(durable):])[:int(self.random() * (len(cached) - len(durable) + 1))]
+            self.durable[path] = durable
+        self.cached = {path: bytearray(data) for path, data in self.durable.items()}
 
     def flip(self, path: Path, at: int, by: int = 1) -> None:
-        """One byte is another."""
+        """Changes one byte."""
         data = self.cached[path]
         if data:
             data[at % len(data)] ^= by
-            self.lasting[path] = bytes(data)
+            self.durable[path] = bytes(data)
