--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -1,4 +1,4 @@
-"""What days with many front ends lose, and to what; and the words of day files that such days need."""
+"""Losses by cause with many front ends, and the directives of scenario files for them."""
 import tempfile
 import unittest
 from collections import Counter
@@ -21,8 +21,8 @@
 from threadshift.trials.causes import CAUSES, jain, losses
 
 TYPES = (NamespaceType("t", 500 * MS, 2 * SECOND, 1.0, 0.3, Effect.REPEATABLE),)
-TOLD = Deployment(TYPES, cold_share=0.2, cold_time=10 * SECOND, fall_multiple=2.0, fall_time=SECOND,
-                  idle_keep_alive=8 * SECOND)
+DEPLOYMENT = Deployment(TYPES, cold_share=0.2, cold_time=10 * SECOND, fall_multiple=2.0, fall_time=SECOND,
+                        idle_keep_alive=8 * SECOND)
 DAY = """
 length 10s
 front-ends 40
@@ -54,8 +54,8 @@
     return at, "load", worker, {"function": "f", "failed": ""}
 
 
-class Causes(unittest.TestCase):
-    def test_each_loss_is_put_down_to_the_first_cause_its_records_show(self):
+class LossCauses(unittest.TestCase):
+    def test_each_loss_is_assigned_to_the_first_cause_that_its_records_show(self):
         late = (900, *DONE[1:])
         other = [(-100, "try", "clients", STAYS | {"mark": "b", "first": "b"}),
                  (-90, "invoke", "w0", SEND | {"mark": "b", "front": "front-1"})]
@@ -79,18 +79,18 @@
                                      done, late), "copy brought again"),
         )
         for name, lines, cause in cases:
-            found = losses(seen(*lines), TOLD)
-            ours = {name: lost for name, lost in found.by_cause.items()}
+            found = losses(seen(*lines), DEPLOYMENT)
+            causes = {name: lost for name, lost in found.by_cause.items()}
             if cause and "others" in cause:
-                ours.pop("lost, first to learn")        # the other's own
-            self.assertEqual(list(ours), [cause] if cause else [], name)
-            self.assertTrue(set(ours) <= set(CAUSES))
+                causes.pop("lost, first to learn")      # that of the other call
+            self.assertEqual(list(causes), [cause] if cause else [], name)
+            self.assertTrue(set(causes) <= set(CAUSES))
             self.assertLessEqual(sum(found.by_cause.values()), found.asked)
         self.assertEqual(T0, 1000 * SECOND)
 
-    def test_needless_loads_are_those_beside_a_copy_elsewhere(self):
+    def test_loads_are_needless_while_another_worker_has_a_copy(self):
         lines = (UP, ASKED_FREE, send(10), DONE, load(0, "w0"), load(100, "w1"), load(200, "w1"), load(20_000, "w2"))
-        found = losses(seen(*lines), TOLD)
+        found = losses(seen(*lines), DEPLOYMENT)
         self.assertEqual((found.loads, found.needless), (4, 2))
 
     def test_fairness(self):
@@ -98,18 +98,18 @@
             self.assertAlmostEqual(jain(values), expected)
 
 
-class Days(unittest.TestCase):
-    def test_uneven_traffic_and_a_herd(self):
+class Directives(unittest.TestCase):
+    def test_uneven_traffic_and_simultaneous_restarts(self):
         day = read_text(DAY)
         counts = Counter(each.front for each in tries(day, 1))
         mean = sum(counts.values()) / 40
         self.assertGreater(counts[0], 4 * mean)
         self.assertLess(counts[39], mean)
         kills = [each for each in orders(day, 1) if each.words == "!kill"]
-        backs = [each for each in orders(day, 1) if each.words == "!renew"]
+        restarts = [each for each in orders(day, 1) if each.words == "!renew"]
         self.assertEqual((len(kills), {each.at for each in kills}), (28, {2 * SECOND}))
-        self.assertEqual(({each.who for each in kills}, {each.at for each in backs}),
-                         ({each.who for each in backs}, {3 * SECOND}))
+        self.assertEqual(({each.who for each in kills}, {each.at for each in restarts}),
+                         ({each.who for each in restarts}, {3 * SECOND}))
         even = Counter(each.front for each in tries(read_text(DAY.replace("uneven 2", "")), 1))
         self.assertLess(max(even.values()), 2 * mean)
         with self.assertRaisesRegex(Mistake, "uneven 0.5"):
@@ -172,16 +172,16 @@
 """
 
 
-class Kept(unittest.TestCase):
-    def test_a_client_dials_anew_where_its_connection_ended_between_two_calls(self):
+class KeptConnections(unittest.TestCase):
+    def test_client_reconnects_when_its_connection_ended_between_two_calls(self):
         closed = Event()
 
-        def once(sock, _):
+        def answer_once(sock, _):
             with sock:
                 sock.recv(4096)
                 sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             closed.set()
-        server = StreamServer(("127.0.0.1", 0), once)
+        server = StreamServer(("127.0.0.1", 0), answer_once)
         server.start()
         try:
             client = Client(Address("127.0.0.1", server.server_port), timeout=2 * SECOND)
@@ -195,23 +195,25 @@
 
 
 class Processes(unittest.TestCase):
-    """Twelve front ends and 24 workers, each a process: eight killed at once and back at once, two stopped; two
-    workers that read nothing, four replaced."""
+    """Twelve front ends and 24 workers, each a process.
+
+    Eight front ends are killed and restarted at once and two are suspended; two workers read nothing and four are
+    replaced."""
 
     def test_rules_and_shares_hold_while_most_front_ends_die_at_once(self):
         with tempfile.TemporaryDirectory() as folder:
             day = read_text(PROCESSES, seed=3)
             Conductor(day, PROCESSES, 3, Path(folder)).play()
             verdict = audit(Path(folder))
-            told = read(Path(folder))
+            events = read(Path(folder))
         self.assertEqual(verdict.breaches, [])
-        killed = [each for each in by(told, "killing") if each["who"].startswith("front")]
+        killed = [each for each in by(events, "killing") if each["who"].startswith("front")]
         self.assertEqual(len(killed), 8)
-        self.assertEqual(len(by(told, "stopped")), 2)
-        self.assertFalse(by(told, "fell-over"))
-        found = losses(told, day.told.deployment)
-        # Nobody is left out for good: who stayed up, or came back, serves; a copy is not brought by each of them.
-        shares = [got / asked for asked, got in found.served.values() if asked >= 5]
+        self.assertEqual(len(by(events, "stopped")), 2)
+        self.assertFalse(by(events, "fell-over"))
+        found = losses(events, day.told.deployment)
+        # Every front end that stayed up or came back serves its share, and not each of them loads its own copy.
+        shares = [served / asked for asked, served in found.served.values() if asked >= 5]
         self.assertGreater(jain(shares), 0.8, found.served)
         self.assertGreater(verdict.ratio, 0.5, verdict.line)
         self.assertLess(found.loads, 36 * 6, found)
