--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -126,17 +126,19 @@
 
     def test_rule_1_a_call_answered_twice(self):
         def twice(it, front):
-            tell = front.tell
-            front.tell = lambda pending: (tell(pending), it.clock.after(0, it.received, pending, pending.client))
+            deliver = front.deliver_answer
+            front.deliver_answer = lambda pending: (
+                deliver(pending), it.clock.after(0, it.on_answer_received, pending, pending.client))
         self.check(1, DAY.replace("retries 1", "retries 0"), twice)
 
     def test_rule_1_a_call_answered_too_late_or_never(self):
         def late(it, front):
-            front.tell = lambda pending: it.clock.after(2_500_000_000, it.received, pending, pending.client)
+            front.deliver_answer = lambda pending: it.clock.after(
+                2_500_000_000, it.on_answer_received, pending, pending.client)
         self.check(1, DAY.replace("retries 1", "retries 0"), late)
 
         def never(it, front):
-            front.tell = lambda pending: None
+            front.deliver_answer = lambda pending: None
         self.check(1, DAY, never)
 
     def test_rule_2_a_once_only_call_sent_again(self):
@@ -174,14 +176,14 @@
     def test_rule_4_a_cold_worker_over_its_budget(self):
         def push(it, front):
             front.engine.dispatcher.cold_time = 0
-            link_to = front.link
+            link_to = front.linked_worker
             young = [name for name in it.zones if name != "w0"]
 
             def link(worker):
                 fresh = next((name for name in young if name in front.links
                               and it.clock.now - front.links[name] < 2_000_000_000), worker)
                 return link_to(fresh)
-            front.link = link
+            front.linked_worker = link
         text = DAY.replace("rate 40", "rate 140").replace("quits 2%", "")
         self.check(4, text + "trouble crash at 4s for 2s workers 1\n", push)
 
--- a/threadshift/emulator/changes.py
+++ b/threadshift/emulator/changes.py
@@ -44,7 +44,7 @@
     name: str
     rate: float                # calls a second
     first_type_share: float    # of its calls
-    refused: float             # usual share of refused calls
+    refused_share: float       # usual share of its calls
     site: str
     version: str = ""
     uptime: int = 0            # s since it began to serve; negative while it starts
@@ -109,7 +109,7 @@
         front.uptime += 1
         if front.uptime < 0:
             return
-        bad = min(0.9, front.refused + site_refused + (self.change.refused if new else 0))
+        bad = min(0.9, front.refused_share + site_refused + (self.change.refused if new else 0))
         cold = 1.5 if front.uptime < 5 else 1.0
         for type_, share in zip(TYPES, (front.first_type_share, 1 - front.first_type_share), strict=True):
             count = sum(self.random.random() < 0.5 for _ in range(int(2 * front.rate * share)))
--- a/threadshift/emulator/disk.py
+++ b/threadshift/emulator/disk.py
@@ -27,7 +27,7 @@
 
     def raise_if_refused(self, operation: str) -> None:
         if operation in self.refuse:
-            raise OSError(errno.EIO, f"simulated failure of {operation}")
+            raise OSError(errno.EIO, f"no {operation}")
 
     def read(self, path: Path) -> bytes:
         if path not in self.cached:
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -52,18 +52,18 @@
         self.registry = WorkerRegistry(deployment.drain_grace)
         self.deliver_answer, self.deliver_refusal = answered, refuse
         self.admission = Admission(min(each.target_latency for each in deployment.types), weights(deployment.tenants))
-        self.service_announcer: Any = None        # its ModelServiceAnnouncer, if it announces routes
+        self.service_announcer: Any = None          # its ModelServiceAnnouncer, if it announces routes
         self.alive, self.closing = True, False
         self.inbox: deque[tuple] = deque()          # events that wait for the processor
         self.busy_until = self.queued_cost = 0      # the latter is the processor time that the inbox needs
-        self.processor_time = 0                               # in all
-        self.probe_count = 0                               # in all
+        self.processor_time = 0                     # in all
+        self.probe_count = 0                        # in all
         self.backlog: list[tuple] | None = None     # events received while the process is suspended
-        self.unread_time = 0                            # how long the current event waited unread
+        self.unread_time = 0                        # how long the current event waited unread
         self.backoffs: dict[str, ReconnectBackoff] = {}
         self.links: dict[str, int] = {}             # worker: the start time in the hello of its process
         self.dialling: set[str] = set()
-        self.unanswered: dict[str, dict[Any, None]] = {}       # worker: sends and queries without an answer
+        self.unanswered: dict[str, dict[Any, None]] = {}        # worker: sends and queries without an answer
         self.last_number = 0
         clock.after(0, self.tick)
 
@@ -192,9 +192,10 @@
             self.end()
 
     def end(self) -> None:
+        """Ends the process."""
         self.alive = False
         if self.service_announcer is not None:
-            self.service_announcer.router.lost(self.service_announcer)
+            self.service_announcer.router.on_session_lost(self.service_announcer)
 
     def is_linked(self, worker: str) -> bool:
         return worker in self.links
--- a/threadshift/emulator/network.py
+++ b/threadshift/emulator/network.py
@@ -33,7 +33,7 @@
         self.clock, self.zones = clock, zones
         self.random = random.Random(f"network {seed}").random
         self.workers: dict[str, ModelWorker] = {}
-        self.fronts: Mapping[str, FrontEnd] = {}       # by name; the emulation adds them
+        self.fronts: Mapping[str, FrontEnd] = {}        # by name; the emulation adds them
 
     def find_alive(self, name: str) -> ModelWorker | None:
         worker = self.workers.get(name)
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -26,7 +26,7 @@
 from threadshift.standins.worker import Machine
 
 START = 1_000 * SECOND     # virtual; not 0, as a time of 0 means "never" in many places
-CLIENT_MARGIN = SECOND          # how long clients wait past their time left, as in the stand-in
+CLIENT_MARGIN = SECOND     # how long clients wait past their time left, as in the stand-in
 
 
 class Emulation:
@@ -46,7 +46,7 @@
         self.entries: dict[str, WorkerEntry] = {}
         self.feed_delay = 0
         self.feed_delay_until = 0
-        self.answered_marks: set[str] = set()         # of attempts
+        self.answered_marks: set[str] = set()       # of attempts
         self.router = ModelRouter(self.clock, day.router, self.network.delay, self.recorder("router")) if (
             day.router) else None
 
@@ -88,6 +88,7 @@
         return sorted(found, key=lambda each: each.t)
 
     def write(self, folder: Path, text: str) -> None:
+        """Writes the scenario file and the recorded events."""
         folder.mkdir(parents=True, exist_ok=True)
         (folder / "day.conf").write_text(text)
         for source, lines in self.records.items():
@@ -231,6 +232,7 @@
     # Clients.
 
     def send_attempt(self, attempt: Try, number: int, note: Callable[..., None]) -> None:
+        """Sends an attempt, or its `number`th retry, to a front end."""
         mark = f"{attempt.mark}r{number}" if number else attempt.mark
         n = attempt.front if self.router is None else self.router.steer()
         note("try", mark=mark, first=attempt.mark, front=attempt.front if self.router is None else ANY,
@@ -263,6 +265,7 @@
         self.retry(attempt, number, note, True)
 
     def disconnect(self, front: ModelFront, mark: str, note: Callable[..., None]) -> None:
+        """Closes the client's connection, unless the attempt was answered."""
         if mark in self.answered_marks:
             return
         note("quit", mark=mark)
--- a/threadshift/emulator/store.py
+++ b/threadshift/emulator/store.py
@@ -39,9 +39,10 @@
             return
         self.fetching += 1
         slowdown = max(1.0, self.fetching / self.settings.capacity) * max(1.0, self.faults.amount("slow"))
-        self.clock.after(int(self.pack(function)["fetch_ms"] * slowdown * MS), self.fetched, worker, function, done)
+        self.clock.after(int(self.pack(function)["fetch_ms"] * slowdown * MS), self.finish_fetch, worker,
+                         function, done)
 
-    def fetched(self, worker: str, function: str, done: Callable[[dict[str, Any] | None, str], None]) -> None:
+    def finish_fetch(self, worker: str, function: str, done: Callable[[dict[str, Any] | None, str], None]) -> None:
         self.fetching -= 1
         if self.faults.amount("corrupt"):
             done(None, "the pack does not match its digest")
--- a/threadshift/standins/worker.py
+++ b/threadshift/standins/worker.py
@@ -190,7 +190,7 @@
                 job.cancelled = self.machine.cancel_drops
         elif kind == "hold":
             self.record.note("hold", front=peer.name, function=frame["function"])
-            self.group.spawn(self.hold, peer, frame)
+            self.group.spawn(self.order_load, peer, frame)
         elif kind == "unload":
             state = self.state_of(frame["function"])
             for copy in [each for each in state.copies if not each.busy]:
@@ -353,7 +353,7 @@
         state.copies.remove(copy)
         self.used_mb -= copy.pack["memory_mb"]
 
-    def hold(self, peer: Peer, frame: Frame) -> None:
+    def order_load(self, peer: Peer, frame: Frame) -> None:
         """Loads copies as ordered, and answers once they are loaded or a load has failed."""
         state, wanted = self.state_of(frame["function"]), frame["copies"]
         if self.draining:
