--- a/threadshift/emulator/changes.py
+++ b/threadshift/emulator/changes.py
@@ -38,7 +38,7 @@
 
 
 @dataclass
-class ModelFrontEnd:
+class RolloutFrontEnd:
     """One simulated front end."""
 
     name: str
@@ -61,7 +61,7 @@
                  faults: float = 0.01, hold: int = 20 * SECOND):
         self.random, self.change, self.faults = random.Random(seed), change or Change(), faults
         draw = self.random
-        self.fronts = {f"f{n}": ModelFrontEnd(f"f{n}", rate * draw.choice((0.3, 1, 1, 3)), draw.random(),
+        self.fronts = {f"f{n}": RolloutFrontEnd(f"f{n}", rate * draw.choice((0.3, 1, 1, 3)), draw.random(),
                                       draw.choice((0.0, 0.01, 0.05)), f"h{n % 3}", uptime=100) for n in range(fronts)}
         peers = [Peer(name, Address("127.0.0.1", 1000 + n), n < 3, each.site)
                  for n, (name, each) in enumerate(self.fronts.items())]
@@ -93,7 +93,7 @@
             self.check()
         return it.why if it.state == BACK else "done" if it.state == DONE else "stands"
 
-    def advance(self, front: ModelFrontEnd, site_refused: float) -> None:
+    def advance(self, front: RolloutFrontEnd, site_refused: float) -> None:
         wanted = self.rollouts.version_of(front.name).name
         front.silent_for = max(0, front.silent_for - 1)
         if wanted != front.version and front.failed != wanted:
@@ -125,10 +125,10 @@
             front.sums[type_] = front.sums.get(type_, Sums()).plus(
                 Sums(count, refused, 0, errors, late, tuple(latencies)))
 
-    def restart(self, front: ModelFrontEnd, version: str) -> None:
+    def restart(self, front: RolloutFrontEnd, version: str) -> None:
         front.version, front.uptime, front.life, front.sums = version, -START_TIME, front.life + 1, {}
 
-    def report(self, front: ModelFrontEnd) -> Report | None:
+    def report(self, front: RolloutFrontEnd) -> Report | None:
         if front.silent_for:
             return None
         return Report(front.version, front.life, max(0, front.uptime) * SECOND, "", front.failed, dict(front.sums), 0)
--- a/threadshift/emulator/worker.py
+++ b/threadshift/emulator/worker.py
@@ -97,23 +97,23 @@
 
     def crash_if_overloaded(self, work_ms: float) -> None:
         """Ends the worker when it is sent more work within the fall time than a cold worker can take."""
-        it, now = self.machine, self.clock.now
-        if not it.cold_time or now - self.started >= it.cold_time:
+        machine, now = self.machine, self.clock.now
+        if not machine.cold_time or now - self.started >= machine.cold_time:
             return
         self.recent_work.append((now, work_ms))
-        while self.recent_work[0][0] <= now - it.fall_time:
+        while self.recent_work[0][0] <= now - machine.fall_time:
             self.recent_work.popleft()
         total_ms = sum(each for _, each in self.recent_work)
-        limit_ms = it.fall_multiple * self.speed() * it.cores * it.fall_time / MS
+        limit_ms = machine.fall_multiple * self.speed() * machine.cores * machine.fall_time / MS
         if total_ms > limit_ms and len(self.recent_work) > 3:
             self.note("fell-over", pushed_ms=total_ms, bears_ms=limit_ms)
             self.alive = False
 
     def speed(self) -> float:
         """The share of the full speed that a worker of this age has: it grows linearly over the cold time."""
-        it = self.machine
-        warm = min(1.0, (self.clock.now - self.started) / it.cold_time) if it.cold_time else 1.0
-        return it.cold_share + (1 - it.cold_share) * warm
+        machine = self.machine
+        warm = min(1.0, (self.clock.now - self.started) / machine.cold_time) if machine.cold_time else 1.0
+        return machine.cold_share + (1 - machine.cold_share) * warm
 
     def slowness(self) -> float:
         """The factor by which loads and calls take longer now."""
--- a/threadshift/standins/worker.py
+++ b/threadshift/standins/worker.py
@@ -171,7 +171,7 @@
         kind = frame["kind"]
         if kind == "hello":
             if peer.name:
-                raise ProtocolError("a second hello")
+                raise ProtocolError("hello was sent a second time")
             if frame["version"] != VERSION:
                 raise ProtocolError(f"version {frame['version']} is not supported, only version {VERSION}")
             peer.name, peer.zone = frame["name"] or "?", str(frame.get("zone", ""))
@@ -200,8 +200,8 @@
                 peer.send("status", id=frame["id"], load=self.load)
         elif kind == "ping":
             self.update_eviction(peer, frame)
-            it = self.evictor
-            peer.send("pong", epoch=it.force.epoch, complaint=it.complaint, lacks=it.lacks,
+            evictor = self.evictor
+            peer.send("pong", epoch=evictor.force.epoch, complaint=evictor.complaint, lacks=evictor.lacks,
                       copies=[name for name, state in self.functions.items() if state.copies][:MAX_REPORTED_COPIES])
         elif kind != "refused":
             raise ProtocolError(f"'{kind}' is not a message to a worker")
@@ -233,22 +233,22 @@
 
     def crash_if_overloaded(self, now: int, work_ms: float) -> None:
         """Ends the process when it is sent more work within the fall time than a cold worker can take."""
-        it = self.machine
-        if not it.cold_time or now - self.started >= it.cold_time:
+        machine = self.machine
+        if not machine.cold_time or now - self.started >= machine.cold_time:
             return
         self.recent_work.append((now, work_ms))
-        while self.recent_work[0][0] <= now - it.fall_time:
+        while self.recent_work[0][0] <= now - machine.fall_time:
             self.recent_work.popleft()
-        limit_ms = it.fall_multiple * self.speed(now) * it.cores * it.fall_time / MS
+        limit_ms = machine.fall_multiple * self.speed(now) * machine.cores * machine.fall_time / MS
         if sum(each for _, each in self.recent_work) > limit_ms and len(self.recent_work) > 3:
             self.record.note("fell-over", pushed_ms=sum(each for _, each in self.recent_work), bears_ms=limit_ms)
             os._exit(9)
 
     def speed(self, now: int) -> float:
         """The share of the full speed that a worker of this age has: it grows linearly over the cold time."""
-        it = self.machine
-        warm = min(1.0, (now - self.started) / it.cold_time) if it.cold_time else 1.0
-        return it.cold_share + (1 - it.cold_share) * warm
+        machine = self.machine
+        warm = min(1.0, (now - self.started) / machine.cold_time) if machine.cold_time else 1.0
+        return machine.cold_share + (1 - machine.cold_share) * warm
 
     # Copies.
 
