--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -142,7 +142,7 @@
                     # The main thread waits for signals, which are then not blocked.
                     main = status.parent.name == str(supervisor.process.pid)
                     self.assertTrue(blocked >> signal.SIGTERM - 1 & 1 or main, status)
-                supervisor.end()
+                supervisor.stop()
                 self.assertEqual(supervisor.process.returncode, 0)
                 delays = [int(each) for each in re.findall(r'"again_ms": (\d+)', errors.read_text())]
                 self.assertEqual(delays[:3], [0, FIRST_DELAY // MS, 2 * FIRST_DELAY // MS])
