--- a/threadshift/emulator/batches.py
+++ b/threadshift/emulator/batches.py
@@ -55,6 +55,7 @@
                 self.finish(it, "aborted")
 
     def keep(self, records: list[dict[str, Any]]) -> bool:
+        """Stores records; returns False where the disk fails."""
         try:
             self.shelf.write(records)
         except ThreadshiftError:
@@ -65,6 +66,7 @@
         return True
 
     def accept(self, ivk: str, batch: str, effect: str, left: int) -> None:
+        """Accepts a call once it is stored."""
         order, now = self.shelf.orders + 1, self.node.clock(self.world.now)
         stopped = self.queue.stopped.get(("t", batch))
         if self.keep([record("take", ivk=ivk, tenant="t", batch=batch, order=order, at=self.world.now, left=left,
@@ -73,6 +75,7 @@
             self.world.accepted[ivk] = effect
 
     def tick(self) -> None:
+        """Ends calls whose time is over, and sends those whose turn it is."""
         now = self.node.clock(self.world.now)
         for it in self.queue.ended(now):
             self.finish(it, "cancelled" if it.parked else "rejected")
@@ -115,6 +118,7 @@
             self.finish(it, final)
 
     def on_cancels(self, cancels: list[Cancel]) -> None:
+        """Applies cancels from the log: stops, restores or ends their calls."""
         for cancel in cancels:
             before = set(self.queue.under.get(cancel.id, ()))
             out, restored, over = self.queue.heard(cancel)
--- a/threadshift/emulator/changes.py
+++ b/threadshift/emulator/changes.py
@@ -62,7 +62,8 @@
         self.random, self.change, self.faults = random.Random(seed), change or Change(), faults
         draw = self.random
         self.fronts = {f"f{n}": RolloutFrontEnd(f"f{n}", rate * draw.choice((0.3, 1, 1, 3)), draw.random(),
-                                      draw.choice((0.0, 0.01, 0.05)), f"h{n % 3}", uptime=100) for n in range(fronts)}
+                                              draw.choice((0.0, 0.01, 0.05)), f"h{n % 3}", uptime=100)
+                       for n in range(fronts)}
         peers = [Peer(name, Address("127.0.0.1", 1000 + n), n < 3, each.site)
                  for n, (name, each) in enumerate(self.fronts.items())]
         self.rollouts = Rollouts()
--- a/threadshift/emulator/disk.py
+++ b/threadshift/emulator/disk.py
@@ -20,7 +20,7 @@
         self.random = random
         self.cached: dict[Path, bytearray] = {}
         self.durable: dict[Path, bytes] = {}
-        self.older: dict[Path, list[bytes]] = {}     # earlier durable copies, the oldest first
+        self.older: dict[Path, list[bytes]] = {}    # earlier durable copies, the oldest first
         self.refuse: set[str] = set()               # operations that fail: write, sync, put
         self.lies = False                           # sync succeeds, but makes nothing durable
         self.locks: set[Path] = set()
--- a/threadshift/emulator/explore.py
+++ b/threadshift/emulator/explore.py
@@ -59,6 +59,7 @@
 
 
 def clone(it: Member) -> Member:
+    """A copy that can take an event without changing the original."""
     new = object.__new__(type(it))
     new.__dict__.update(it.__dict__)
     new.log, new.yes = list(it.log), set(it.yes)
@@ -70,11 +71,13 @@
 
 
 def fingerprint(it: Member) -> tuple:
+    """The state of a member by which equal states are recognized."""
     return (it.term, it.vote, it.role, it.holder, it.heard, it.due, it.commit, it.applied, tuple(map(repr, it.log)),
             frozenset(it.yes), it.floor, repr(sorted(it.peers.items())), repr(it.returning))
 
 
 def apply_effects(world: World, name: str) -> None:
+    """Writes a member's records, sends its messages, and checks the entries that it applies."""
     effects = world.members[name].take()
     if effects.records:
         world.files[name].append(effects.records)
@@ -86,6 +89,7 @@
 
 
 def check(world: World) -> None:
+    """Raises InvariantViolation if there is more than one leader."""
     leaders = [name for name, each in world.members.items() if each.holds(world.now[name])]
     if len(leaders) > 1:
         raise InvariantViolation(f"{leaders} are leaders at the same time: {'; '.join(world.path)}")
@@ -113,12 +117,14 @@
 
 
 def deliver(world: World, place: int, is_repeated: bool) -> None:
+    """Delivers the message at this place; one that is repeated stays to be delivered again."""
     sender, message = world.messages[place] if is_repeated else world.messages.pop(place)
     getattr(world.members[message.to], message.kind)(world.now[message.to], sender, **message.fields)
     apply_effects(world, message.to)
 
 
 def restart(world: World, name: str, old: bool, make: Callable[..., Member]) -> None:
+    """Kills a member and restarts it from its file; `old` undoes the file's last write."""
     if old:
         world.files[name].pop()
     kept = Kept.of([record for write in world.files[name] for record in write])
--- a/threadshift/emulator/record.py
+++ b/threadshift/emulator/record.py
@@ -90,9 +90,11 @@
     # Events.
 
     def schedule(self, at: int, action: Callable[[], None]) -> None:
+        """Runs `action` at this time; actions of one time run in the order in which they were scheduled."""
         heapq.heappush(self.scheduled, (at, self.next_serial(), action))
 
     def run(self) -> None:
+        """Injects faults until the end, then ends them all and checks the final state."""
         for node in self.nodes.values():
             self.start(node)
         while self.now < self.end:
@@ -188,6 +190,7 @@
     # Faults.
 
     def inject_fault(self) -> None:
+        """Draws one fault, or a proposal to the leader."""
         kind, node = self.random.choice(FAULTS), self.nodes[self.random.choice(self.names)]
         length = int(self.random.choice((0.2, 1, 2, 4, 8)) * SECOND * self.random.random())
         if kind == "propose":
@@ -236,6 +239,7 @@
                 self.handle_message(node, sender, message)
 
     def kill(self, node: Node, kind: str, length: int) -> None:
+        """Kills a process and its disk's cache, damages the disk as `kind` says, and starts it after `length`."""
         if node.keeper is None:
             return
         node.keeper.close()
@@ -249,6 +253,7 @@
         self.schedule(self.now + length, lambda: self.start(node) if node.life == life and not node.keeper else None)
 
     def heal(self) -> None:
+        """Ends all faults."""
         self.cuts.clear()
         self.loss_until = 0
         self.faults_per_second = 0
@@ -265,6 +270,7 @@
     # Invariants.
 
     def check(self) -> None:
+        """Checks that there is at most one leader, and never two in a term."""
         leaders = [(node.name, node.member.term) for node in self.nodes.values()
                    if node.member and node.is_leader(self.now)]
         if len(leaders) > 1:
@@ -280,10 +286,12 @@
             self.longest_leaderless = max(self.longest_leaderless, self.now - self.leaderless_since)
 
     def confirm(self, index: int, body: dict[str, Any]) -> None:
+        """Notes that a proposer has learned that its entry is committed."""
         if index in self.committed and self.committed[index].body == body:
             self.confirmed.append(index)
 
     def check_final_state(self) -> None:
+        """Checks that there is a leader, and that all members have the same log with every confirmed entry."""
         if not any(node.member is not None and node.member.role is Role.HOLDING for node in self.nodes.values()):
             raise self.violation("there is no leader long after all faults were over")
         if self.longest_leaderless > 60 * SECOND:
