--- a/threadshift/emulator/record.py
+++ b/threadshift/emulator/record.py
@@ -239,7 +239,7 @@
                 self.handle_message(node, sender, message)
 
     def kill(self, node: Node, kind: str, length: int) -> None:
-        """Kills a process and its disk's cache, damages the disk as `kind` says, and starts it after `length`."""
+        """Kills a process, damages its disk as `kind` says, and starts it again after `length`."""
         if node.keeper is None:
             return
         node.keeper.close()
