--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -89,22 +89,22 @@
 
     def __enter__(self):
         rig = self.rig
-        rig.standin("store", "store", load_ms=20, work_ms=5, memory_mb=50)
-        rig.standin("roster", "roster")
+        rig.start_standin("store", "store", load_ms=20, work_ms=5, memory_mb=50)
+        rig.start_standin("roster", "roster")
         links = [(one, other) for one in self.names for other in self.names if one != other]
         rig.start("relay", "standin", "relay", *(
             f"--route={one}-{other}=127.0.0.1:0=127.0.0.1:{self.peer_port[other]}" for one, other in links))
         for worker in self.workers:
-            rig.standin(worker, "worker", name=worker, memory_mb=self.memory_mb,
-                        store=rig.listening("store") if worker == "w0" else rig.at["store"])
+            rig.start_standin(worker, "worker", name=worker, memory_mb=self.memory_mb,
+                              store=rig.wait_for_address("store") if worker == "w0" else rig.addresses["store"])
         self.routes = {}
         with gevent.Timeout(20):
             for each in rig.processes["relay"].process.stdout.readline().decode().split()[1].split(","):
                 name, _, address = each.partition("=")
                 self.routes[name] = address
-        rig.listening("roster")
+        rig.wait_for_address("roster")
         for worker in self.workers:
-            rig.processes["roster"].order(f"worker {worker} {rig.listening(worker)}")
+            rig.processes["roster"].order(f"worker {worker} {rig.wait_for_address(worker)}")
         for name in self.names:
             self.start(name)
         self.until(lambda: all(self.status(name) for name in self.names), 20)
@@ -114,7 +114,7 @@
         return self
 
     def __exit__(self, *_):
-        self.rig.end()
+        self.rig.stop()
         if self.python_path is None:
             os.environ.pop("PYTHONPATH", None)
         else:
@@ -127,8 +127,8 @@
             f"    {'voter' if n < self.conf_values['voters'] else 'follower'} {other} "
             f"{f'127.0.0.1:{self.peer_port[other]}' if other == name else self.routes[f'{name}-{other}']}"
             for n, other in enumerate(self.names))
-        text = CONF.format(port=self.port[name], admin=self.admin_port[name], name=name, feed=self.rig.at["roster"],
-                           peers=peers, folder=self.folder / name, **{**self.conf_values, **changes})
+        text = CONF.format(port=self.port[name], admin=self.admin_port[name], name=name,
+                           feed=self.rig.addresses["roster"], peers=peers, folder=self.folder / name, **{**self.conf_values, **changes})
         path = self.folder / f"{name}.conf"
         path.write_text(text)
         return path
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -183,7 +183,7 @@
         def run(live, client):
             client.call("submit-x")
             for worker in live.workers.values():
-                worker.obey(["break-after-run", "5s"])
+                worker.execute_order(["break-after-run", "5s"])
             client.call("submit-x")
         self.check(2, deployment(), run, report_unreachable)
 
@@ -194,7 +194,7 @@
         def run(live, client):
             client.call("f")
             for name in live.workers:
-                live.feed.obey(["state", name, "draining"])
+                live.feed.execute_order(["state", name, "draining"])
             gevent.sleep(0.1 + SLACK / SECOND + 0.05)
             client.call("f", 300)
         self.check(3, deployment(), run, ignore_listings)
@@ -209,7 +209,7 @@
             calls = [gevent.spawn(client.call, "f", 1500, 200) for _ in range(30)]
             gevent.joinall(calls)
         fleet = "    cold-share 20%\n    cold-time 20s\n    fall-multiple 2\n    fall-time 1s\n"
-        self.check(4, deployment(**cold), run, never_cold, fleet=fleet, workers=1, cores=2, most=1000)
+        self.check(4, deployment(**cold), run, never_cold, fleet=fleet, workers=1, cores=2, max_calls=1000)
 
     def test_rule_5_loads_are_not_limited(self):
         window = dict(load_window=5 * SECOND, load_free=1, load_ratio=0.1)
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -16,11 +16,11 @@
 from threadshift.consensus.state_machines import StateMachineRegistry
 from threadshift.consensus.persistent_state import LogEntry
 from threadshift.consensus.member import CommittedEntry
-from threadshift.emulator.batches import Batches, Front
-from threadshift.emulator.disk import Plate
-from threadshift.emulator.record import Broken
+from threadshift.emulator.batches import BatchSimulation, BatchFrontEnd
+from threadshift.emulator.disk import SimulatedDisk
+from threadshift.emulator.record import InvariantViolation
 from threadshift.interface import MS, SECOND
-from threadshift.standins.disk import Faulty
+from threadshift.standins.disk import FaultyDisk
 
 NOW = 1_000 * SECOND
 PATH = Path("/calls")
@@ -258,7 +258,7 @@
                       effect=effect, parked="", call={"type": "submit", "function": "f", "left": 10 * SECOND}, **more)
 
     def test_recovery_after_a_crash_runs_nothing_twice(self):
-        disk = Plate(lambda: 0.0)
+        disk = SimulatedDisk(lambda: 0.0)
         self.make_store(disk, self.take("a"), self.take("b"), self.take("c", "repeatable"), self.take("d"),
                    make_record("out", ivk="b"), make_record("out", ivk="c"), make_record("out", ivk="d"),
                    make_record("back", ivk="d", tries=1), make_record("stop", cancel="k", ivks=["a"]))
@@ -269,12 +269,12 @@
                           "d": (False, False, "")})
 
     def test_time_passes_while_no_process_runs_and_a_clock_set_back_adds_none(self):
-        it = self.make_store(Plate(), self.take("a"))
+        it = self.make_store(SimulatedDisk(), self.take("a"))
         for wall, left in ((100, 10), (104, 6), (200, -90), (40, 10)):
             self.assertEqual(it.calls["a"].remaining(wall * SECOND), left * SECOND)
 
     def test_long_file_is_rewritten_with_all_calls_and_unknown_fields(self):
-        disk = Plate()
+        disk = SimulatedDisk()
         it = self.make_store(disk, self.take("a", colour="blue"))
         anew = []
         for _ in range(1_200):
@@ -286,7 +286,7 @@
         self.assertEqual(BatchStore(PATH, disk).calls["a"].extra, {"colour": "blue"})
 
     def test_file_of_a_later_version_is_left_unchanged(self):
-        disk = Plate()
+        disk = SimulatedDisk()
         it = self.make_store(disk)
         it.write([{"form": 2, "do": "take"}])
         it.close()
@@ -300,7 +300,7 @@
         # Guards against an answer given out but not stored: after a crash the same call was reported as aborted.
         with tempfile.TemporaryDirectory() as folder:
             it = Live(1, extra=f"peers {{\n folder {folder}\n voter front-0 127.0.0.1:{free_port()}\n}}")
-            disk = it.front.disk = Faulty()
+            disk = it.front.disk = FaultyDisk()
             with it, closing(it.client()) as client:
                 until(lambda: it.front.replicated_services
                       and it.front.replicated_services.consensus.status()["holds"], 10)
@@ -316,24 +316,24 @@
                 self.assertEqual(batch_service.store.calls[ivk].answer["final"], "completed")
 
 
-class DoesNotStoreCallsThatGoOut(Front):
+class DoesNotStoreCallsThatGoOut(BatchFrontEnd):
     def keep(self, records):
         return super().keep([each for each in records if each["do"] != "out"])
 
 
-class WithdrawsCallsThatBegan(Front):
-    def heard(self, cancels):
-        self.begun.clear()
-        super().heard(cancels)
+class WithdrawsCallsThatBegan(BatchFrontEnd):
+    def on_cancels(self, cancels):
+        self.possibly_sent.clear()
+        super().on_cancels(cancels)
 
 
-class AnswersBeforeItStores(Front):
-    def final(self, it, final):
-        self.world.told(it.id, final)
-        super().final(it, final)
+class AnswersBeforeItStores(BatchFrontEnd):
+    def finish(self, it, final):
+        self.world.record_final(it.id, final)
+        super().finish(it, final)
 
 
-class ClosesByLocalClock(Front):
+class ClosesByLocalClock(BatchFrontEnd):
     def tick(self):
         now = self.node.clock(self.world.now)
         for id_ in self.cancels.open.values():
@@ -341,7 +341,7 @@
             cancel.heard = cancel.heard or now
             if now - cancel.heard > cancel.window:
                 for each in self.queue.close(cancel):
-                    self.final(each, "cancelled")
+                    self.finish(each, "cancelled")
         super().tick()
 
 
@@ -351,17 +351,17 @@
     def test_random_histories_keep_all_guarantees(self):
         finals = set()
         for seed in range(6):
-            it = Batches(seed, seconds=15)
+            it = BatchSimulation(seed, seconds=15)
             it.run()
             finals |= set(it.finals.values())
         self.assertEqual(finals, {"completed", "rejected", "aborted", "cancelled"})
 
     def test_planted_faults_are_found(self):
         for front in (DoesNotStoreCallsThatGoOut, WithdrawsCallsThatBegan, AnswersBeforeItStores, ClosesByLocalClock):
-            with self.subTest(front.__name__), mock.patch("threadshift.emulator.batches.Front", front), (
-                    self.assertRaises(Broken)):
+            with self.subTest(front.__name__), mock.patch("threadshift.emulator.batches.BatchFrontEnd", front), (
+                    self.assertRaises(InvariantViolation)):
                 for seed in range(8):
-                    Batches(seed, seconds=15).run()
+                    BatchSimulation(seed, seconds=15).run()
 
 
 if __name__ == "__main__":
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -105,7 +105,7 @@
             began = time.monotonic()
             setup.live.front.end()
             until(lambda: setup.live.front.service_announcer.drain.standing is Standing.LAST)
-            setup.router.obey(["reset", "front-0"])
+            setup.router.execute_order(["reset", "front-0"])
             setup.live.running.join(5)
             self.assertLess(time.monotonic() - began, 2)
 
@@ -114,7 +114,7 @@
             until(lambda: setup.state.decision.reason == "cold")          # both workers have just started
             self.assertEqual(setup.state.decision.standing, Standing.POOR)
             for name in setup.live.workers:
-                setup.live.feed.obey(["drop", name])
+                setup.live.feed.execute_order(["drop", name])
             until(lambda: setup.route().med == 900)
             self.assertEqual(setup.state.decision.reason, "no-worker")
             self.assertEqual(setup.call("submit-x").headers["final"], "rejected")
@@ -164,11 +164,11 @@
             for fault, ends in (("reset", True), ("garbage", True), ("malformed", False), ("refresh", False),
                                 ("down", True)):
                 ups = setup.neighbour.ups
-                setup.router.obey([fault, "front-0"])
+                setup.router.execute_order([fault, "front-0"])
                 if ends:
                     until(lambda ups=ups: setup.neighbour.downs >= ups)
                 if fault == "down":
-                    setup.router.obey(["up", "front-0"])
+                    setup.router.execute_order(["up", "front-0"])
                 setup.neighbour.pause = 0                # damping is tested in test_bgp_session
                 if setup.neighbour.idle_until:
                     setup.neighbour.idle_until = time.monotonic_ns()
@@ -182,7 +182,7 @@
     def test_a_silent_peer_is_disconnected_at_the_hold_time(self):
         with Setup(hold="3s") as setup:
             began = time.monotonic()
-            setup.router.obey(["stall", "front-0"])
+            setup.router.execute_order(["stall", "front-0"])
             until(lambda: setup.neighbour.downs, 8)
             self.assertTrue(1.9 < time.monotonic() - began < 4.5)
             self.assertIn("hold time", setup.neighbour.last_end_reason)
@@ -190,7 +190,7 @@
     def test_a_machine_that_restarts_within_the_hold_time(self):
         """The router refuses the new session until the hold time has ended the previous one."""
         with Setup(hold="3s") as setup:
-            setup.router.obey(["stall", "front-0"])      # as if all further packets were lost
+            setup.router.execute_order(["stall", "front-0"])      # as if all further packets were lost
             setup.neighbour.session.transport.connection.sock.shutdown(2)
             began, peer = time.monotonic(), setup.router.speaker.neighbours["front-0"]
             until(lambda: "6/7" in setup.neighbour.last_end_reason, 3)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -13,9 +13,9 @@
     term_record,
 )
 from threadshift.consensus.member import Member, Timing, InvalidVoters, check_voters
-from threadshift.emulator.disk import Plate
+from threadshift.emulator.disk import SimulatedDisk
 from threadshift.emulator.explore import Budget, explore
-from threadshift.emulator.record import FILE, Broken, Record
+from threadshift.emulator.record import FILE, InvariantViolation, ConsensusSimulation
 from threadshift.interface import MS, SECOND
 from threadshift.storage.journal import Journal
 
@@ -224,7 +224,7 @@
 
     def test_damaged_file_is_moved_aside_except_by_a_sole_voter(self):
         for voters in ("abc", "a"):
-            disk = Plate()
+            disk = SimulatedDisk()
             durable_member = self.open_member(disk, voters)
             durable_member.journal.append(term_record(1, "a"), term_record(2, "a"))
             durable_member.journal.append(term_record(3, "a"))
@@ -240,7 +240,7 @@
             self.assertTrue(disk.read(Path("/record.damaged")))
 
     def test_output_is_discarded_if_the_sync_fails(self):
-        disk = Plate()
+        disk = SimulatedDisk()
         durable_member = self.open_member(disk, "a")
         disk.refuse = {"sync"}
         durable_member.member.tick(NOW + 10 * SECOND)
@@ -250,7 +250,7 @@
         self.assertFalse(durable_member.member.holds_lease(NOW + 10 * SECOND))
 
     def test_long_file_is_compacted(self):
-        disk = Plate()
+        disk = SimulatedDisk()
         durable_member = self.open_member(disk, "a")
         durable_member.member.tick(NOW + 10 * SECOND)
         applied = 0
@@ -330,15 +330,15 @@
     def test_random_histories_keep_the_invariants(self):
         for voters, others, seeds in ((3, 2, 60), (5, 2, 12), (1, 2, 8)):
             for seed in range(seeds):
-                history = Record(seed, voters, others, lies=voters > 1)
+                history = ConsensusSimulation(seed, voters, others, lies=voters > 1)
                 history.run()
         self.assertTrue(history.committed)
 
     def test_planted_faults_are_found(self):
         for make, seeds in ((LosesVotes, 10), (TrustsFile, 12), (LongLease, 10), (StaleLeaseCheck, 100)):
-            with self.subTest(make.__name__), self.assertRaises(Broken):
+            with self.subTest(make.__name__), self.assertRaises(InvariantViolation):
                 for seed in range(seeds if make is not StaleLeaseCheck else 94):
-                    Record(seed if make is not StaleLeaseCheck else 93 - seed, 3, 0, make=make).run()
+                    ConsensusSimulation(seed if make is not StaleLeaseCheck else 93 - seed, 3, 0, make=make).run()
 
 
 class ExploredHistories(unittest.TestCase):
@@ -352,10 +352,10 @@
             self.assertGreater(states, 1000)
 
     def test_planted_faults_are_found(self):
-        with self.assertRaisesRegex(Broken, "hold at once"):
+        with self.assertRaisesRegex(InvariantViolation, "are leaders at the same time"):
             explore(7, make=LongLeaseMember, budget=NO_EVENTS, path=("time passes", "a stands still"))
         after = (*COMMITTED_BY_TWO, "b is killed, its file goes back", *3 * ["time passes"], "c ticks")
-        with self.assertRaisesRegex(Broken, "entry 2 is"):
+        with self.assertRaisesRegex(InvariantViolation, "entry 2 is"):
             explore(8, make=TrustsFileMember, budget=NO_EVENTS, path=after)
         states, _ = explore(8, budget=NO_EVENTS, path=after)
         self.assertGreater(states, 10)
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -84,7 +84,7 @@
         """Sends for each first attempt: over the whole run, and in its worst two seconds."""
         it = Emulation(read_text(BUSY + trouble, seed=seed), seed, policy)
         it.run()
-        seen = it.seen()
+        seen = it.recorded_events()
         firsts = [each.t for each in seen if each.event == "try" and each["mark"] == each["first"]]
         sent = [each.t for each in seen if each.event == "invoke"]
         spans = [(firsts[0] + n * SECOND // 2, firsts[0] + n * SECOND // 2 + 2 * SECOND) for n in range(20)]
@@ -111,7 +111,7 @@
     def test_a_full_fleet_receives_few_sends_for_each_call(self):
         """Over sockets, with workers that run two calls each and refuse the rest."""
         with tempfile.TemporaryDirectory() as folder:
-            with Live(workers=4, records=folder, work_ms=30, most=2) as live:
+            with Live(workers=4, records=folder, work_ms=30, max_calls=2) as live:
                 jobs = []
                 for n in range(200):
                     jobs.append(gevent.spawn(live.call, f"f{n % 10}", time_left="800"))
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -49,21 +49,21 @@
 
 def emulation(text, seed, tamper=None):
     it = Emulation(read_text(text, seed=seed), seed)
-    start = it.start_front
+    start = it.start_front_end
 
     def start_tampering(n):
         start(n)
         front = it.fronts[f"front-{n}"]
         front.__class__ = TamperingFrontEnd
         front.tamper = tamper and tamper(it, front)
-    it.start_front = start_tampering
+    it.start_front_end = start_tampering
     return it
 
 
 def run_and_judge(text, seed=1, tamper=None):
     it = emulation(text, seed, tamper)
     it.run()
-    return judge(it.day, it.seen())
+    return judge(it.day, it.recorded_events())
 
 
 def drawn_day(seed):
@@ -83,9 +83,9 @@
             return
         other = next((name for name in it.zones if name in front.links and where(name, worker)), None)
         if other is not None:
-            open_before = front.out.get(other, {}).copy()
+            open_before = front.unanswered.get(other, {}).copy()
             ModelFront.send(front, other, pending, 99)
-            front.out[other] = open_before      # drops the answer to the second send
+            front.unanswered[other] = open_before      # drops the answer to the second send
     return tamper
 
 
@@ -126,17 +126,19 @@
 
     def test_rule_1_a_call_answered_twice(self):
         def twice(it, front):
-            tell = front.tell
-            front.tell = lambda pending: (tell(pending), it.clock.after(0, it.received, pending, pending.client))
+            deliver = front.deliver_answer
+            front.deliver_answer = lambda pending: (
+                deliver(pending), it.clock.after(0, it.on_answer_received, pending, pending.client))
         self.check(1, DAY.replace("retries 1", "retries 0"), twice)
 
     def test_rule_1_a_call_answered_too_late_or_never(self):
         def late(it, front):
-            front.tell = lambda pending: it.clock.after(2_500_000_000, it.received, pending, pending.client)
+            front.deliver_answer = lambda pending: it.clock.after(
+                2_500_000_000, it.on_answer_received, pending, pending.client)
         self.check(1, DAY.replace("retries 1", "retries 0"), late)
 
         def never(it, front):
-            front.tell = lambda pending: None
+            front.deliver_answer = lambda pending: None
         self.check(1, DAY, never)
 
     def test_rule_2_a_once_only_call_sent_again(self):
@@ -174,14 +176,14 @@
     def test_rule_4_a_cold_worker_over_its_budget(self):
         def push(it, front):
             front.engine.dispatcher.cold_time = 0
-            link_to = front.link
+            link_to = front.linked_worker
             young = [name for name in it.zones if name != "w0"]
 
             def link(worker):
                 fresh = next((name for name in young if name in front.links
                               and it.clock.now - front.links[name] < 2_000_000_000), worker)
                 return link_to(fresh)
-            front.link = link
+            front.linked_worker = link
         text = DAY.replace("rate 40", "rate 140").replace("quits 2%", "")
         self.check(4, text + "trouble crash at 4s for 2s workers 1\n", push)
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from threadshift.emulator.disk import Plate
-from threadshift.standins.disk import Faulty
+from threadshift.emulator.disk import SimulatedDisk
+from threadshift.standins.disk import FaultyDisk
 from threadshift.storage.journal import CorruptJournal, Journal, WriteError, decode_records, encode_record
 
 
@@ -68,7 +68,7 @@
         journal.append({"a": 1})
         before = self.path.read_bytes()
         for fault in ("full", "full 2"):
-            disk = Faulty()
+            disk = FaultyDisk()
             journal.close()
             journal = Journal(self.path, write=True, disk=disk)
             self.assertEqual(list(journal.read()), [{"a": 1}])
@@ -85,7 +85,7 @@
     def test_after_a_failed_sync_nothing_is_written_until_the_file_is_opened_again(self):
         # Guards against writes after a failed fsync: the kernel may have dropped the pages, so that later records
         # would follow lost ones.
-        disk = Faulty()
+        disk = FaultyDisk()
         journal = Journal(self.path, write=True, disk=disk)
         journal.append({"a": 1})
         disk.order("sync-fails")
@@ -99,7 +99,7 @@
         self.assertEqual(list(Journal(self.path).read()), [{"a": 1}, {"d": 4}])
 
     def test_disk_that_ignores_syncs_returns_to_the_earlier_content(self):
-        disk = Faulty()
+        disk = FaultyDisk()
         journal = Journal(self.path, write=True, disk=disk)
         journal.append({"a": 1})
         disk.order("forgets")
@@ -128,7 +128,7 @@
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.lists(st.sampled_from(["append", "append", "renew", "crash", "lose"]), max_size=14), st.randoms())
     def test_whatever_was_told_as_kept_is_there_after_any_crash(self, acts, random):
-        disk, path = Plate(random.random), Path("/j")
+        disk, path = SimulatedDisk(random.random), Path("/j")
         it = Journal(path, write=True, disk=disk)
         told, tried, n = list(it.read()), [], 0
         for act in acts:
