--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -128,7 +128,8 @@
             f"{f'127.0.0.1:{self.peer_port[other]}' if other == name else self.routes[f'{name}-{other}']}"
             for n, other in enumerate(self.names))
         text = CONF.format(port=self.port[name], admin=self.admin_port[name], name=name,
-                           feed=self.rig.addresses["roster"], peers=peers, folder=self.folder / name, **{**self.conf_values, **changes})
+                           feed=self.rig.addresses["roster"], peers=peers, folder=self.folder / name,
+                           **{**self.conf_values, **changes})
         path = self.folder / f"{name}.conf"
         path.write_text(text)
         return path
