--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -1,3 +1,4 @@
+import importlib
 import os
 import signal
 import sqlite3
@@ -19,6 +20,7 @@
 from threadshift.interface import SECOND, Action, Effect, WorkerState, Step
 from threadshift.trials import figures, hunt, runs
 from threadshift.trials.commands import trial
+from threadshift.trials.former_names import CURRENT_NAMES
 from threadshift.trials.keep import Kept, Result, Unusable
 from threadshift.trials.policies import POLICIES
 from threadshift.trials.scenario import read_text_of
@@ -82,6 +84,25 @@
             self.assertEqual(choice.EPSILON, 0.9)
         self.assertEqual(choice.EPSILON, before)
 
+    def test_former_names_of_constants(self):
+        """A former name sets the constant of today for its run alone; the run records the name as written."""
+        for (module, former), name in CURRENT_NAMES.items():
+            value = getattr(importlib.import_module(f"threadshift.{module}"), name, None)
+            self.assertIsInstance(value, int | float, (module, former))
+        from threadshift import choice
+        former, today = (next(read_text_of(SMALL + f"sweep constant choice {name} {{\n3\n}}\n").jobs())
+                         for name in ("REACH", "CANDIDATE_LIMIT"))
+        before = choice.CANDIDATE_LIMIT
+        for job in (former, today):
+            with runs.constants_of(job):
+                self.assertEqual(choice.CANDIDATE_LIMIT, 3)
+                self.assertFalse(hasattr(choice, "REACH"))
+            self.assertEqual(choice.CANDIDATE_LIMIT, before)
+        self.assertNotEqual(before, 3)
+        self.assertEqual((former.constants, former.point),
+                         ((("choice", "REACH", 3.0),), {"constant choice REACH": "3"}))
+        self.assertNotEqual(former.key, today.key)
+
 
 class Running(unittest.TestCase):
     def setUp(self):
--- a/threadshift/trials/runs.py
+++ b/threadshift/trials/runs.py
@@ -17,6 +17,7 @@
 from threadshift.audit.report import Verdict, judge
 from threadshift.days.day import read_text
 from threadshift.emulator.run import Emulation
+from threadshift.trials.former_names import current_name
 from threadshift.trials.keep import Kept, Result
 from threadshift.trials.policies import POLICIES
 from threadshift.trials.scenario import Job, Scenario
@@ -30,8 +31,8 @@
     """The job's constants in force, for this process."""
     kept = []
     try:
-        for module, name, value in job.constants:
-            it = importlib.import_module(f"threadshift.{module}")
+        for module, written, value in job.constants:
+            it, name = importlib.import_module(f"threadshift.{module}"), current_name(module, written)
             kept.append((it, name, getattr(it, name)))
             setattr(it, name, type(kept[-1][2])(value))
         yield
--- a/threadshift/trials/scenario.py
+++ b/threadshift/trials/scenario.py
@@ -35,6 +35,7 @@
 
 from threadshift.conf.reading import Directive, Mistake, load, nearest, parse
 from threadshift.days.day import KINDS, read_text, text_of
+from threadshift.trials.former_names import current_name
 from threadshift.trials.policies import POLICIES
 
 MODULES = ("choice", "invoke.admission", "bgp.announce", "links.redial")      # whose constants may be swept
@@ -227,7 +228,7 @@
 
 
 def constant(module: str, name: str) -> Any:
-    return getattr(importlib.import_module(f"threadshift.{module}"), name, None)
+    return getattr(importlib.import_module(f"threadshift.{module}"), current_name(module, name), None)
 
 
 def drawn(line: Directive) -> Drawn:
