--- a/benchmarks/experiments.py
+++ b/benchmarks/experiments.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from threadshift.trials import figures
-from threadshift.trials.keep import Kept
+from threadshift.trials.result_store import ResultStore
 
 HERE = Path(__file__).parent
 POLICIES = ("bounded-loads", "plain-hash", "least-in-flight", "power-of-two", "random", "oracle")
@@ -44,9 +44,9 @@
 
 def section(name, path, out, notes):
     title, tables, chart = SHOWN[name]
-    kept = Kept(str(path), new=False)
-    made, results = kept.commits()[-1], list(kept.results())
-    kept.close()
+    store = ResultStore(str(path), writable=False)
+    made, results = store.commits()[-1], list(store.results())
+    store.close()
     lines = ["", f"## {title}", "", f"`benchmarks/trials/{name}.trial`, commit {made}, {len(results)} runs."]
     for by in tables:
         lines += ["", figures.table(results, by)]
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -22,7 +22,7 @@
 from threadshift.trials.causes import CAUSES, jain, losses
 from threadshift.trials.figures import interval
 from threadshift.trials.policies import POLICIES
-from threadshift.trials.runs import constants_of
+from threadshift.trials.runs import override_constants
 from threadshift.trials.scenario import Job
 
 SIZES = (1, 3, 12, 50, 200)
@@ -100,7 +100,7 @@
 def play(policy: str, name: str, fronts: int, uneven: float, seed: int, constants: tuple = ()) -> dict:
     text = TEXT.format(fronts=fronts, uneven=uneven) + "\n".join(f"trouble {each}" for each in DAYS[name]) + "\n"
     day = read_text(text, seed=seed)
-    with constants_of(Job({}, seed, policy, constants, text)):
+    with override_constants(Job({}, seed, policy, constants, text)):
         it = Emulation(day, seed, POLICIES[policy])
         it.run()
     seen = it.seen()
@@ -108,8 +108,9 @@
     told = breaches(seen, day.told.deployment, day.fleet.cores)
     per = [got / asked for asked, got in found.served.values() if asked > 3]
     return {"policy": policy, "day": name, "fronts": fronts, "uneven": uneven, "seed": seed, "asked": found.asked,
-            "lost": dict(found.by_cause), "sends": found.sends, "learnt": found.learnt, "again": found.again,
-            "loads": found.loads, "needless": found.needless, "asks": sum(front.asks for front in it.lives),
+            "lost": dict(found.by_cause), "sends": found.sends, "learnt": found.first_losses,
+            "again": found.repeated_losses, "loads": found.loads,
+            "needless": found.redundant_loads, "asks": sum(front.asks for front in it.lives),
             "links": sum(len(front.links) for front in it.lives) / max(1, len(it.lives)),
             "fell": sum(each.event == "fell-over" for each in seen), "jain": jain(per),
             "worst": min(per) if per else 1.0, "tries": sum(each.event == "try" for each in seen),
--- a/benchmarks/validate.py
+++ b/benchmarks/validate.py
@@ -16,7 +16,7 @@
 from threadshift.audit.report import judge
 from threadshift.days.day import read_text
 from threadshift.emulator.run import Emulation
-from threadshift.trials.runs import latencies
+from threadshift.trials.runs import latency_histogram
 
 BASE = """length 12s
 front-ends 3
@@ -92,7 +92,7 @@
 def figures(day, seen):
     """Share of first tries completed in time, and the median latency of completed calls, ms."""
     verdict = judge(day, seen)
-    return verdict.ratio, latencies(seen).get_value_at_percentile(50) / 1000, len(verdict.breaches)
+    return verdict.ratio, latency_histogram(seen).get_value_at_percentile(50) / 1000, len(verdict.breaches)
 
 
 def both(job):
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -91,7 +91,7 @@
     def test_needless_loads_are_those_beside_a_copy_elsewhere(self):
         lines = (UP, ASKED_FREE, send(10), DONE, load(0, "w0"), load(100, "w1"), load(200, "w1"), load(20_000, "w2"))
         found = losses(seen(*lines), TOLD)
-        self.assertEqual((found.loads, found.needless), (4, 2))
+        self.assertEqual((found.loads, found.redundant_loads), (4, 2))
 
     def test_fairness(self):
         for values, expected in (([1.0, 1.0, 1.0], 1.0), ([1.0, 0.0, 0.0, 0.0], 0.25), ([0.0, 0.0], 1.0)):
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -1,3 +1,4 @@
+"""Tests of scenario files, their runs, the statistics of results, and the baseline policies."""
 import importlib
 import os
 import signal
@@ -21,22 +22,22 @@
 from threadshift.trials import figures, hunt, runs
 from threadshift.trials.commands import trial
 from threadshift.trials.former_names import CURRENT_NAMES
-from threadshift.trials.keep import Kept, Result, Unusable
+from threadshift.trials.result_store import InvalidResultsFile, Result, ResultStore
 from threadshift.trials.policies import POLICIES
-from threadshift.trials.scenario import read_text_of
+from threadshift.trials.scenario import parse_text
 
 SHORT = str(Path(__file__).parent.parent / "threadshift/days/short.trial")
 SMALL = DAY.replace("length 12s", "length 3s")
-SWEPT = SMALL + "seeds 1 to 3\nsweep policy {\nthreadshift\nrandom\n}\nsweep traffic check rate {\n10\n30\n}\n"
+SWEEPS = SMALL + "seeds 1 to 3\nsweep policy {\nthreadshift\nrandom\n}\nsweep traffic check rate {\n10\n30\n}\n"
 
 
-def command(*words, **more):
+def run_cli(*words, **more):
     return subprocess.run([sys.executable, "-m", "threadshift", *words], capture_output=True, text=True, check=False,
                           **more)
 
 
-class Reading(unittest.TestCase):
-    def test_mistakes_name_their_line(self):
+class ScenarioTest(unittest.TestCase):
+    def test_errors_name_their_line(self):
         line = SMALL.count("\n") + 1
         cases = (("sweep policy {\nrandm\n}", f"{line + 1}: no policy 'randm'; the nearest known is 'random'"),
                  ("sweep policy", f"{line}: 'sweep' takes"), ("seeds", f"{line}: 'seeds' takes"),
@@ -54,11 +55,11 @@
                  ("seeds 1 to 2000000", "2000000 runs"))
         for text, problem in cases:
             with self.assertRaises(Mistake, msg=text) as caught:
-                read_text_of(SMALL + text + "\n", "a.trial")
+                parse_text(SMALL + text + "\n", "a.trial")
             self.assertIn(problem, str(caught.exception))
 
-    def test_what_a_point_sets(self):
-        it = read_text_of(SMALL + "seeds 7 9\nsweep front-ends, fleet-of, traffic check rate {\n1 3 5\n9 30 50\n}\n"
+    def test_directives_of_a_point(self):
+        it = parse_text(SMALL + "seeds 7 9\nsweep front-ends, fleet-of, traffic check rate {\n1 3 5\n9 30 50\n}\n"
                                   "sweep trouble {\nnone\ncrash workers 2 + hang\n}\n"
                                   "draw fleet-of memory 300M 900M\n")
         jobs = list(it.jobs())
@@ -67,20 +68,20 @@
         self.assertEqual((day.front_ends, day.fleet.workers, day.traffic[0].rate), (9, 30, 50))
         self.assertEqual([each.kind for each in day.troubles], ["crash", "hang"])
         memory = [read_text(each.text).fleet.memory for each in jobs]
-        self.assertEqual(len(set(memory[:4])), 1)               # drawn by the seed alone
+        self.assertEqual(len(set(memory[:4])), 1)               # drawn values depend on the seed alone
         self.assertNotEqual(memory[0], memory[4])
         self.assertEqual(len({each.key for each in jobs}), 8)
 
-    def test_drawn_troubles(self):
-        it = read_text_of(SMALL + "seeds 1 to 30\ndraw trouble 1 3\n")
+    def test_number_of_drawn_faults(self):
+        it = parse_text(SMALL + "seeds 1 to 30\ndraw trouble 1 3\n")
         counts = {len(read_text(each.text, seed=each.seed).troubles) for each in it.jobs()}
         self.assertEqual(counts, {1, 2, 3})
 
-    def test_constants_are_in_force_for_their_run_alone(self):
+    def test_constants_are_set_only_during_their_run(self):
         from threadshift import choice
-        it = read_text_of(SMALL + "sweep constant choice EPSILON {\n0.9\n}\n")
+        it = parse_text(SMALL + "sweep constant choice EPSILON {\n0.9\n}\n")
         job, before = next(it.jobs()), choice.EPSILON
-        with runs.constants_of(job):
+        with runs.override_constants(job):
             self.assertEqual(choice.EPSILON, 0.9)
         self.assertEqual(choice.EPSILON, before)
 
@@ -90,11 +91,11 @@
             value = getattr(importlib.import_module(f"threadshift.{module}"), name, None)
             self.assertIsInstance(value, int | float, (module, former))
         from threadshift import choice
-        former, today = (next(read_text_of(SMALL + f"sweep constant choice {name} {{\n3\n}}\n").jobs())
+        former, today = (next(parse_text(SMALL + f"sweep constant choice {name} {{\n3\n}}\n").jobs())
                          for name in ("REACH", "CANDIDATE_LIMIT"))
         before = choice.CANDIDATE_LIMIT
         for job in (former, today):
-            with runs.constants_of(job):
+            with runs.override_constants(job):
                 self.assertEqual(choice.CANDIDATE_LIMIT, 3)
                 self.assertFalse(hasattr(choice, "REACH"))
             self.assertEqual(choice.CANDIDATE_LIMIT, before)
@@ -104,30 +105,30 @@
         self.assertNotEqual(former.key, today.key)
 
 
-class Running(unittest.TestCase):
+class RunTest(unittest.TestCase):
     def setUp(self):
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
         self.file = Path(self.folder.name) / "a.trial"
-        self.file.write_text(SWEPT)
+        self.file.write_text(SWEEPS)
 
-    def kept(self, name):
-        it = Kept(str(Path(self.folder.name) / name))
-        self.addCleanup(it.close)
-        return it
+    def open_store(self, name):
+        store = ResultStore(str(Path(self.folder.name) / name))
+        self.addCleanup(store.close)
+        return store
 
-    def test_same_results_whatever_the_number_of_processes(self):
-        it, found = read_text_of(SWEPT, str(self.file)), []
+    def test_results_do_not_depend_on_the_number_of_processes(self):
+        it, found = parse_text(SWEEPS, str(self.file)), []
         for processes in (1, 4):
-            kept = self.kept(f"{processes}.db")
-            self.assertEqual(runs.run(it, kept, processes, lambda *_: None), 12)
-            found.append([each._replace(took=0) for each in kept.results()])
+            store = self.open_store(f"{processes}.db")
+            self.assertEqual(runs.run(it, store, processes, lambda *_: None), 12)
+            found.append([each._replace(took=0) for each in store.results()])
         self.assertEqual(*found)
-        self.assertEqual(runs.run(it, kept, 2, lambda *_: None), 0)          # all kept
+        self.assertEqual(runs.run(it, store, 2, lambda *_: None), 0)          # all are stored
         self.assertEqual({each.breaches for each in found[0]}, {0})
 
-    def test_a_stop_at_any_moment_loses_no_finished_run(self):
-        self.file.write_text(SWEPT.replace("1 to 3", "1 to 40"))
+    def test_killed_trial_keeps_finished_runs(self):
+        self.file.write_text(SWEEPS.replace("1 to 3", "1 to 40"))
         path = self.file.with_suffix(".db")
         it = subprocess.Popen(
             [sys.executable, "-m", "threadshift", "trial", "run", str(self.file), "--processes", "2"],
@@ -139,7 +140,7 @@
         it.wait()
         before = self.count(path)
         self.assertTrue(10 <= before < 160, before)
-        found = command("trial", "run", str(self.file), "--processes", "4")
+        found = run_cli("trial", "run", str(self.file), "--processes", "4")
         self.assertIn(f"{160 - before} run now, 160 kept", found.stdout + found.stderr)
 
     @staticmethod
@@ -150,20 +151,20 @@
         except sqlite3.Error:
             return 0
 
-    def test_the_command_line(self):
-        self.assertEqual(command("trial", "run", str(self.file), "--processes", "2").returncode, 0)
+    def test_command_line(self):
+        self.assertEqual(run_cli("trial", "run", str(self.file), "--processes", "2").returncode, 0)
         path = str(self.file.with_suffix(".db"))
-        table = command("trial", "table", path, "--by", "policy")
+        table = run_cli("trial", "table", path, "--by", "policy")
         self.assertEqual(len(table.stdout.splitlines()), 4)
         svg = str(self.file.with_suffix(".svg"))
-        command("trial", "chart", path, svg, "--across", "traffic check rate", "--lines", "policy")
+        run_cli("trial", "chart", path, svg, "--across", "traffic check rate", "--lines", "policy")
         self.assertIn("<svg", Path(svg).read_text())
-        self.assertIn("6 pairs", command("trial", "compare", path, "policy=threadshift", "policy=random").stdout)
-        day = command("trial", "day", path, "--where", "policy=random", "--seed", "2").stdout
+        self.assertIn("6 pairs", run_cli("trial", "compare", path, "policy=threadshift", "policy=random").stdout)
+        day = run_cli("trial", "day", path, "--where", "policy=random", "--seed", "2").stdout
         self.assertIn("--seed 2, policy random", day)
         self.assertEqual(read_text(day, seed=2).length, 3 * SECOND)
-        commit = runs.commit()
-        self.assertIn("12 pairs; A less B 0.000", command("trial", "compare", path, commit, commit).stdout)
+        commit = runs.program_version()
+        self.assertIn("12 pairs; A less B 0.000", run_cli("trial", "compare", path, commit, commit).stdout)
         for words, problem in ((("trial", "table", path, "--by", "nothing"), "nothing called 'nothing'"),
                                (("trial", "table", "absent.db"), "absent.db"),
                                (("trial", "table", str(self.file)), "not a database"),
@@ -171,31 +172,31 @@
                                (("trial", "compare", path, "policy=oracle", "policy=random"), "no run of"),
                                (("trial", "day", path, "--seed", "9"), "no run matches"),
                                (("trial", "worst", "--policy", "best"), "no policy 'best'")):
-            found = command(*words)
+            found = run_cli(*words)
             self.assertNotEqual(found.returncode, 0, words)
             self.assertIn(problem, found.stderr)
             self.assertNotIn("Traceback", found.stderr)
 
-    def test_what_is_not_installed_is_named(self):
-        kept = self.kept("one.db")
-        runs.run(read_text_of(SMALL, "one.trial"), kept, 1, lambda *_: None)
+    def test_missing_package_is_named(self):
+        store = self.open_store("one.db")
+        runs.run(parse_text(SMALL, "one.trial"), store, 1, lambda *_: None)
         with mock.patch.dict(sys.modules, {"scipy": None}):
-            found = CliRunner().invoke(trial, ["table", kept.path, "--by", "policy"])
+            found = CliRunner().invoke(trial, ["table", store.path, "--by", "policy"])
         self.assertEqual((found.exit_code, str(found.exception)[:28]), (1, "threadshift: this wants scip"))
 
-    def test_a_file_of_another_form_is_not_touched(self):
+    def test_database_with_other_tables_is_refused(self):
         path = Path(self.folder.name) / "other.db"
         with sqlite3.connect(path) as db:
             db.execute("create table precious (a)")
-        with self.assertRaises(Unusable):
-            Kept(str(path))
+        with self.assertRaises(InvalidResultsFile):
+            ResultStore(str(path))
 
-    def test_a_short_trial(self):
-        """The scenario that comes with the program: no rule broken, and the oracle leaves something to gain."""
-        kept = self.kept("short.db")
+    def test_short_trial(self):
+        """The scenario shipped with the program breaks no rule, and the oracle is not worse than the policy."""
+        store = self.open_store("short.db")
         from threadshift.trials.scenario import read
-        runs.run(read(SHORT), kept, 4, lambda *_: None)
-        found = list(kept.results())
+        runs.run(read(SHORT), store, 4, lambda *_: None)
+        found = list(store.results())
         self.assertEqual((len(found), sum(each.breaches for each in found)), (30, 0))
         gain = figures.compare([each for each in found if each.policy == "oracle"],
                                [each for each in found if each.policy == "threadshift"], frozenset({"policy"}))
@@ -203,15 +204,17 @@
         self.assertGreater(gain.difference.mean, -0.005)
 
 
-def result(seed, ratio, **point):
+def make_result(seed, ratio, **point):
     return Result(f"{seed}{point}", point, seed, point.get("policy", "threadshift"), "", 1, 1, 10, 10, 1.0, ratio,
                   *([0] * 8), "", 0, "", 0, 0.0)
 
 
-class Figures(unittest.TestCase):
-    def test_pairs_are_of_one_seed_and_point(self):
-        ours = [result(seed, 0.9 + seed / 100, policy="a", rate=rate) for seed in range(5) for rate in ("1", "2")]
-        theirs = [result(seed, 0.8 + seed / 100, policy="b", rate=rate) for seed in range(3) for rate in ("2", "3")]
+class FiguresTest(unittest.TestCase):
+    def test_runs_pair_by_seed_and_point(self):
+        ours = [make_result(seed, 0.9 + seed / 100, policy="a", rate=rate)
+                for seed in range(5) for rate in ("1", "2")]
+        theirs = [make_result(seed, 0.8 + seed / 100, policy="b", rate=rate)
+                  for seed in range(3) for rate in ("2", "3")]
         found = figures.compare(ours, theirs, frozenset({"policy"}))
         self.assertEqual((found.pairs, found.better, found.worse), (3, 3, 0))
         self.assertAlmostEqual(found.difference.mean, 0.1)
@@ -225,32 +228,32 @@
         self.assertGreaterEqual(it.most, it.mean - 1e-9)
         self.assertEqual(it, figures.interval(values))
 
-    def test_groups_in_the_order_of_their_numbers(self):
-        found = figures.grouped([result(1, 1.0, rate=rate) for rate in ("100", "20", "none", "5ms")], ["rate"])
+    def test_groups_are_sorted_by_number(self):
+        found = figures.grouped([make_result(1, 1.0, rate=rate) for rate in ("100", "20", "none", "5ms")], ["rate"])
         self.assertEqual([group.values[0] for group in found], ["5ms", "20", "100", "none"])
 
 
-class Policies(unittest.TestCase):
-    def test_every_baseline_keeps_the_rules_under_troubles(self):
+class PolicyTest(unittest.TestCase):
+    def test_baselines_break_no_rule_under_faults(self):
         for name, policy in POLICIES.items():
             text = DAY + "trouble crash\ntrouble drain\ntrouble break_after_run\ntrouble zone_loss\n"
             found = hunt.emulate(text, 3, policy)
             self.assertEqual(found.breaches, (), name)
 
-    def test_the_oracle_sees_dead_workers_and_copies(self):
+    def test_oracle_sees_dead_workers(self):
         it = Emulation(read_text(DAY, seed=1), 1, POLICIES["oracle"])
         it.run()
         oracle = it.fronts["front-0"].engine.dispatcher
         self.assertIs(oracle.network, it.network)
         worker = oracle.ready_workers[0]
         it.network.die(worker.name)
-        self.assertEqual(oracle.ends(worker, None), float("inf"))
+        self.assertEqual(oracle.time_to_completion(worker, None), float("inf"))
 
 
-# Policies that break one rule each: a hunt must catch them.
+# Policies that break one rule each; a hunt must find each of them.
 
-class Resends(Dispatcher):
-    """Once-only calls are sent again whatever may have run."""
+class ResendingPolicy(Dispatcher):
+    """Sends once-only calls again although they may have run."""
 
     def may_send(self, act, worker, now):
         return not act.answered and worker.ready and act.answer_due > now and len(act.sends) < 4
@@ -259,15 +262,15 @@
         self.finish(act, Action.REJECT if act.type_stats.effect is not Effect.ONCE_ONLY else Action.ABORT)
 
 
-class Deaf(Dispatcher):
-    """Does not heed that workers drain."""
+class DrainIgnoringPolicy(Dispatcher):
+    """Ignores listings of workers that drain."""
 
     def update_workers(self, now, listings, full):
         return super().update_workers(now, [each for each in listings if each.state is WorkerState.READY], full)
 
 
-class Greedy(Dispatcher):
-    """Orders copies as if no window limited it."""
+class OverloadingPolicy(Dispatcher):
+    """Orders loads without the limit of the load window."""
 
     def order_load(self, worker, fn, now):
         if worker.ready and fn.next_order_at <= now:
@@ -279,12 +282,13 @@
         return False
 
 
-class Searching(unittest.TestCase):
-    DAYS = 4       # in which a search must find each, from a day on
+class SearchTest(unittest.TestCase):
+    SEARCHED_SEEDS = 4       # from the first seed of a case; a search must find the broken rule within them
 
-    def test_a_broken_policy_is_caught_and_the_day_shrunk(self):
-        for rule, policy, first in (("rule 2", Resends, 20), ("rule 3", Deaf, 8), ("rule 5", Greedy, 1)):
-            found = next((each for each in hunt.hunt(range(first, first + self.DAYS), 4, policy)
+    def test_policies_that_break_a_rule_are_found_and_shrunk(self):
+        for rule, policy, first in (("rule 2", ResendingPolicy, 20), ("rule 3", DrainIgnoringPolicy, 8),
+                                    ("rule 5", OverloadingPolicy, 1)):
+            found = next((each for each in hunt.hunt(range(first, first + self.SEARCHED_SEEDS), 4, policy)
                           if hunt.breaks(rule)(each)), None)
             self.assertIsNotNone(found, policy.__name__)
             least = hunt.shrink(found, hunt.breaks(rule), policy)
@@ -293,7 +297,7 @@
             troubles = [line for line in least.text.splitlines() if line.startswith("trouble")]
             self.assertLessEqual(len(troubles), 2, (policy.__name__, troubles))
 
-    def test_regret_is_against_the_oracle_on_the_same_day(self):
+    def test_regret_is_the_lead_of_the_oracle_on_the_same_scenario(self):
         text = DAY.replace("700M", "300M") + "trouble hang workers 2\n"
         found = hunt.emulate(text, 1, POLICIES["random"], POLICIES["oracle"])
         oracle = hunt.emulate(found.text, 1, POLICIES["oracle"])
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -44,8 +44,8 @@
         self.chance = chance.random
         told = day.told.deployment._replace(front_ends=day.front_ends, zone=zone)
         dispatcher = policy(chance.getrandbits(63), told, clock.now)
-        if hasattr(dispatcher, "see"):
-            dispatcher.see(network)         # an oracle
+        if hasattr(dispatcher, "set_network"):
+            dispatcher.set_network(network)         # an oracle
         previous_process.count_free_orders_as_given(dispatcher, told, clock.now)
         self.engine = RequestEngine(dispatcher, self, self, day.told.bounds.load_order)
         self.registry = WorkerRegistry(told.drain_grace)
--- a/threadshift/trials/__init__.py
+++ b/threadshift/trials/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on top of the emulator."""
+"""Experiments on the emulator: sweeps, searches for failures, and their statistics."""
--- a/threadshift/trials/causes.py
+++ b/threadshift/trials/causes.py
@@ -1,7 +1,7 @@
-"""What a day's calls lost, and to what: from the records of its stand-ins or models alone.
+"""Attributes lost utility to causes, from the records of stand-ins or emulator models alone.
 
-A call that was not served in time lost utility. It is put down to the first of these causes that its records show,
-in this order: the one that needed no other to do harm stands first.
+A call that was not served in time lost utility. The loss is attributed to the first cause that the records show, in
+the order of `cause_of`: causes that do harm on their own come before those that need another one.
 """
 from __future__ import annotations
 
@@ -16,131 +16,140 @@
 from threadshift.audit.rules import borne
 from threadshift.interface import SECOND, Deployment
 
-FACT = 8 * SECOND          # a send lost at a worker so long ago told its front end; longer than any suspension
-UNUSED = 0.5               # of what a cold worker bears: with less sent to it, it had room for the call
+# Another front end that lost a send at the worker within this time knew of the failure; longer than any suspension.
+KNOWN_LOSS_WINDOW = 8 * SECOND
+SPARE_CAPACITY_SHARE = 0.5     # of a cold worker's capacity: if it was sent less, it could have taken the call
 CAUSES = ("lost, first to learn", "lost, known to others", "its front end gone", "refused, cold room unused",
          "refused, no cold room", "refused", "copy brought again", "first copy", "late")
 
 
-class Life(NamedTuple):
-    """One life of a worker."""
+class WorkerLife(NamedTuple):
+    """One run of a worker process, from its start to its end."""
 
-    began: int
-    ended: int                   # far ahead where it did not end
+    started_at: int
+    ended_at: int                # 1 << 62 if it did not end
     cores: int
-    sent: list[int]              # when work came, ...
-    sums: list[float]            # ... and the work in ms up to and with each
+    sent: list[int]              # arrival times of calls
+    cumulative_work: list[float]     # sent up to and including each of these calls, ms
 
-    def pushed(self, at: int, over: int) -> float:
-        """ms of work sent to it in the time before."""
-        last, first = (bisect.bisect(self.sent, when) for when in (at, at - over))
-        return (self.sums[last - 1] if last else 0.0) - (self.sums[first - 1] if first else 0.0)
+    def recent_work(self, at: int, window: int) -> float:
+        """Returns the work that it was sent during the window before a time, ms."""
+        last, first = (bisect.bisect(self.sent, when) for when in (at, at - window))
+        return (self.cumulative_work[last - 1] if last else 0.0) - (self.cumulative_work[first - 1] if first else 0.0)
 
 
 @dataclass
 class Losses:
-    """Utility by cause, and what the front ends did beside, over one day."""
+    """Lost utility by cause, and counts of sends and loads, of one day."""
 
     asked: float = 0.0
     by_cause: dict[str, float] = field(default_factory=lambda: defaultdict(float))
     sends: int = 0
-    learnt: int = 0              # sends lost to a fact that one front end learnt first ...
-    again: int = 0               # ... and that others then learnt in the same way
+    first_losses: int = 0        # sends lost at a worker where no other front end had lost one lately
+    repeated_losses: int = 0     # sends lost at a worker where another front end had lost one lately
     loads: int = 0
-    needless: int = 0            # loads where a copy stood elsewhere within the time an idle one stays
-    served: dict[str, list[float]] = field(default_factory=dict)     # front end: utility asked, and got
+    redundant_loads: int = 0     # loads while another worker had loaded a copy within the idle keep-alive time
+    served: dict[str, list[float]] = field(default_factory=dict)     # front end: utility asked for, and got
 
 
-def lives(seen: Iterable[Seen]) -> dict[str, list[Life]]:
-    found: dict[str, list[Life]] = defaultdict(list)
+def worker_lives(seen: Iterable[Seen]) -> dict[str, list[WorkerLife]]:
+    """Returns the lives of each worker, oldest first."""
+    found: dict[str, list[WorkerLife]] = defaultdict(list)
     for each in seen:
         if each.event == "up":
-            found[each.source].append(Life(each.t, 1 << 62, each["cores"], [], []))
+            found[each.source].append(WorkerLife(each.t, 1 << 62, each["cores"], [], []))
         elif each.event == "invoke" and found[each.source]:
-            it = found[each.source][-1]
-            it.sent.append(each.t)
-            it.sums.append((it.sums[-1] if it.sums else 0.0) + each["work_ms"])
+            life = found[each.source][-1]
+            life.sent.append(each.t)
+            life.cumulative_work.append((life.cumulative_work[-1] if life.cumulative_work else 0.0) + each["work_ms"])
         elif each.event in ("killed", "fell-over"):
             who = each["who"] if each.event == "killed" else each.source
             if found.get(who):
-                found[who][-1] = found[who][-1]._replace(ended=each.t)
+                found[who][-1] = found[who][-1]._replace(ended_at=each.t)
     return found
 
 
-def room(life: Life, at: int, it: Deployment) -> bool:
-    """Whether a cold worker could surely have taken more at that time."""
-    return life.pushed(at, it.fall_time) < UNUSED * borne(it, life.cores, at - life.began)
+def has_spare_capacity(life: WorkerLife, at: int, deployment: Deployment) -> bool:
+    """Returns whether a cold worker could certainly have taken more work at that time."""
+    return life.recent_work(at, deployment.fall_time) < SPARE_CAPACITY_SHARE * borne(
+        deployment, life.cores, at - life.started_at)
 
 
-class Facts:
-    """Sends lost at a worker, and who lost one there before."""
+class LostSends:
+    """The sends that were lost at workers, and which of them followed a loss by another front end."""
 
     def __init__(self, marks: dict[str, list[Seen]]):
         self.lost: dict[str, list[Seen]] = {}
         losses: list[Seen] = []
         for mark, events in marks.items():
-            sent = [each for each in events if each.event == "invoke"]
+            sends = [each for each in events if each.event == "invoke"]
             done = {(each.source, each.event) for each in events}
-            # Cut off, never ended, or turned away by one that drains: all say that the worker is not to be used.
-            gone = [each for each in sent if (each.source, "done") not in done and (
+            # A send is lost if it did not complete and was not rejected, or was rejected and cut off by a worker that
+            # drains. Such a loss shows that the worker is not to be used.
+            lost = [each for each in sends if (each.source, "done") not in done and (
                 (each.source, "turned") not in done or (each.source, "cut-off") in done)]
-            if gone:
-                self.lost[mark] = gone
-                losses += gone
-        self.again: set[int] = set()
-        latest: dict[str, dict[str, int]] = defaultdict(dict)       # worker: front end: when it lost one there
+            if lost:
+                self.lost[mark] = lost
+                losses += lost
+        self.repeated: set[int] = set()
+        latest: dict[str, dict[str, int]] = defaultdict(dict)       # worker: front end: time of its last loss there
         for each in sorted(losses, key=lambda one: one.t):
             others = latest[each.source]
-            if any(who != each["front"] and each.t - when <= FACT for who, when in others.items()):
-                self.again.add(id(each))
+            if any(who != each["front"] and each.t - when <= KNOWN_LOSS_WINDOW for who, when in others.items()):
+                self.repeated.add(id(each))
             others[each["front"]] = each.t
         self.count = len(losses)
 
 
-def losses(seen: list[Seen], it: Deployment) -> Losses:
-    """What was lost to which cause."""
+def losses(seen: list[Seen], deployment: Deployment) -> Losses:
+    """Computes the losses of one day from its records."""
     found = Losses(sends=len(by(seen, "invoke")))
-    alive, marks = lives(seen), by_mark(seen)
-    facts = Facts(marks)
-    found.learnt, found.again = facts.count - len(facts.again), len(facts.again)
+    lives, marks = worker_lives(seen), by_mark(seen)
+    lost_sends = LostSends(marks)
+    found.first_losses, found.repeated_losses = lost_sends.count - len(lost_sends.repeated), len(lost_sends.repeated)
     loads: dict[str, list[tuple[int, str]]] = defaultdict(list)
     for each in by(seen, "load"):
         if not each.facts.get("failed"):
             found.loads += 1
             before = loads[each["function"]]
-            found.needless += any(
-                each.t - when <= it.idle_keep_alive and who != each.source for when, who in before[-9:])
+            found.redundant_loads += any(
+                each.t - when <= deployment.idle_keep_alive and who != each.source for when, who in before[-9:])
             before.append((each.t, each.source))
-    for tries, asked, got in gains(seen, it):
+    for tries, asked, got in gains(seen, deployment):
         found.asked += asked
         share = found.served.setdefault(f"front-{tries[0]['front']}", [0.0, 0.0])
         share[0] += asked
         share[1] += got
         if got < asked:
-            found.by_cause[cause(tries, marks, facts, alive, loads, it)] += asked - got
+            found.by_cause[cause_of(tries, marks, lost_sends, lives, loads, deployment)] += asked - got
     return found
 
 
-def cause(tries: list[Seen], marks: dict[str, list[Seen]], facts: Facts, alive: dict[str, list[Life]],
-          loads: dict[str, list[tuple[int, str]]], it: Deployment) -> str:
+def cause_of(tries: list[Seen], marks: dict[str, list[Seen]], lost_sends: LostSends,
+             lives: dict[str, list[WorkerLife]], loads: dict[str, list[tuple[int, str]]],
+             deployment: Deployment) -> str:
+    """Returns the cause, one of CAUSES, of a call that was not served in time."""
     sends = [each for one in tries for each in marks[one["mark"]] if each.event == "invoke"]
-    lost = [each for one in tries for each in facts.lost.get(one["mark"], ())]
+    lost = [each for one in tries for each in lost_sends.lost.get(one["mark"], ())]
     if lost:
-        return "lost, known to others" if any(id(each) in facts.again for each in lost) else "lost, first to learn"
+        return ("lost, known to others" if any(id(each) in lost_sends.repeated for each in lost)
+                else "lost, first to learn")
     first = marks[tries[0]["mark"]]
     if any(each.event == "broke" for each in first):
         return "its front end gone"
     if not any(each.event == "invoke" for each in first):
-        cold = [life for each in alive.values() for life in each
-                if life.began <= tries[0].t < min(life.ended, life.began + it.cold_time)]
+        cold = [life for each in lives.values() for life in each
+                if life.started_at <= tries[0].t < min(life.ended_at, life.started_at + deployment.cold_time)]
         return "refused" if not cold else "refused, cold room unused" if any(
-            room(life, tries[0].t, it) for life in cold) else "refused, no cold room"
+            has_spare_capacity(life, tries[0].t, deployment) for life in cold) else "refused, no cold room"
     for each in sends:
-        begun = loads[each["function"]]
-        began = [when for when, who in begun if who == each.source and when >= each.t]
-        if began and (ends := [one.t for one in marks[each["mark"]] if one.event == "run"]) and min(began) <= ends[0]:
-            stood = any(each.t - it.idle_keep_alive <= when <= each.t and who != each.source for when, who in begun)
-            return "copy brought again" if stood else "first copy"
+        function_loads = loads[each["function"]]
+        load_times = [when for when, who in function_loads if who == each.source and when >= each.t]
+        if load_times and (runs := [one.t for one in marks[each["mark"]] if one.event == "run"]) and (
+                min(load_times) <= runs[0]):
+            had_other_copy = any(each.t - deployment.idle_keep_alive <= when <= each.t and who != each.source
+                                 for when, who in function_loads)
+            return "copy brought again" if had_other_copy else "first copy"
     return "late"
 
 
--- a/threadshift/trials/figures.py
+++ b/threadshift/trials/figures.py
@@ -1,4 +1,4 @@
-"""Figures of kept results: groups with intervals, paired comparisons, tables as Markdown and charts as SVG."""
+"""Statistics of stored results: groups with intervals, paired comparisons, Markdown tables and SVG charts."""
 from __future__ import annotations
 
 from collections import defaultdict
@@ -7,15 +7,15 @@
 
 from hdrh.histogram import HdrHistogram
 
-from threadshift.trials.keep import Result
+from threadshift.trials.result_store import Result
 
-SURE = 0.95                # confidence of intervals
-ALWAYS = ("policy", "seed", "fronts", "workers")      # known of every run, swept or not
-RESAMPLES = 2_000          # bootstrap draws: the ends of an interval are good to a few percent of its width
+CONFIDENCE_LEVEL = 0.95    # of intervals
+COMMON_FACTORS = ("policy", "seed", "fronts", "workers")      # fields of Result that are factors of every run
+RESAMPLES = 2_000          # bootstrap draws; they give the ends of an interval to a few percent of its width
 
 
 class Interval(NamedTuple):
-    """A mean with its confidence interval; the ends are the mean where there are too few values to tell."""
+    """A mean and its confidence interval; both ends are the mean if too few values are given."""
 
     mean: float
     least: float
@@ -26,14 +26,14 @@
 
 
 def interval(values: Sequence[float]) -> Interval:
-    """Bootstrap (percentile) of the mean; the same values give the same interval."""
+    """Returns the percentile bootstrap interval of the mean. Its seed is fixed: equal values give equal intervals."""
     import numpy
     from scipy import stats
     mean = sum(values) / len(values)
     if len(values) < 3 or max(values) == min(values):
         return Interval(mean, mean, mean)
-    found = stats.bootstrap((numpy.array(values),), numpy.mean, n_resamples=RESAMPLES, confidence_level=SURE,
-                            method="percentile", rng=numpy.random.default_rng(1))
+    found = stats.bootstrap((numpy.array(values),), numpy.mean, n_resamples=RESAMPLES,
+                            confidence_level=CONFIDENCE_LEVEL, method="percentile", rng=numpy.random.default_rng(1))
     return Interval(mean, float(found.confidence_interval.low), float(found.confidence_interval.high))
 
 
@@ -45,6 +45,7 @@
 
     @property
     def latencies(self) -> HdrHistogram:
+        """The merged histogram of all results, us."""
         whole = HdrHistogram.decode(self.results[0].latencies)
         for each in self.results[1:]:
             whole.add(HdrHistogram.decode(each.latencies))
@@ -55,16 +56,16 @@
 
 
 def value(result: Result, factor: str) -> str:
-    """A factor's value in one run. Raises KeyError."""
+    """Returns a factor's value in one run. Raises KeyError for an unknown factor."""
     if factor in result.point:
         return result.point[factor]
-    if factor in ALWAYS:
+    if factor in COMMON_FACTORS:
         return str(getattr(result, factor))
     raise KeyError(factor)
 
 
-def order(text: str) -> tuple:
-    """Numbers by size, words after them."""
+def sort_key(text: str) -> tuple:
+    """Sorts numbers (with or without a unit) by size, and words after them."""
     head = text.split(" ")[0].rstrip("%msMkG")
     try:
         return 0, float(head), text
@@ -73,14 +74,15 @@
 
 
 def grouped(results: Iterable[Result], factors: Sequence[str]) -> list[Group]:
+    """Groups results by the values of the factors, in the order of `sort_key`."""
     found: dict[tuple[str, ...], list[Result]] = defaultdict(list)
     for each in results:
         found[tuple(value(each, factor) for factor in factors)].append(each)
-    return [Group(values, found[values]) for values in sorted(found, key=lambda it: tuple(map(order, it)))]
+    return [Group(values, found[values]) for values in sorted(found, key=lambda it: tuple(map(sort_key, it)))]
 
 
 def table(results: Sequence[Result], factors: Sequence[str]) -> str:
-    """Markdown: one row a group."""
+    """Returns a Markdown table with one row per group."""
     head = [*factors, "runs", "utility in time over asked", "least", "p50, ms", "p99, ms", "rejected", "aborted",
             "sends a call", "loads a call", "front ends' µs a call", "breaches"]
     lines = ["| " + " | ".join(head) + " |", "| " + " | ".join(["---"] * len(head)) + " |"]
@@ -95,32 +97,34 @@
     return "\n".join(lines)
 
 
-class Compared(NamedTuple):
-    """A against B, run by run."""
+class Comparison(NamedTuple):
+    """The paired comparison of two sets of runs, A and B."""
 
     pairs: int
-    difference: Interval         # of utility in time over asked, A less B
-    better: int                  # runs in which A was better by more than a thousandth
+    difference: Interval         # A minus B, of utility in time over asked
+    better: int                  # pairs in which A was better by more than 0.001
     worse: int
-    least: tuple[float, int]     # the worst difference, and its seed
-    most: tuple[float, int]
+    least: tuple[float, int]     # the lowest difference and its seed
+    most: tuple[float, int]      # the highest difference and its seed
 
     def __str__(self) -> str:
         return (f"{self.pairs} pairs; A less B {self.difference}; better in {self.better}, worse in {self.worse}; "
                 f"from {self.least[0]:.3f} on seed {self.least[1]} to {self.most[0]:.3f} on seed {self.most[1]}")
 
 
-def compare(one: Iterable[Result], other: Iterable[Result], but: frozenset[str] = frozenset()) -> Compared | None:
-    """Pairs runs by seed and by all factors but these; None where nothing pairs."""
-    def mark(result: Result) -> tuple:
-        return result.seed, tuple(sorted((name, told) for name, told in result.point.items() if name not in but))
-    ours, theirs = {mark(each): each for each in one}, {mark(each): each for each in other}
+def compare(one: Iterable[Result], other: Iterable[Result],
+            excluded: frozenset[str] = frozenset()) -> Comparison | None:
+    """Pairs runs by seed and all factors but the excluded ones. Returns None if no runs pair."""
+    def pair_key(result: Result) -> tuple:
+        return result.seed, tuple(sorted(
+            (name, setting) for name, setting in result.point.items() if name not in excluded))
+    ours, theirs = {pair_key(each): each for each in one}, {pair_key(each): each for each in other}
     pairs = [(ours[key].ratio - theirs[key].ratio, ours[key].seed) for key in sorted(ours) if key in theirs]
     if not pairs:
         return None
-    gains = [gain for gain, _ in pairs]
-    return Compared(len(pairs), interval(gains), sum(gain > 0.001 for gain in gains),
-                    sum(gain < -0.001 for gain in gains), min(pairs), max(pairs))
+    differences = [difference for difference, _ in pairs]
+    return Comparison(len(pairs), interval(differences), sum(difference > 0.001 for difference in differences),
+                      sum(difference < -0.001 for difference in differences), min(pairs), max(pairs))
 
 
 MEASURES: dict[str, tuple[str, Callable[[Group], float]]] = {
@@ -135,21 +139,22 @@
 
 
 def chart(results: Sequence[Result], across: str, lines: str | None, measure: str, path: str) -> None:
-    """SVG: one line a value of `lines`, points across the values of `across`."""
+    """Draws an SVG with one line per value of the factor `lines`, over the values of the factor `across`."""
     import matplotlib
     matplotlib.use("svg")
-    matplotlib.rcParams["svg.hashsalt"] = "threadshift"        # the same figures give the same file
+    matplotlib.rcParams["svg.hashsalt"] = "threadshift"        # fixed, so that equal results give equal files
     from matplotlib import pyplot
-    name, of = MEASURES[measure]
+    label, measure_of = MEASURES[measure]
     figure, axes = pyplot.subplots(figsize=(7, 3.8))
-    places = [group.values[0] for group in grouped(results, [across])]
-    drawn: dict[str, list[tuple[int, Any]]] = defaultdict(list)
+    positions = [group.values[0] for group in grouped(results, [across])]
+    series: dict[str, list[tuple[int, Any]]] = defaultdict(list)
     for group in grouped(results, [across, lines] if lines else [across]):
-        drawn[group.values[1] if lines else ""].append((places.index(group.values[0]), group))
-    for label, points in drawn.items():
-        axes.plot([at for at, _ in points], [of(group) for _, group in points], marker="o", label=label or None)
-    axes.set_xticks(range(len(places)), places, rotation=30 if max(map(len, places)) > 8 else 0, ha="right")
-    axes.set(xlabel=across, ylabel=name)
+        series[group.values[1] if lines else ""].append((positions.index(group.values[0]), group))
+    for line, points in series.items():
+        axes.plot([at for at, _ in points], [measure_of(group) for _, group in points], marker="o",
+                  label=line or None)
+    axes.set_xticks(range(len(positions)), positions, rotation=30 if max(map(len, positions)) > 8 else 0, ha="right")
+    axes.set(xlabel=across, ylabel=label)
     axes.grid(alpha=0.3)
     if lines:
         axes.legend(fontsize=7)
--- a/threadshift/trials/hunt.py
+++ b/threadshift/trials/hunt.py
@@ -1,7 +1,7 @@
-"""Looks for the day on which a rule breaks, or service is worst, and shrinks it to the least that still shows it.
+"""Searches random fault scenarios for a broken rule or the worst service, and shrinks what it finds.
 
-Days are drawn from a seed: sizes, loads, effects, limits and one to six troubles, singly and together. A found day is
-text: it can be kept, emulated again and played with real processes.
+Scenarios are drawn from a seed: sizes, loads, effects, limits and one to six faults, which may overlap. A scenario is
+the text of a `.day` file: it can be saved, emulated again and played with real processes.
 """
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     zones hall-a hall-b hall-c
     cores {cores}
     memory {memory}M
-    report-every {report}ms
+    report-every {report_every}ms
 }}
 store {{
-    capacity {capacity}
-    load-time {load}ms
+    capacity {store_capacity}
+    load-time {load_time}ms
     pack 100M
 }}
 type check {{
@@ -55,19 +55,19 @@
 }}
 fleet {{
     longest-advice 1s
-    max-sends {sends}
+    max-sends {max_sends}
     cancel {cancel}
-    two-at-once {twice}
+    two-at-once {two_at_once}
     probe {probe}
-    loads-on-miss {loads}
-    idle-keep {keep}s
+    loads-on-miss {loads_on_miss}
+    idle-keep {idle_keep}s
     load-window 5s
     load-free 6
     load-ratio 20%
     drain-grace 1s
     cold-share 20%
-    cold-time {cold}s
-    fall-multiple {fall}
+    cold-time {cold_time}s
+    fall-multiple {fall_multiple}
 }}
 traffic check {{
     type check
@@ -76,114 +76,115 @@
     work {work}ms
     retries {retries}
     quits 2%
-    left-least {patience}%
+    left-least {left_least}%
 }}
 traffic submit {{
     type submit
     functions 20
-    rate {filings}
+    rate {submit_rate}
     work 35ms
     deferred 50%
     retries 1
 }}
 """
-LENGTH = 12                # s of a drawn day; most troubles show within seconds
-MOST_TROUBLES = 6
+LENGTH_S = 12               # of a drawn scenario; most faults take effect within seconds
+MAX_FAULTS = 6              # of a drawn scenario
 
 
-class Found(NamedTuple):
-    """What a day came to."""
+class ScenarioOutcome(NamedTuple):
+    """What the emulation of one scenario found."""
 
     seed: int
     text: str
     breaches: tuple[str, ...]
     ratio: float             # utility in time over asked
-    regret: float = 0.0      # by how much an oracle did better on the same day, where that was asked for
+    regret: float = 0.0      # lead of the other policy on the same scenario, if one was given
 
     @property
     def rule(self) -> str:
-        """The first that broke, such as 'rule 2'. There must be one."""
+        """The first broken rule, such as 'rule 2'. At least one must be broken."""
         return self.breaches[0].split(":")[0]
 
 
-def draw(seed: int) -> str:
-    """A day's text."""
-    it = random.Random(f"day {seed}")
-    workers, cores = it.randint(2, 30), it.choice((1, 2, 4))
-    work = it.randint(20, 150)
-    # Asked for, of what the fleet can do: from idle to twice too much.
-    load = it.choice((0.1, 0.3, 0.5, 0.7, 0.9, 1.2, 2.0))
+def draw_scenario(seed: int) -> str:
+    """Returns the text of a random scenario."""
+    rng = random.Random(f"day {seed}")
+    workers, cores = rng.randint(2, 30), rng.choice((1, 2, 4))
+    work = rng.randint(20, 150)
+    # Offered load as a share of the fleet's capacity, from idle to twice its capacity.
+    load = rng.choice((0.1, 0.3, 0.5, 0.7, 0.9, 1.2, 2.0))
     rate = max(2, int(load * workers * cores * 1000 / work * 0.8))
     rate = min(rate, 600)
-    troubles = [it.choice(sorted(KINDS)) for _ in range(it.randint(1, MOST_TROUBLES))]
+    troubles = [rng.choice(sorted(KINDS)) for _ in range(rng.randint(1, MAX_FAULTS))]
     text = TEMPLATE.format(
-        length=LENGTH, fronts=it.randint(1, 6), workers=workers, cores=cores,
-        memory=it.choice((300, 600, 1200, 4000)),
-        report=it.choice((100, 400, 900)), capacity=it.randint(1, 10), load=it.randint(50, 1500),
-        timeout=it.choice((700, 1500, 2500)), effect=it.choice(("repeatable", "deduplicated")),
-        group=it.choice(("all", "zone", "cell")), lanes=it.choice((1, 2, 4)), sends=it.randint(1, 4),
-        cancel=it.choice(("yes", "no")), twice=it.choice(("yes", "no")), probe=it.choice(("yes", "no")),
-        loads=it.choice(("yes", "yes", "no")), keep=it.randint(2, 15), cold=it.randint(1, 6),
-        fall=it.choice((2, 3, 4)),
-        functions=it.choice((3, 30, 200)), rate=rate, work=work, retries=it.randint(0, 2),
-        patience=it.choice((20, 50, 90)), filings=max(1, rate // 4))
+        length=LENGTH_S, fronts=rng.randint(1, 6), workers=workers, cores=cores,
+        memory=rng.choice((300, 600, 1200, 4000)),
+        report_every=rng.choice((100, 400, 900)), store_capacity=rng.randint(1, 10), load_time=rng.randint(50, 1500),
+        timeout=rng.choice((700, 1500, 2500)), effect=rng.choice(("repeatable", "deduplicated")),
+        group=rng.choice(("all", "zone", "cell")), lanes=rng.choice((1, 2, 4)), max_sends=rng.randint(1, 4),
+        cancel=rng.choice(("yes", "no")), two_at_once=rng.choice(("yes", "no")), probe=rng.choice(("yes", "no")),
+        loads_on_miss=rng.choice(("yes", "yes", "no")), idle_keep=rng.randint(2, 15), cold_time=rng.randint(1, 6),
+        fall_multiple=rng.choice((2, 3, 4)),
+        functions=rng.choice((3, 30, 200)), rate=rate, work=work, retries=rng.randint(0, 2),
+        left_least=rng.choice((20, 50, 90)), submit_rate=max(1, rate // 4))
     return text + "".join(f"trouble {kind}\n" for kind in troubles)
 
 
-def emulate(text: str, seed: int, policy: Policy = Dispatcher, against: Policy | None = None) -> Found:
-    """One day, audited; with `against`, the same day once more by another policy."""
+def emulate(text: str, seed: int, policy: Policy = Dispatcher, against: Policy | None = None) -> ScenarioOutcome:
+    """Emulates and audits one scenario; with `against`, also runs that policy and computes the regret."""
     day = read_text(text, seed=seed)
     verdicts = []
     for each in (policy, against) if against else (policy,):
-        it = Emulation(day, seed, each)
-        it.run()
-        verdicts.append(judge(day, it.seen()))
-    return Found(seed, text, tuple(map(str, verdicts[0].breaches)), verdicts[0].ratio,
-                 verdicts[1].ratio - verdicts[0].ratio if against else 0.0)
+        emulation = Emulation(day, seed, each)
+        emulation.run()
+        verdicts.append(judge(day, emulation.seen()))
+    return ScenarioOutcome(seed, text, tuple(map(str, verdicts[0].breaches)), verdicts[0].ratio,
+                           verdicts[1].ratio - verdicts[0].ratio if against else 0.0)
 
 
-def drawn(seed: int, policy: Policy = Dispatcher, against: Policy | None = None) -> Found:
-    return emulate(draw(seed), seed, policy, against)
+def emulate_drawn(seed: int, policy: Policy = Dispatcher, against: Policy | None = None) -> ScenarioOutcome:
+    """Emulates the scenario drawn from the seed."""
+    return emulate(draw_scenario(seed), seed, policy, against)
 
 
 def hunt(seeds: Iterable[int], processes: int, policy: Policy = Dispatcher,
-         against: Policy | None = None) -> Iterator[Found]:
-    """Days in the order of their seeds, whatever the number of processes."""
+         against: Policy | None = None) -> Iterator[ScenarioOutcome]:
+    """Yields the outcomes in the order of the seeds, whatever the number of processes."""
     with ProcessPoolExecutor(processes) as pool:
-        yield from pool.map(partial(drawn, policy=policy, against=against), seeds)
+        yield from pool.map(partial(emulate_drawn, policy=policy, against=against), seeds)
 
 
-# What may be made simpler in a found day, beside troubles left out: departures, repetitions, then sizes halved.
-SIMPLER = ("quits 2%", "retries 1", "retries 2", "deferred 50%")
-HALVED = ("fleet-of", "front-ends")
+# What shrinking removes or halves, besides removing faults: clients that quit, retries, deferred calls; then sizes.
+REMOVABLE_LINES = ("quits 2%", "retries 1", "retries 2", "deferred 50%")
+HALVED_SIZES = ("fleet-of", "front-ends")
 
 
-def simpler(text: str) -> Iterator[str]:
-    """Days one step smaller than this one."""
+def smaller_scenarios(text: str) -> Iterator[str]:
+    """Yields the scenarios that are one step smaller than this one."""
     lines = text.splitlines()
     for number, line in enumerate(lines):
         words = line.split()
-        if line.startswith("trouble") or line.strip() in SIMPLER:
+        if line.startswith("trouble") or line.strip() in REMOVABLE_LINES:
             yield "\n".join(lines[:number] + lines[number + 1:]) + "\n"
-        elif words and words[0] in HALVED and int(words[1]) > 1:
+        elif words and words[0] in HALVED_SIZES and int(words[1]) > 1:
             less = " ".join([words[0], str(int(words[1]) // 2), *words[2:]])
             yield "\n".join(lines[:number] + [less] + lines[number + 1:]) + "\n"
 
 
-def shrink(found: Found, still: Callable[[Found], bool], policy: Policy = Dispatcher,
-           against: Policy | None = None) -> Found:
-    """The smallest day that `still` shows it, step by step; every step has the same seed."""
+def shrink(found: ScenarioOutcome, is_failing: Callable[[ScenarioOutcome], bool], policy: Policy = Dispatcher,
+           against: Policy | None = None) -> ScenarioOutcome:
+    """Shrinks a scenario step by step while `is_failing` holds for the smaller one. All steps use the same seed."""
     changed = True
     while changed:
         changed = False
-        for text in simpler(found.text):
+        for text in smaller_scenarios(found.text):
             less = emulate(text, found.seed, policy, against)
-            if still(less):
+            if is_failing(less):
                 found, changed = less, True
                 break
     return found
 
 
-def breaks(rule: str) -> Callable[[Found], bool]:
-    """Whether a rule, such as 'rule 2', is broken."""
+def breaks(rule: str) -> Callable[[ScenarioOutcome], bool]:
+    """Returns a predicate: whether a rule, such as 'rule 2', is broken."""
     return lambda found: any(each.startswith(rule) for each in found.breaches)
--- a/threadshift/trials/keep.py
+++ b/threadshift/trials/result_store.py
@@ -1,6 +1,6 @@
-"""Results of runs in one SQLite file. A run is in it whole or not at all, whenever the program is stopped.
+"""Stores the results of runs in one SQLite file. Each run is written in one transaction, so a stop never leaves half.
 
-A result belongs to the commit it was made with: after a change the same runs are made anew, beside the old ones.
+Each result is stored with the commit that produced it: other code repeats the runs, and both results stay.
 """
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 from threadshift.errors import ThreadshiftError
 
-WAIT = 30.0                # s for another process that writes
-FORM = 1                   # of the tables
+LOCK_TIMEOUT_S = 30.0      # for another process that writes
+SCHEMA_VERSION = 1
 
 TABLES = """
 create table if not exists runs (
@@ -28,19 +28,19 @@
 
 
 class Result(NamedTuple):
-    """What one run came to."""
+    """The result of one run; the fields are columns of the table."""
 
     key: str
     point: dict[str, str]
     seed: int
     policy: str
     day: str
-    fronts: int
+    fronts: int              # front ends
     workers: int
     tries: int
     firsts: int
-    asked: float             # utility
-    in_time: float           # of it
+    asked: float             # utility of all calls
+    in_time: float           # utility of calls that were served in time
     completed: int
     rejected: int
     aborted: int
@@ -49,61 +49,62 @@
     orders: int
     loads: int
     breaches: int
-    breach: str              # the first
+    breach: str              # the first one, or empty
     front_ns: int            # modelled processor time of all front ends
     latencies: str           # HDR histogram of completed calls, us, as its library encodes it
     events: int
-    took: float              # s of our own processor
+    took: float              # processor time of the run itself, s
 
     @property
     def ratio(self) -> float:
-        """Utility in time over asked."""
+        """Utility in time divided by utility asked for."""
         return self.in_time / self.asked if self.asked else 1.0
 
 
-class Unusable(ThreadshiftError):
-    """A file that holds no results, or of another form."""
+class InvalidResultsFile(ThreadshiftError):
+    """The file holds no results, or has another schema version."""
 
     help = "give another file, or remove this one"
 
 
-class Kept:
-    """An open file. Raises Unusable."""
+class ResultStore:
+    """An open results file. The constructor raises InvalidResultsFile."""
 
-    def __init__(self, path: str, new: bool = True):
+    def __init__(self, path: str, writable: bool = True):
         self.path = path
         try:
-            self.db = sqlite3.connect(path if new else f"file:{path}?mode=ro", timeout=WAIT, uri=not new)
-            form = self.db.execute("pragma user_version").fetchone()[0]
+            self.db = sqlite3.connect(path if writable else f"file:{path}?mode=ro", timeout=LOCK_TIMEOUT_S,
+                                      uri=not writable)
+            version = self.db.execute("pragma user_version").fetchone()[0]
             tables = self.db.execute("select count(*) from sqlite_master").fetchone()[0]
-            if form != FORM and (tables or not new):
-                raise Unusable(f"{path}: holds no results of this form")
-            if new:
+            if version != SCHEMA_VERSION and (tables or not writable):
+                raise InvalidResultsFile(f"{path}: holds no results of this schema version")
+            if writable:
                 self.db.execute("pragma journal_mode = wal")
-                self.db.executescript(f"{TABLES}; pragma user_version = {FORM};")
+                self.db.executescript(f"{TABLES}; pragma user_version = {SCHEMA_VERSION};")
         except sqlite3.Error as problem:
-            raise Unusable(f"{path}: {problem}") from None
+            raise InvalidResultsFile(f"{path}: {problem}") from None
 
-    def add(self, trial: str, made: str, result: Result) -> None:
-        told: tuple[Any, ...] = (result.key, made, trial, time.time(), json.dumps(result.point), *result[2:])
+    def add(self, trial: str, commit: str, result: Result) -> None:
+        row: tuple[Any, ...] = (result.key, commit, trial, time.time(), json.dumps(result.point), *result[2:])
         with self.db:
-            self.db.execute(f"insert or replace into runs values ({', '.join('?' * len(told))})", told)
+            self.db.execute(f"insert or replace into runs values ({', '.join('?' * len(row))})", row)
 
-    def keys(self, made: str) -> set[str]:
-        """Runs that were made with this commit."""
-        return {key for key, in self.db.execute("select key from runs where made = ?", (made,))}
+    def keys(self, commit: str) -> set[str]:
+        """Returns the keys of the runs that this commit produced."""
+        return {key for key, in self.db.execute("select key from runs where made = ?", (commit,))}
 
     def commits(self) -> list[str]:
-        """In the order in which they were first run."""
-        return [made for made, in self.db.execute("select made from runs group by made order by min(at)")]
+        """Returns the commits in the order of their first runs."""
+        return [commit for commit, in self.db.execute("select made from runs group by made order by min(at)")]
 
-    def results(self, made: str | None = None) -> Iterator[Result]:
-        """Of one commit, the latest if none is named; in the order of seeds and points."""
+    def results(self, commit: str | None = None) -> Iterator[Result]:
+        """Yields the results of one commit (by default the latest), ordered by seed and point."""
         commits = self.commits()
-        if made is None and commits:
-            made = commits[-1]
+        if commit is None and commits:
+            commit = commits[-1]
         rows = self.db.execute("select key, point, " + ", ".join(Result._fields[2:]) +
-                               " from runs where made = ? order by seed, point, key", (made,))
+                               " from runs where made = ? order by seed, point, key", (commit,))
         for key, point, *rest in rows:
             yield Result(key, json.loads(point), *rest)
 
--- a/threadshift/trials/runs.py
+++ b/threadshift/trials/runs.py
@@ -1,4 +1,4 @@
-"""Carries out the runs of a scenario on all cores, and keeps each as it ends. What is kept is not run again."""
+"""Runs all jobs of a scenario in several processes and stores each result as it arrives. Stored runs are skipped."""
 from __future__ import annotations
 
 import importlib
@@ -18,94 +18,101 @@
 from threadshift.days.day import read_text
 from threadshift.emulator.run import Emulation
 from threadshift.trials.former_names import current_name
-from threadshift.trials.keep import Kept, Result
+from threadshift.trials.result_store import Result, ResultStore
 from threadshift.trials.policies import POLICIES
 from threadshift.trials.scenario import Job, Scenario
 
-LEAST, MOST, DIGITS = 1, 600_000_000, 3     # us told apart in a histogram: up to ten minutes, to a thousandth
-AHEAD = 4                  # runs handed out a process: enough that none waits, few enough to stop soon
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 600_000_000    # ten minutes
+SIGNIFICANT_DIGITS = 3          # of latencies in a histogram
+JOBS_PER_PROCESS = 4            # submitted ahead: no process idles, and a stop leaves few to finish
 
 
 @contextmanager
-def constants_of(job: Job) -> Iterator[None]:
-    """The job's constants in force, for this process."""
-    kept = []
+def override_constants(job: Job) -> Iterator[None]:
+    """Sets the job's constants in this process while the context lasts."""
+    previous = []
     try:
         for module, written, value in job.constants:
-            it, name = importlib.import_module(f"threadshift.{module}"), current_name(module, written)
-            kept.append((it, name, getattr(it, name)))
-            setattr(it, name, type(kept[-1][2])(value))
+            module_object, name = importlib.import_module(f"threadshift.{module}"), current_name(module, written)
+            previous.append((module_object, name, getattr(module_object, name)))
+            setattr(module_object, name, type(previous[-1][2])(value))
         yield
     finally:
-        for it, name, value in reversed(kept):
-            setattr(it, name, value)
+        for module_object, name, value in reversed(previous):
+            setattr(module_object, name, value)
 
 
-def latencies(seen: list[Seen]) -> HdrHistogram:
-    """Of completed calls, from their first try, us."""
-    it = HdrHistogram(LEAST, MOST, DIGITS)
-    began: dict[str, int] = {}
-    first = {}
+def latency_histogram(seen: list[Seen]) -> HdrHistogram:
+    """Returns the latencies of completed calls, us, counted from their first attempt."""
+    histogram = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+    started: dict[str, int] = {}
+    first_marks = {}
     for each in by(seen, "try"):
-        began.setdefault(each["first"], each.t)
-        first[each["mark"]] = each["first"]
+        started.setdefault(each["first"], each.t)
+        first_marks[each["mark"]] = each["first"]
     for each in by(seen, "answer"):
         if each["final"] == "completed":
-            it.record_value(max(LEAST, (each.t - began[first[each["mark"]]]) // 1000))
-    return it
+            histogram.record_value(max(MIN_LATENCY_US, (each.t - started[first_marks[each["mark"]]]) // 1000))
+    return histogram
 
 
-def carry_out(job: Job) -> Result:
-    """One run, audited. The same job gives the same result, but for the processor time it took."""
+def run_job(job: Job) -> Result:
+    """Runs and audits one job. A job always gives the same result, except for the processor time used."""
     day = read_text(job.text, seed=job.seed)
-    began = time.process_time()
-    with constants_of(job):
-        it = Emulation(day, job.seed, POLICIES[job.policy])
-        it.run()
-    took = time.process_time() - began
-    seen = it.seen()
+    started = time.process_time()
+    with override_constants(job):
+        emulation = Emulation(day, job.seed, POLICIES[job.policy])
+        emulation.run()
+    processor_time = time.process_time() - started
+    seen = emulation.seen()
     verdict: Verdict = judge(day, seen)
     return Result(
         job.key, job.point, job.seed, job.policy, job.text, day.front_ends, day.fleet.workers, verdict.tries,
         verdict.firsts, verdict.asked, verdict.in_time, verdict.finals["completed"], verdict.finals["rejected"],
         verdict.finals["aborted"], verdict.broken, verdict.sends, verdict.orders, verdict.loads,
         len(verdict.breaches), str(verdict.breaches[0]) if verdict.breaches else "",
-        sum(front.used for front in it.lives), latencies(seen).encode().decode(), it.clock.played, took)
+        sum(front.used for front in emulation.lives), latency_histogram(seen).encode().decode(),
+        emulation.clock.played, processor_time)
 
 
-def commit() -> str:
-    """What this program is: its commit, with '+' where files differ from it; else its version."""
+def program_version() -> str:
+    """Returns the commit of this program, with '+' if files differ from it, or the package version outside of git."""
     here = Path(__file__).parent
-    told = subprocess.run(["git", "describe", "--always", "--dirty=+", "--exclude=*"], cwd=here, capture_output=True,
-                          text=True, check=False)
-    return told.stdout.strip() if told.returncode == 0 else metadata.version("threadshift")
+    described = subprocess.run(["git", "describe", "--always", "--dirty=+", "--exclude=*"], cwd=here,
+                               capture_output=True, text=True, check=False)
+    return described.stdout.strip() if described.returncode == 0 else metadata.version("threadshift")
 
 
-def run(scenario: Scenario, kept: Kept, processes: int, done: Callable[[int, int], None]) -> int:
-    """Runs what is not kept yet; how many were run. `done(how many, of how many)` after each."""
+def run(scenario: Scenario, store: ResultStore, processes: int, on_progress: Callable[[int, int], None]) -> int:
+    """Runs the jobs that are not stored yet and returns their number.
+
+    Calls `on_progress(finished, total)` at the start and after each run.
+    """
     jobs = list(scenario.jobs())
-    text = commit()
-    known = kept.keys(text)
-    wanted = [job for job in jobs if job.key not in known]
+    version = program_version()
+    stored = store.keys(version)
+    remaining = [job for job in jobs if job.key not in stored]
     trial = Path(scenario.file).stem
-    done(len(jobs) - len(wanted), len(jobs))
-    for number, result in enumerate(spread(wanted, processes), 1):
-        kept.add(trial, text, result)
-        done(len(jobs) - len(wanted) + number, len(jobs))
-    return len(wanted)
+    on_progress(len(jobs) - len(remaining), len(jobs))
+    for number, result in enumerate(run_in_processes(remaining, processes), 1):
+        store.add(trial, version, result)
+        on_progress(len(jobs) - len(remaining) + number, len(jobs))
+    return len(remaining)
 
 
-def spread(jobs: Iterable[Job], processes: int) -> Iterator[Result]:
-    """Results as they come. A stop loses no more than what is under way."""
-    waiting = iter(jobs)
+def run_in_processes(jobs: Iterable[Job], processes: int) -> Iterator[Result]:
+    """Yields results as they arrive. A stop loses only the runs under way."""
+    queued = iter(jobs)
     with ProcessPoolExecutor(processes) as pool:
-        under_way: set[Future[Result]] = {pool.submit(carry_out, job) for job in islice(waiting, AHEAD * processes)}
+        under_way: set[Future[Result]] = {
+            pool.submit(run_job, job) for job in islice(queued, JOBS_PER_PROCESS * processes)}
         try:
             while under_way:
-                ended, under_way = wait(under_way, return_when=FIRST_COMPLETED)
-                for each in ended:
+                finished, under_way = wait(under_way, return_when=FIRST_COMPLETED)
+                for each in finished:
                     yield each.result()
-                under_way |= {pool.submit(carry_out, job) for job in islice(waiting, len(ended))}
+                under_way |= {pool.submit(run_job, job) for job in islice(queued, len(finished))}
         finally:
             for each in under_way:
                 each.cancel()
--- a/threadshift/trials/scenario.py
+++ b/threadshift/trials/scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: a day file, and what is swept or drawn over it.
+"""Reads scenario files (`.trial`): a day file with directives that sweep or draw some of its values.
 
     seeds 1 to 20
     sweep policy {
@@ -19,8 +19,8 @@
     }
     draw fleet memory 300M 1200M
 
-A sweep names one directive of the day by its path, or several parted by commas, which take their values together. All
-sweeps are crossed. What is drawn depends on the seed alone, so that all points of one seed share it.
+A sweep names one directive of the day by its path, or several separated by commas, which change together. The trial
+runs every combination of all sweeps. Drawn values depend only on the seed, so that all points of one seed share them.
 """
 from __future__ import annotations
 
@@ -38,68 +38,72 @@
 from threadshift.trials.former_names import current_name
 from threadshift.trials.policies import POLICIES
 
-MODULES = ("choice", "invoke.admission", "bgp.announce", "links.redial")      # whose constants may be swept
-OWN = ("seeds", "sweep", "draw")
-MOST_RUNS = 1_000_000      # of one scenario; a week of a machine
-NUMBER = re.compile(r"(\d+(?:\.\d+)?)([A-Za-z%]*)$")
+CONSTANT_MODULES = ("choice", "invoke.admission", "bgp.announce", "links.redial")      # may be swept
+TRIAL_DIRECTIVES = ("seeds", "sweep", "draw")
+MAX_RUNS = 1_000_000       # per scenario; about a week of one machine
+NUMBER_WITH_UNIT = re.compile(r"(\d+(?:\.\d+)?)([A-Za-z%]*)$")
 
 
 class Factor(NamedTuple):
-    """One sweep: the paths set, and their values together, point by point."""
+    """One sweep: the directives it sets, by path, and for each point one value per path."""
 
     name: str
     paths: tuple[tuple[str, ...], ...]
     values: tuple[tuple[tuple[str, ...], ...], ...]
 
 
-class Drawn(NamedTuple):
-    """One directive drawn between two values of the same unit."""
+class DrawnDirective(NamedTuple):
+    """A directive whose value is drawn between two values of the same unit."""
 
     path: tuple[str, ...]
     least: float
     most: float
     unit: str
-    whole: bool
+    is_whole: bool
 
 
 class Job(NamedTuple):
-    """One run: everything that decides its result, and nothing else."""
+    """One run, with everything that determines its result."""
 
-    point: dict[str, str]                            # factor: value, as shown
+    point: dict[str, str]                            # factor: value, as displayed
     seed: int
     policy: str
-    constants: tuple[tuple[str, str, float], ...]    # module, name, value
-    text: str                                        # the day
+    constants: tuple[tuple[str, str, float], ...]    # module, name as written in the scenario, value
+    text: str                                        # of the day file
 
     @property
     def key(self) -> str:
-        told = repr((self.seed, self.policy, self.constants, self.text))
-        return hashlib.blake2b(told.encode(), digest_size=12).hexdigest()
+        """A hash of what determines the result; it identifies the run in stored results."""
+        fields = repr((self.seed, self.policy, self.constants, self.text))
+        return hashlib.blake2b(fields.encode(), digest_size=12).hexdigest()
 
 
 class Scenario(NamedTuple):
+    """A parsed scenario file."""
+
     file: str
     day: list[Directive]
     factors: tuple[Factor, ...]
-    drawn: tuple[Drawn, ...]
+    drawn: tuple[DrawnDirective, ...]
     seeds: tuple[int, ...]
 
     def jobs(self) -> Iterator[Job]:
-        """All runs, seed by seed, so that a stopped trial has whole comparisons."""
+        """Yields all runs seed by seed, so that a stopped trial has complete comparisons of the seeds that ran."""
         for seed in self.seeds:
             for values in itertools.product(*(factor.values for factor in self.factors)):
                 yield self.job(seed, values)
 
     def job(self, seed: int, values: tuple) -> Job:
+        """Returns the run of one seed with one value of each factor."""
         day, policy, constants = copy.deepcopy(self.day), "threadshift", []
-        chance = random.Random(f"draw {self.file.rsplit('/', 1)[-1]} {seed}")
+        rng = random.Random(f"draw {self.file.rsplit('/', 1)[-1]} {seed}")
         for each in self.drawn:
-            drawn = each.least + (each.most - each.least) * chance.random()
+            amount = each.least + (each.most - each.least) * rng.random()
             if each.path == ("trouble",):
-                for _ in range(round(drawn)):
-                    day.append(Directive(self.file, 0, "trouble", [chance.choice(sorted(KINDS))]))
+                for _ in range(round(amount)):
+                    day.append(Directive(self.file, 0, "trouble", [rng.choice(sorted(KINDS))]))
             else:
-                put(day, each.path, [f"{round(drawn) if each.whole else round(drawn, 3)}{each.unit}"])
+                set_directive(day, each.path, [f"{round(amount) if each.is_whole else round(amount, 3)}{each.unit}"])
         for factor, value in zip(self.factors, values, strict=True):
             for path, words in zip(factor.paths, value, strict=True):
                 if path == ("policy",):
@@ -107,24 +111,27 @@
                 elif path[0] == "constant":
                     constants.append((path[1], path[2], float(words[0])))
                 elif path == ("trouble",):
-                    day += troubles(words, self.file)
+                    day += fault_directives(words, self.file)
                 else:
-                    put(day, path, list(words))
+                    set_directive(day, path, list(words))
         point = {factor.name: " ".join(" ".join(words) for words in value)
                  for factor, value in zip(self.factors, values, strict=True)}
         return Job(point, seed, policy, tuple(constants), "\n".join(map(text_of, day)) + "\n")
 
 
-def troubles(words: tuple[str, ...], file: str) -> list[Directive]:
-    """'crash workers 2 + hang' as trouble lines; 'none' as none."""
+def fault_directives(words: tuple[str, ...], file: str) -> list[Directive]:
+    """Turns 'crash workers 2 + hang' into trouble directives, and 'none' into an empty list."""
     if words == ("none",):
         return []
     parts = " ".join(words).split(" + ")
     return [Directive(file, 0, "trouble", part.split()) for part in parts]
 
 
-def put(lines: list[Directive], path: tuple[str, ...], words: list[str]) -> None:
-    """Sets one directive of a day; 'traffic check rate' is 'rate' in the block of 'traffic check'."""
+def set_directive(lines: list[Directive], path: tuple[str, ...], words: list[str]) -> None:
+    """Sets one directive of a day: the path 'traffic check rate' sets 'rate' in the block 'traffic check'.
+
+    Adds the directive if it is missing. Raises KeyError if a block of the path is missing.
+    """
     name, rest = path[0], path[1:]
     for line in (line for line in lines if line.name == name):
         if not rest:
@@ -132,7 +139,7 @@
             return
         if line.block is not None and (not line.words or line.words[0] == rest[0] or name == "fleet-of"):
             named = bool(line.words) and line.words[0] == rest[0]
-            put(line.block, rest[1:] if named else rest, words)
+            set_directive(line.block, rest[1:] if named else rest, words)
             return
     if rest:
         raise KeyError(" ".join(path))
@@ -140,47 +147,51 @@
 
 
 def read(path: str) -> Scenario:
-    return understand(load(path), path)
+    """Reads a scenario file."""
+    return parse_trial(load(path), path)
 
 
-def read_text_of(text: str, file: str = "-") -> Scenario:
-    return understand(parse(text, file), file)
+def parse_text(text: str, file: str = "-") -> Scenario:
+    """Parses the text of a scenario file."""
+    return parse_trial(parse(text, file), file)
 
 
-def understand(lines: list[Directive], file: str) -> Scenario:
-    """A whole scenario; every point of it is read as a day once. Raises Mistake with the line."""
-    day = [line for line in lines if line.name not in OWN]
+def parse_trial(lines: list[Directive], file: str) -> Scenario:
+    """Builds a scenario, and parses a day with each swept value once. Raises Mistake with the line."""
+    day = [line for line in lines if line.name not in TRIAL_DIRECTIVES]
     sweeps = [line for line in lines if line.name == "sweep"]
     seeds = [line for line in lines if line.name == "seeds"]
     if len(seeds) > 1:
         raise seeds[1].wrong("'seeds' stands twice")
-    it = Scenario(file, day, tuple(map(factor, sweeps)), tuple(drawn(line) for line in lines if line.name == "draw"),
-                  seeds_of(seeds[0]) if seeds else (1,))
-    names = [each.name for each in it.factors]
+    scenario = Scenario(
+        file, day, tuple(map(parse_sweep, sweeps)), tuple(parse_draw(line) for line in lines if line.name == "draw"),
+        parse_seeds(seeds[0]) if seeds else (1,))
+    names = [each.name for each in scenario.factors]
     if len(set(names)) < len(names):
         raise sweeps[-1].wrong("two sweeps of the same name")
-    runs = len(it.seeds)
-    for each in it.factors:
+    runs = len(scenario.seeds)
+    for each in scenario.factors:
         runs *= len(each.values)
-    if runs > MOST_RUNS:
-        raise Mistake(file, 0, f"{runs} runs, more than {MOST_RUNS}")
-    # Each value once, with the first of all others: a mistake in one shows before hours of runs.
-    first = tuple(each.values[0] for each in it.factors)
-    for n, (each, line) in enumerate(zip(it.factors, sweeps, strict=True)):
+    if runs > MAX_RUNS:
+        raise Mistake(file, 0, f"{runs} runs, more than {MAX_RUNS}")
+    # Tries each value once, with the first value of all other factors, to report an error before hours of runs.
+    first = tuple(each.values[0] for each in scenario.factors)
+    for n, (each, line) in enumerate(zip(scenario.factors, sweeps, strict=True)):
         for number, value in enumerate(each.values):
             try:
-                read_text(it.job(it.seeds[0], (*first[:n], value, *first[n + 1:])).text, file)
+                read_text(scenario.job(scenario.seeds[0], (*first[:n], value, *first[n + 1:])).text, file)
             except KeyError as missing:
                 raise line.wrong(f"the day has no {missing}") from None
             except Mistake as problem:
                 assert line.block is not None
                 raise line.block[number].wrong(f"gives no day: {problem}") from None
     if not sweeps:
-        read_text(it.job(it.seeds[0], ()).text, file)
-    return it
+        read_text(scenario.job(scenario.seeds[0], ()).text, file)
+    return scenario
 
 
-def seeds_of(line: Directive) -> tuple[int, ...]:
+def parse_seeds(line: Directive) -> tuple[int, ...]:
+    """Parses `seeds`, either a range or single numbers."""
     try:
         if len(line.words) == 3 and line.words[1] == "to":
             found = tuple(range(int(line.words[0]), int(line.words[2]) + 1))
@@ -193,11 +204,12 @@
     return found
 
 
-def factor(line: Directive) -> Factor:
+def parse_sweep(line: Directive) -> Factor:
+    """Parses `sweep` and checks each of its values."""
     name = " ".join(line.words)
     paths = tuple(tuple(part.split()) for part in name.split(","))
     if not line.block or not all(paths):
-        raise line.wrong("'sweep' takes what is swept, and a block with one value a line")
+        raise line.wrong("'sweep' takes what is swept, and a block with one value per line")
     values: list[tuple[tuple[str, ...], ...]] = []
     for each in line.block:
         words = (each.name, *each.words)
@@ -208,18 +220,18 @@
         else:
             values.append(tuple((word,) for word in words))
         for path, value in zip(paths, values[-1], strict=True):
-            check(each, path, value)
+            check_value(each, path, value)
     return Factor(name, paths, tuple(values))
 
 
-def check(line: Directive, path: tuple[str, ...], value: tuple[str, ...]) -> None:
-    """What a day's own reader would not see."""
+def check_value(line: Directive, path: tuple[str, ...], value: tuple[str, ...]) -> None:
+    """Checks a policy or a constant; the parser of days knows neither."""
     if path == ("policy",) and value[0] not in POLICIES:
         raise line.wrong(f"no policy '{value[0]}'{nearest(value[0], POLICIES)}")
     if path[0] == "constant":
-        if len(path) != 3 or path[1] not in MODULES:
-            raise line.wrong(f"'constant' takes one of {', '.join(MODULES)} and a name")
-        if not isinstance(constant(path[1], path[2]), int | float):
+        if len(path) != 3 or path[1] not in CONSTANT_MODULES:
+            raise line.wrong(f"'constant' takes one of {', '.join(CONSTANT_MODULES)} and a name")
+        if not isinstance(constant_value(path[1], path[2]), int | float):
             raise line.wrong(f"{path[1]} has no number '{path[2]}'")
         try:
             float(value[0])
@@ -227,14 +239,16 @@
             raise line.wrong(f"'{value[0]}' is not a number") from None
 
 
-def constant(module: str, name: str) -> Any:
+def constant_value(module: str, name: str) -> Any:
+    """Returns the constant of today, given its name or a former one; None if the module has none."""
     return getattr(importlib.import_module(f"threadshift.{module}"), current_name(module, name), None)
 
 
-def drawn(line: Directive) -> Drawn:
+def parse_draw(line: Directive) -> DrawnDirective:
+    """Parses `draw`: what is drawn, the least and the most."""
     *path, least, most = line.words if len(line.words) > 2 else ["", "", ""]
-    ends = [NUMBER.match(least), NUMBER.match(most)]
+    ends = [NUMBER_WITH_UNIT.match(least), NUMBER_WITH_UNIT.match(most)]
     if not path or not all(ends) or ends[0][2] != ends[1][2]:     # type: ignore[index]
         raise line.wrong("'draw' takes what is drawn, the least and the most, in the same unit")
-    return Drawn(tuple(path), float(ends[0][1]), float(ends[1][1]), ends[0][2],     # type: ignore[index]
+    return DrawnDirective(tuple(path), float(ends[0][1]), float(ends[1][1]), ends[0][2],     # type: ignore[index]
                  "." not in least + most)
