--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -31,9 +31,9 @@
 SWEEPS = SMALL + "seeds 1 to 3\nsweep policy {\nthreadshift\nrandom\n}\nsweep traffic check rate {\n10\n30\n}\n"
 
 
-def run_cli(*words, **more):
+def run_cli(*words, **options):
     return subprocess.run([sys.executable, "-m", "threadshift", *words], capture_output=True, text=True, check=False,
-                          **more)
+                          **options)
 
 
 class ScenarioTest(unittest.TestCase):
@@ -59,10 +59,11 @@
             self.assertIn(problem, str(caught.exception))
 
     def test_directives_of_a_point(self):
-        it = parse_text(SMALL + "seeds 7 9\nsweep front-ends, fleet-of, traffic check rate {\n1 3 5\n9 30 50\n}\n"
-                                  "sweep trouble {\nnone\ncrash workers 2 + hang\n}\n"
-                                  "draw fleet-of memory 300M 900M\n")
-        jobs = list(it.jobs())
+        scenario = parse_text(
+            SMALL + "seeds 7 9\nsweep front-ends, fleet-of, traffic check rate {\n1 3 5\n9 30 50\n}\n"
+                    "sweep trouble {\nnone\ncrash workers 2 + hang\n}\n"
+                    "draw fleet-of memory 300M 900M\n")
+        jobs = list(scenario.jobs())
         self.assertEqual(len(jobs), 8)
         day = read_text(jobs[3].text)
         self.assertEqual((day.front_ends, day.fleet.workers, day.traffic[0].rate), (9, 30, 50))
@@ -73,14 +74,14 @@
         self.assertEqual(len({each.key for each in jobs}), 8)
 
     def test_number_of_drawn_faults(self):
-        it = parse_text(SMALL + "seeds 1 to 30\ndraw trouble 1 3\n")
-        counts = {len(read_text(each.text, seed=each.seed).troubles) for each in it.jobs()}
+        scenario = parse_text(SMALL + "seeds 1 to 30\ndraw trouble 1 3\n")
+        counts = {len(read_text(each.text, seed=each.seed).troubles) for each in scenario.jobs()}
         self.assertEqual(counts, {1, 2, 3})
 
     def test_constants_are_set_only_during_their_run(self):
         from threadshift import choice
-        it = parse_text(SMALL + "sweep constant choice EPSILON {\n0.9\n}\n")
-        job, before = next(it.jobs()), choice.EPSILON
+        scenario = parse_text(SMALL + "sweep constant choice EPSILON {\n0.9\n}\n")
+        job, before = next(scenario.jobs()), choice.EPSILON
         with runs.override_constants(job):
             self.assertEqual(choice.EPSILON, 0.9)
         self.assertEqual(choice.EPSILON, before)
@@ -118,26 +119,26 @@
         return store
 
     def test_results_do_not_depend_on_the_number_of_processes(self):
-        it, found = parse_text(SWEEPS, str(self.file)), []
+        scenario, found = parse_text(SWEEPS, str(self.file)), []
         for processes in (1, 4):
             store = self.open_store(f"{processes}.db")
-            self.assertEqual(runs.run(it, store, processes, lambda *_: None), 12)
+            self.assertEqual(runs.run(scenario, store, processes, lambda *_: None), 12)
             found.append([each._replace(took=0) for each in store.results()])
         self.assertEqual(*found)
-        self.assertEqual(runs.run(it, store, 2, lambda *_: None), 0)          # all are stored
+        self.assertEqual(runs.run(scenario, store, 2, lambda *_: None), 0)          # all are stored
         self.assertEqual({each.breaches for each in found[0]}, {0})
 
     def test_killed_trial_keeps_finished_runs(self):
         self.file.write_text(SWEEPS.replace("1 to 3", "1 to 40"))
         path = self.file.with_suffix(".db")
-        it = subprocess.Popen(
+        process = subprocess.Popen(
             [sys.executable, "-m", "threadshift", "trial", "run", str(self.file), "--processes", "2"],
             stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL, start_new_session=True)
-        until = time.monotonic() + 20
-        while time.monotonic() < until and self.count(path) < 10:
+        deadline = time.monotonic() + 20
+        while time.monotonic() < deadline and self.count(path) < 10:
             time.sleep(0.02)
-        os.killpg(it.pid, signal.SIGKILL)
-        it.wait()
+        os.killpg(process.pid, signal.SIGKILL)
+        process.wait()
         before = self.count(path)
         self.assertTrue(10 <= before < 160, before)
         found = run_cli("trial", "run", str(self.file), "--processes", "4")
@@ -241,12 +242,12 @@
             self.assertEqual(found.breaches, (), name)
 
     def test_oracle_sees_dead_workers(self):
-        it = Emulation(read_text(DAY, seed=1), 1, POLICIES["oracle"])
-        it.run()
-        oracle = it.fronts["front-0"].engine.dispatcher
-        self.assertIs(oracle.network, it.network)
+        emulation = Emulation(read_text(DAY, seed=1), 1, POLICIES["oracle"])
+        emulation.run()
+        oracle = emulation.fronts["front-0"].engine.dispatcher
+        self.assertIs(oracle.network, emulation.network)
         worker = oracle.ready_workers[0]
-        it.network.die(worker.name)
+        emulation.network.die(worker.name)
         self.assertEqual(oracle.time_to_completion(worker, None), float("inf"))
 
 
--- a/threadshift/trials/policies.py
+++ b/threadshift/trials/policies.py
@@ -32,13 +32,17 @@
         return self.pick(act, eligible, now) if eligible else None
 
     def candidates(self, act: Activation) -> list[Worker]:
+        """Returns the workers to choose among."""
         return self.ready_workers
 
     def pick(self, act: Activation, eligible: list[Worker], now: int) -> Worker:
+        """Picks one of the eligible workers; there is at least one."""
         raise NotImplementedError
 
 
 class Random(Baseline):
+    """Picks a random worker."""
+
     def pick(self, act: Activation, eligible: list[Worker], now: int) -> Worker:
         return eligible[int(self.random() * len(eligible))]
 
@@ -84,6 +88,7 @@
     network: Any = None
 
     def set_network(self, network: Any) -> None:
+        """Gives access to the emulated workers; the emulator calls it before the run."""
         self.network = network
 
     def pick(self, act: Activation, eligible: list[Worker], now: int) -> Worker:
--- a/threadshift/trials/result_store.py
+++ b/threadshift/trials/result_store.py
@@ -1,6 +1,7 @@
-"""Stores the results of runs in one SQLite file. Each run is written in one transaction, so a stop never leaves half.
+"""Stores the results of runs in one SQLite file.
 
-Each result is stored with the commit that produced it: other code repeats the runs, and both results stay.
+Each result is written in one transaction, so a stop never leaves half of one. A result is stored with
+the commit that produced it. After a change the runs are repeated, and the old results stay.
 """
 from __future__ import annotations
 
@@ -38,7 +39,7 @@
     fronts: int              # front ends
     workers: int
     tries: int
-    firsts: int
+    firsts: int              # calls; `tries` counts their retries too
     asked: float             # utility of all calls
     in_time: float           # utility of calls that were served in time
     completed: int
@@ -46,7 +47,7 @@
     aborted: int
     broken: int
     sends: int
-    orders: int
+    orders: int              # load orders
     loads: int
     breaches: int
     breach: str              # the first one, or empty
