--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -45,8 +45,8 @@
         self.random = generator.random
         deployment = day.told.deployment._replace(front_ends=day.front_ends, zone=zone)
         dispatcher = policy(generator.getrandbits(63), deployment, clock.now)
-        if hasattr(dispatcher, "see"):
-            dispatcher.see(network)         # a policy for comparison that knows the true state of the workers
+        if hasattr(dispatcher, "set_network"):
+            dispatcher.set_network(network)         # a policy for comparison that knows the true state of the workers
         previous_process.count_free_orders_as_given(dispatcher, deployment, clock.now)
         self.engine = RequestEngine(dispatcher, self, self, day.told.bounds.load_order)
         self.registry = WorkerRegistry(deployment.drain_grace)
