--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -5,7 +5,7 @@
 
 from threadshift.adapter.codec import format_ms, read_batches
 from threadshift.adapter.host import DispatcherHost
-from threadshift.conf.settings import Malformed, to_ns
+from threadshift.conf.settings import InvalidInput, to_ns
 
 START = ("START i=0 entropy=7 lanes.count=1 lanes.0.name=qty lanes.0.aim=600.0 lanes.0.giveUp=2500.0 "
          "lanes.0.effect=safe lanes.0.worth=1.0 peersTotal=1 tick=4.0 limits.maxAttempts=4 "
@@ -43,7 +43,7 @@
             (batch(START, MEMBERS), "list 0"), (batch("").replace(" frame=1", ""), "frame"),
         )
         for text, words in cases:
-            with self.assertRaises(Malformed) as caught:
+            with self.assertRaises(InvalidInput) as caught:
                 replies(text)
             self.assertIn(words, str(caught.exception), text)
 
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -5,7 +5,7 @@
 
 from threadshift.conf import installation, reading, values
 from threadshift.conf.installation import read_text
-from threadshift.conf.reading import Mistake
+from threadshift.conf.reading import ConfigurationError
 from threadshift.days import day as days
 from threadshift.interface import MS, SECOND, Effect
 
@@ -17,7 +17,7 @@
     with_file = None
     try:
         read_text(text, "a.conf")
-    except Mistake as problem:
+    except ConfigurationError as problem:
         with_file = str(problem)
     return with_file
 
@@ -67,12 +67,12 @@
         for reader in (read_text, days.read_text):
             try:
                 reader(" ".join(words).replace(" \n ", "\n"))
-            except Mistake as problem:
+            except ConfigurationError as problem:
                 self.assertRegex(str(problem), r"^-:\d+: ")
 
     def test_files_that_cannot_be_read(self):
         for path in ("/nonexistent/x.conf", "/"):
-            with self.assertRaises(Mistake):
+            with self.assertRaises(ConfigurationError):
                 reading.load(path)
 
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,7 +1,7 @@
 import unittest
 from pathlib import Path
 
-from threadshift.conf.reading import Mistake
+from threadshift.conf.reading import ConfigurationError
 from threadshift.days.day import KINDS, Day, read, read_text
 from threadshift.days.orders import Order, names, orders
 from threadshift.days.play import with_front_ends
@@ -59,7 +59,7 @@
                  ("troble crash", "a.day:20:", "nearest known is 'trouble'"),
                  ("traffic more {\n type nothing\n rate 1\n}", "a.day:20:", "no type 'nothing'"))
         for line, place, words in cases:
-            with self.assertRaises(Mistake) as caught:
+            with self.assertRaises(ConfigurationError) as caught:
                 read_text(DAY + line + "\n", "a.day")
             self.assertTrue(str(caught.exception).startswith(place), str(caught.exception))
             self.assertIn(words, str(caught.exception))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -2,7 +2,7 @@
 import tempfile
 import unittest
 
-from threadshift.conf.reading import Mistake
+from threadshift.conf.reading import ConfigurationError
 from threadshift.conf.values import Address
 from threadshift.discovery.registry import InvalidWorkerList, WorkerEntry, WorkerRegistry, parse_entry
 from threadshift.discovery.sources import FeedSource, WatchedFile
@@ -121,7 +121,7 @@
                 it.check()
         self.assertEqual(self.lists, [(["a"], True), (["a", "b"], True)])
         self.assertEqual(self.notes, ["roster-unreadable"] * 3)
-        self.assertTrue(issubclass(Mistake, Exception))
+        self.assertTrue(issubclass(ConfigurationError, Exception))
 
 
 if __name__ == "__main__":
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -10,7 +10,7 @@
 from tests.test_audit import DONE, FREE, SENT, T0, seen
 from threadshift.audit.records import by, read
 from threadshift.audit.report import audit
-from threadshift.conf.reading import Mistake
+from threadshift.conf.reading import ConfigurationError
 from threadshift.conf.values import Address
 from threadshift.days.day import read_text
 from threadshift.days.orders import orders
@@ -112,7 +112,7 @@
                          ({each.who for each in backs}, {3 * SECOND}))
         even = Counter(each.front for each in tries(read_text(DAY.replace("uneven 2", "")), 1))
         self.assertLess(max(even.values()), 2 * mean)
-        with self.assertRaisesRegex(Mistake, "uneven 0.5"):
+        with self.assertRaisesRegex(ConfigurationError, "uneven 0.5"):
             read_text(DAY.replace("uneven 2", "uneven 0.5"))
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,7 +13,7 @@
     Client, Coordinator, Platform, Worker, begin, configuration, event, instance, params, request, serve)
 from threadshift.audit.records import Seen
 from threadshift.audit.rules import breaches
-from threadshift.conf.settings import Malformed
+from threadshift.conf.settings import InvalidInput
 from threadshift.fastcgi import connection_eviction
 from threadshift.fastcgi.codec import ABORT, GET_VALUES, HEADER, STDIN, pair, record, stream
 from threadshift.frames.codec import CANCEL, ERROR, EXPIRED, FROM_WORKER, FULL, INVOKE, LOAD, MISS, OK, encode
@@ -518,7 +518,7 @@
                 file.flush()
                 environment = {} if content == {} else {
                     "NODE_CONFIG": content[0] if isinstance(content, list) else file.name}
-                with self.assertRaises(Malformed, msg=words) as caught:
+                with self.assertRaises(InvalidInput, msg=words) as caught:
                     front_end_config.read_config(environment)
                 self.assertIn(words, str(caught.exception))
                 self.assertNotIn("\n", str(caught.exception))
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -10,7 +10,7 @@
 from tests.platform import SETTINGS, Platform, configuration
 from tests.test_engine import Fleet
 from threadshift.choice import Dispatcher
-from threadshift.conf.settings import Malformed
+from threadshift.conf.settings import InvalidInput
 from threadshift.engine.engine import Call, FinalKind, RequestEngine
 from threadshift.frames.codec import INVOKE
 from threadshift.interface import MS, SECOND, Copy, Effect, Outcome
@@ -118,7 +118,7 @@
             (lane() | {"peersTotal": 2.5}, "peersTotal"), (lane() | {"limits": {"maxAttempts": "x"}}, "maxAttempts"),
             (lane() | {"lanes": []}, "lanes"), (lane() | {"lanes": None}, "lanes"))
         for content, words in cases:
-            with self.assertRaises(Malformed, msg=words) as caught:
+            with self.assertRaises(InvalidInput, msg=words) as caught:
                 parse_config(configuration(settings=json.loads(json.dumps(content))), {}, "/run/config.json")
             self.assertIn(words, str(caught.exception))
             self.assertIn("/run/config.json", str(caught.exception))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -9,7 +9,7 @@
 from tests.several import Several
 from threadshift.audit import together
 from threadshift.conf.patch import patched, text
-from threadshift.conf.reading import Mistake, parse
+from threadshift.conf.reading import ConfigurationError, parse
 from threadshift.conf.values import Address
 from threadshift.emulator.changes import Change, Trial
 from threadshift.interface import SECOND
@@ -73,7 +73,7 @@
         self.assertEqual(text(parse(found, "f")), found)
         self.assertEqual(lines[1].block[0].words, ["1"])
         for change in (("", "listen", ["x"]), ("peers", "lease", ["1s"]), ("", "name", ["x"])):
-            with self.assertRaisesRegex(Mistake, "who and where"):
+            with self.assertRaisesRegex(ConfigurationError, "who and where"):
                 patched(lines, [change], "f")
 
 
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -15,7 +15,7 @@
 
 from tests.test_emulator import DAY, Emulation, read_text
 from threadshift.choice import Dispatcher
-from threadshift.conf.reading import Mistake
+from threadshift.conf.reading import ConfigurationError
 from threadshift.interface import SECOND, Action, Effect, WorkerState, Step
 from threadshift.trials import figures, hunt, runs
 from threadshift.trials.commands import trial
@@ -51,7 +51,7 @@
                  ("draw fleet-of 3", f"{line}: 'draw' takes"), ("draw fleet-of 3 5s", f"{line}: 'draw' takes"),
                  ("seeds 1 to 2000000", "2000000 runs"))
         for text, problem in cases:
-            with self.assertRaises(Mistake, msg=text) as caught:
+            with self.assertRaises(ConfigurationError, msg=text) as caught:
                 read_text_of(SMALL + text + "\n", "a.trial")
             self.assertIn(problem, str(caught.exception))
 
--- a/threadshift/adapter/__main__.py
+++ b/threadshift/adapter/__main__.py
@@ -1,7 +1,7 @@
 """Reads batches of events from standard input and writes one reply for each batch to standard output."""
 import sys
 
-from threadshift.adapter.codec import Malformed, read_batches
+from threadshift.adapter.codec import InvalidInput, read_batches
 from threadshift.adapter.host import DispatcherHost
 
 
@@ -13,7 +13,7 @@
         for batch in read_batches(sys.stdin):
             sys.stdout.write("\n".join(host.handle_batch(batch)) + "\n")
             sys.stdout.flush()
-    except Malformed as problem:
+    except InvalidInput as problem:
         print(f"threadshift: {problem}", file=sys.stderr)
         return 2
     return 0
--- a/threadshift/adapter/codec.py
+++ b/threadshift/adapter/codec.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import TextIO
 
-from threadshift.conf.settings import Fields, Malformed
+from threadshift.conf.settings import Fields, InvalidInput
 from threadshift.interface import MS
 
 
@@ -15,12 +15,12 @@
 
 
 def parse_pairs(text: str, line: int) -> dict[str, str]:
-    """The name=value pairs of a line. Raises Malformed."""
+    """The name=value pairs of a line. Raises InvalidInput."""
     pairs = {}
     for part in text.split():
         name, separator, value = part.partition("=")
         if not separator:
-            raise Malformed(f"line {line}: '{part}' is not name=value")
+            raise InvalidInput(f"line {line}: '{part}' is not name=value")
         pairs[name] = value
     return pairs
 
@@ -33,7 +33,7 @@
 
 
 def read_batches(source: TextIO) -> Iterator[Batch]:
-    """Yields batches until the end of input. Raises Malformed, also where the input ends inside a batch."""
+    """Yields batches until the end of input. Raises InvalidInput, also where the input ends inside a batch."""
     line_number = 0
     header: Fields | None = None
     lines: list[Fields] = []
@@ -45,17 +45,17 @@
         keyword, _, rest = text.partition(" ")
         if header is None:
             if keyword != "SYNC":
-                raise Malformed(f"line {line_number}: expected SYNC, found '{keyword}'")
+                raise InvalidInput(f"line {line_number}: expected SYNC, found '{keyword}'")
             header = Fields(keyword, parse_pairs(rest, line_number), line_number)
         elif keyword == "EOB":
             yield Batch(header.whole("frame"), header.ns("clock"), lines)
             header, lines = None, []
         elif keyword == "SYNC":
-            raise Malformed(f"line {line_number}: SYNC inside a batch")
+            raise InvalidInput(f"line {line_number}: SYNC inside a batch")
         else:
             lines.append(Fields(keyword, parse_pairs(rest, line_number), line_number))
     if header is not None:
-        raise Malformed(f"line {line_number}: input ends inside a batch")
+        raise InvalidInput(f"line {line_number}: input ends inside a batch")
 
 
 def format_line(keyword: str, **values) -> str:
--- a/threadshift/adapter/host.py
+++ b/threadshift/adapter/host.py
@@ -6,7 +6,7 @@
 
 from threadshift.adapter.codec import Batch, format_line, format_ms
 from threadshift.choice import Dispatcher
-from threadshift.conf.settings import Fields, Malformed, deployment, report
+from threadshift.conf.settings import Fields, InvalidInput, deployment, report
 from threadshift.interface import MS, Action, Copy, Outcome, Step, WorkerListing, WorkerState
 
 # The protocol's numbers of outcomes, worker states and copies.
@@ -73,7 +73,7 @@
                 return []
             number = event.whole("list")
             if number not in tables:
-                raise Malformed(f"line {event.line}: MEMBERS names list {number}, which no TABLE has set")
+                raise InvalidInput(f"line {event.line}: MEMBERS names list {number}, which no TABLE has set")
             return self.dispatcher.update_workers(now, tables[number], full=scope != 0)
         return []
 
@@ -141,7 +141,7 @@
         self.instances: dict[int, DispatcherInstance] = {}
 
     def handle_batch(self, batch: Batch) -> list[str]:
-        """The reply to a batch, as lines. Raises Malformed. An instance that fails is dropped and reported."""
+        """The reply to a batch, as lines. Raises InvalidInput. An instance that fails is dropped and reported."""
         reply: list[str] = []
         touched: dict[int, DispatcherInstance] = {}
         rows: list[WorkerListing] = []
@@ -149,7 +149,7 @@
         for event in batch.lines:
             if missing_rows or event.word == "ROW":
                 if event.word != "ROW" or not missing_rows:
-                    raise Malformed(f"line {event.line}: {event.word} where {missing_rows} more ROW were announced")
+                    raise InvalidInput(f"line {event.line}: {event.word} where {missing_rows} more ROW were announced")
                 rows.append(parse_listing(event))
                 missing_rows -= 1
                 continue
@@ -168,7 +168,7 @@
                 elif number in self.instances:
                     instance = touched[number] = self.instances[number]
                     reply.extend(map(instance.encode_step, instance.handle_event(event, batch.now, self.tables)))
-            except Malformed:
+            except InvalidInput:
                 raise
             except Exception as problem:
                 traceback.print_exc(file=sys.stderr)
@@ -177,7 +177,7 @@
                 self.instances.pop(number, None)
                 touched.pop(number, None)
         if missing_rows:
-            raise Malformed(f"frame {batch.number}: a TABLE lacks {missing_rows} ROW")
+            raise InvalidInput(f"frame {batch.number}: a TABLE lacks {missing_rows} ROW")
         for instance in touched.values():
             reply.extend(instance.update_reminder(batch.now))
         reply.append(format_line("EOR", frame=batch.number))
--- a/threadshift/audit/report.py
+++ b/threadshift/audit/report.py
@@ -80,5 +80,5 @@
 
 
 def audit(folder: Path) -> Verdict:
-    """Reads and checks one folder. Raises records.Unreadable or reading.Mistake."""
+    """Reads and checks one folder. Raises records.Unreadable or reading.ConfigurationError."""
     return judge(days.read(str(folder / "day.conf")), read(folder))
--- a/threadshift/cli/base.py
+++ b/threadshift/cli/base.py
@@ -7,7 +7,7 @@
 
 from threadshift.conf import installation, values
 from threadshift.conf.installation import Installation
-from threadshift.conf.reading import Mistake
+from threadshift.conf.reading import ConfigurationError
 from threadshift.errors import ThreadshiftError
 
 
@@ -37,7 +37,7 @@
 def told(path: str) -> Installation:
     try:
         return installation.read(path)
-    except Mistake as problem:
+    except ConfigurationError as problem:
         raise ended(problem) from None
 
 
--- a/threadshift/cli/days.py
+++ b/threadshift/cli/days.py
@@ -7,7 +7,7 @@
 import click
 
 from threadshift.cli.base import ended, main
-from threadshift.conf.reading import Mistake
+from threadshift.conf.reading import ConfigurationError
 
 
 def played(path: str, seed: int, folder: str | None, keep: bool) -> None:
@@ -23,7 +23,7 @@
         it = days.read_text(text, path, seed)
     except OSError as problem:
         raise SystemExit(f"threadshift: {path}: {problem.strerror}") from None
-    except Mistake as problem:
+    except ConfigurationError as problem:
         raise ended(problem) from None
     with tempfile.TemporaryDirectory(prefix="threadshift-day-") as scratch:
         place = Path(folder) if folder else Path(scratch)
@@ -72,7 +72,7 @@
         it = Emulation(days.read_text(text, day, seed), seed)
     except OSError as problem:
         raise SystemExit(f"threadshift: {day}: {problem.strerror}") from None
-    except Mistake as problem:
+    except ConfigurationError as problem:
         raise ended(problem) from None
     began = time.monotonic()
     it.run()
@@ -108,7 +108,7 @@
     from threadshift.audit.report import audit as audited
     try:
         verdict = audited(Path(folder))
-    except (Unreadable, Mistake) as problem:
+    except (Unreadable, ConfigurationError) as problem:
         raise ended(problem) from None
     for breach in verdict.breaches:
         click.echo(str(breach))
--- a/threadshift/cli/standins.py
+++ b/threadshift/cli/standins.py
@@ -8,7 +8,7 @@
 
 from threadshift.cli.base import ADDRESS, TIME, ended, main
 from threadshift.conf import values
-from threadshift.conf.reading import Mistake
+from threadshift.conf.reading import ConfigurationError
 
 
 @main.group()
@@ -113,7 +113,7 @@
     from threadshift.standins.common import Record
     try:
         it = days.read(day, seed)
-    except Mistake as problem:
+    except ConfigurationError as problem:
         raise ended(problem) from None
     wanted = it.front_ends if it.router is None else 1
     if len(fronts) != wanted:
--- a/threadshift/conf/announcing.py
+++ b/threadshift/conf/announcing.py
@@ -106,7 +106,7 @@
 
 
 def announcing(line: Directive, types: Sequence[str]) -> Announcing:
-    """A `bgp` block. Raises Mistake."""
+    """A `bgp` block. Raises ConfigurationError."""
     lines = line.block or []
     found = BGP.read(lines, line, line.file)
     addresses = tuple(address(each, types) for each in lines if each.name == "address")
--- a/threadshift/conf/installation.py
+++ b/threadshift/conf/installation.py
@@ -1,6 +1,6 @@
 """What a front end is told by its configuration file: listeners, bounds, namespace types, functions, fleet.
 
-`read(path)` gives an `Installation` or raises `reading.Mistake`. Its raw words are turned at once into what is used:
+`read(path)` gives an `Installation` or raises `reading.ConfigurationError`. Its raw words are turned at once into what is used:
 an `interface.Deployment` for the decisions, `Bounds` for sockets and queues. `changed()` tells what a reload may
 take over and what it may not.
 """
@@ -12,7 +12,7 @@
 
 from threadshift.conf import values
 from threadshift.conf.announcing import Announcing, announcing
-from threadshift.conf.reading import Block, Directive, Mistake, Word, load, nearest, parse
+from threadshift.conf.reading import Block, Directive, ConfigurationError, Word, load, nearest, parse
 from threadshift.conf.values import Address
 from threadshift.interface import MS, SECOND, Deployment, Effect, NamespaceType, Tenant
 
@@ -171,7 +171,7 @@
         raise one(lines, "roster").wrong(f"'roster {top['roster'][0]}': one of feed, file is wanted")
     types = tuple(namespace_type(line) for line in named(lines, "type"))
     if not types:
-        raise Mistake(file, 0, "the file lacks a 'type' block: a front end needs one namespace type at least")
+        raise ConfigurationError(file, 0, "the file lacks a 'type' block: a front end needs one namespace type at least")
     known = [each.name for each in types]
     classes = tuple(function_class(line, known) for line in named(lines, "functions"))
     tenants = tuple(Tenant(line.words[0], **under(TENANT.read(line.block or (), line, file),
@@ -182,7 +182,7 @@
     fleet = FLEET.read(block_of(lines, "fleet"), None, file)
     bounds = BOUNDS.read(block_of(lines, "bounds"), None, file)
     if bounds["frame"] < bounds["body"] + 4096:
-        raise Mistake(file, 0, f"bounds: frame {bounds['frame']} must be 4096 bytes over body {bounds['body']}")
+        raise ConfigurationError(file, 0, f"bounds: frame {bounds['frame']} must be 4096 bytes over body {bounds['body']}")
     if top["front-ends"] > 1 and not top["own-ports"]:
         raise one(lines, "front-ends").wrong(
             "several front ends need 'own-ports': a deferred call is collected where it was taken")
--- a/threadshift/conf/patch.py
+++ b/threadshift/conf/patch.py
@@ -7,7 +7,7 @@
 import re
 from collections.abc import Iterable, Sequence
 
-from threadshift.conf.reading import Directive, Mistake
+from threadshift.conf.reading import Directive, ConfigurationError
 
 Change = tuple[str, str, Sequence[str]]
 FIXED = frozenset({"listen", "name", "own-ports", "front-ends", "admin", "roster"})    # who and where it is
@@ -15,12 +15,12 @@
 
 
 def patched(lines: Sequence[Directive], changes: Iterable[Change], file: str) -> list[Directive]:
-    """The directives with the changes made. Raises Mistake."""
+    """The directives with the changes made. Raises ConfigurationError."""
     found = [copied(line) for line in lines]
     for block, name, words in changes:
         told = f"{block} {name}".strip()
         if block.split(" ")[0] in FIXED_BLOCKS or not block and name in FIXED:
-            raise Mistake(file, 0, f"'{told}' says who and where a front end is: a rollout does not change it")
+            raise ConfigurationError(file, 0, f"'{told}' says who and where a front end is: a rollout does not change it")
         where = found
         if block:
             home = next((line for line in found if line.block is not None
--- a/threadshift/conf/peering.py
+++ b/threadshift/conf/peering.py
@@ -52,7 +52,7 @@
 
 
 def peering(block: Directive, names: list[str]) -> Peering:
-    """Reads it; `names` are the front ends of this file, each of which must be named in it. Raises Mistake."""
+    """Reads it; `names` are the front ends of this file, each of which must be named in it. Raises ConfigurationError."""
     lines = block.block or []
     members = [line for line in lines if line.name in ("voter", "follower")]
     for line in lines:
--- a/threadshift/conf/reading.py
+++ b/threadshift/conf/reading.py
@@ -5,7 +5,7 @@
         target-latency 600ms
     }
 
-Words are parted by white space; a word with spaces or '#' stands in double quotes. Every mistake is a `Mistake`
+Words are parted by white space; a word with spaces or '#' stands in double quotes. Every mistake is a `ConfigurationError`
 that names file, line and word, so that `threadshift check` and a reload say the same.
 """
 from __future__ import annotations
@@ -25,7 +25,7 @@
 WORD = re.compile(r'"([^"]*)"|([^\s"#]+)|(#.*)|(")')
 
 
-class Mistake(ThreadshiftError):
+class ConfigurationError(ThreadshiftError):
     """What is wrong, where; `str()` is the one line to show."""
 
     help = "mend the file at the line named, and try it with 'threadshift check'"
@@ -45,8 +45,8 @@
     words: list[str]
     block: list[Directive] | None = None
 
-    def wrong(self, text: str) -> Mistake:
-        return Mistake(self.file, self.line, text)
+    def wrong(self, text: str) -> ConfigurationError:
+        return ConfigurationError(self.file, self.line, text)
 
 
 def split(text: str, file: str, line: int) -> list[str]:
@@ -56,7 +56,7 @@
         if comment is not None:
             break
         if stray is not None:
-            raise Mistake(file, line, "a double quote is not closed on its line")
+            raise ConfigurationError(file, line, "a double quote is not closed on its line")
         words.append(quoted if plain is None else plain)
     return words
 
@@ -72,43 +72,43 @@
             continue
         if words == ["}"]:
             if not open_blocks:
-                raise Mistake(file, number, "'}' closes no block")
+                raise ConfigurationError(file, number, "'}' closes no block")
             open_blocks.pop()
             inside.pop()
             continue
         opens = words[-1] == "{"
         stray = next((word for word in words[:-1 if opens else None] if word in "{}"), None)
         if stray:
-            raise Mistake(file, number, f"'{stray}' must end its line or stand alone")
+            raise ConfigurationError(file, number, f"'{stray}' must end its line or stand alone")
         if opens and len(words) == 1:
-            raise Mistake(file, number, "a block needs a name before '{'")
+            raise ConfigurationError(file, number, "a block needs a name before '{'")
         block: list[Directive] = []
         it = Directive(file, number, words[0], words[1:-1] if opens else words[1:], block if opens else None)
         inside[-1].append(it)
         if opens:
             if len(open_blocks) + 1 >= DEEPEST:
-                raise Mistake(file, number, f"blocks stand more than {DEEPEST - 1} deep")
+                raise ConfigurationError(file, number, f"blocks stand more than {DEEPEST - 1} deep")
             open_blocks.append(it)
             inside.append(block)
     if open_blocks:
-        raise Mistake(file, open_blocks[-1].line, f"the block of '{open_blocks[-1].name}' is not closed")
+        raise ConfigurationError(file, open_blocks[-1].line, f"the block of '{open_blocks[-1].name}' is not closed")
     return top
 
 
 def load(path: str) -> list[Directive]:
     """The directives of a file on disk.
 
-    Raises Mistake where it cannot be read, is too long or is no UTF-8 text."""
+    Raises ConfigurationError where it cannot be read, is too long or is no UTF-8 text."""
     try:
         data = Path(path).read_bytes()
     except OSError as problem:
-        raise Mistake(path, 0, f"cannot be read: {problem.strerror}") from None
+        raise ConfigurationError(path, 0, f"cannot be read: {problem.strerror}") from None
     if len(data) > LONGEST_FILE:
-        raise Mistake(path, 0, f"has {len(data)} bytes, more than {LONGEST_FILE}")
+        raise ConfigurationError(path, 0, f"has {len(data)} bytes, more than {LONGEST_FILE}")
     try:
         return parse(data.decode(), path)
     except UnicodeDecodeError as problem:
-        raise Mistake(path, data[:problem.start].count(b"\n") + 1, "is not UTF-8 text") from None
+        raise ConfigurationError(path, data[:problem.start].count(b"\n") + 1, "is not UTF-8 text") from None
 
 
 @dataclass(slots=True)
@@ -148,7 +148,7 @@
             if name not in found:
                 if word.wanted:
                     place = f"{owner.name} {' '.join(owner.words)}".strip() if owner else "the file"
-                    raise Mistake(file, owner.line if owner else 0, f"{place} lacks '{name}'")
+                    raise ConfigurationError(file, owner.line if owner else 0, f"{place} lacks '{name}'")
                 found[name] = word.default
         return found
 
--- a/threadshift/conf/settings.py
+++ b/threadshift/conf/settings.py
@@ -19,7 +19,7 @@
 LONG = {"queue": "backlog", "inflight": "outstanding", "util": "utilization"}
 
 
-class Malformed(ThreadshiftError):
+class InvalidInput(ThreadshiftError):
     """Input that cannot be understood; says what is wrong and where."""
 
     help = "mend the settings that the platform hands over at the place named"
@@ -50,9 +50,9 @@
     def __init__(self, word: str, values: dict[str, str], place: int | str):
         self.word, self.values, self.line = word, values, place
 
-    def wrong(self, text: str) -> Malformed:
+    def wrong(self, text: str) -> InvalidInput:
         place = f"line {self.line}" if isinstance(self.line, int) else self.line
-        return Malformed(f"{place}: {self.word} {text}")
+        return InvalidInput(f"{place}: {self.word} {text}")
 
     def read(self, name: str, convert: Callable, default: Any = None) -> Any:
         text = self.values.get(name)
@@ -102,7 +102,7 @@
 
 
 def deployment(told: Fields) -> Deployment:
-    """The settings as a Deployment. Raises Malformed."""
+    """The settings as a Deployment. Raises InvalidInput."""
     def some(name: str, read: Callable[..., int] = told.ns, *default: int) -> int:
         if (value := read(name, *default)) <= 0:
             raise told.wrong(f"has {name}={told.values[name]}, where more than nothing is wanted")
--- a/threadshift/days/day.py
+++ b/threadshift/days/day.py
@@ -16,7 +16,7 @@
 from threadshift.conf import installation, values
 from threadshift.conf.announcing import hold_time
 from threadshift.conf.installation import Installation, block_of, named, one
-from threadshift.conf.reading import Block, Directive, Mistake, Word, load, nearest, parse
+from threadshift.conf.reading import Block, Directive, ConfigurationError, Word, load, nearest, parse
 from threadshift.interface import MS, SECOND
 
 GATEWAY = ("type", "functions", "tenant", "fleet", "bounds")
@@ -143,7 +143,7 @@
 
 
 def understand(lines: list[Directive], file: str, seed: int) -> Day:
-    """A whole day file. Troubles without a time get one drawn from the seed. Raises Mistake."""
+    """A whole day file. Troubles without a time get one drawn from the seed. Raises ConfigurationError."""
     own = ("length", "front-ends", "uneven", "fleet-of", "store", "router", "traffic", "trouble")
     for line in lines:
         if line.name not in (*own, *GATEWAY):
@@ -152,20 +152,20 @@
                    "uneven": Word(values.number, 1.0)}).read(
         [line for line in lines if line.name in ("length", "front-ends", "uneven")], None, file)
     if plain["uneven"] < 1:
-        raise Mistake(file, 0, f"uneven {plain['uneven']:g}: 1 is even, above it the first front ends have more")
+        raise ConfigurationError(file, 0, f"uneven {plain['uneven']:g}: 1 is even, above it the first front ends have more")
     gateway = "\n".join(text_of(line) for line in lines if line.name in GATEWAY)
     told = installation.understand(
         [*parse(f"listen 127.0.0.1:0\nroster file none\nfront-ends {plain['front-ends']}\nown-ports 1", file),
          *(line for line in lines if line.name in GATEWAY)], file)
     if not any(line.name == "fleet-of" for line in lines):
-        raise Mistake(file, 0, "the file lacks 'fleet-of'")
+        raise ConfigurationError(file, 0, "the file lacks 'fleet-of'")
     fleet_line = one(lines, "fleet-of")
     workers = Block.value(fleet_line, Word(values.count))
     fleet = FleetOf(workers, **under(FLEET.read(fleet_line.block or (), fleet_line, file)))
     store = Store(**under(STORE.read(block_of(lines, "store"), None, file)))
     traffic = tuple(traffic_of(line, told) for line in named(lines, "traffic"))
     if not traffic:
-        raise Mistake(file, 0, "the file lacks a 'traffic' block")
+        raise ConfigurationError(file, 0, "the file lacks a 'traffic' block")
     chance = random.Random(f"troubles {seed}").random
     troubles = tuple(trouble_of(line, plain["length"], fleet, plain["front-ends"], chance)
                      for line in lines if line.name == "trouble")
--- a/threadshift/discovery/sources.py
+++ b/threadshift/discovery/sources.py
@@ -15,7 +15,7 @@
 
 from threadshift.conf import values
 from threadshift.conf.installation import Bounds
-from threadshift.conf.reading import Directive, Mistake, load, nearest
+from threadshift.conf.reading import Directive, ConfigurationError, load, nearest
 from threadshift.conf.values import Address
 from threadshift.discovery.registry import MAX_WORKERS, InvalidWorkerList, WorkerEntry, parse_entry
 from threadshift.interface import MS, SECOND, WorkerState
@@ -146,7 +146,7 @@
         self.last_version = version
         try:
             entries = [parse_worker_line(line) for line in load(self.path)]
-        except Mistake as problem:
+        except ConfigurationError as problem:
             self.listener.note("roster-unreadable", problem=str(problem))
             return
         self.listener.on_list(entries, full=True)
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -20,7 +20,7 @@
 from threadshift.choice import Dispatcher
 from threadshift.conf import installation
 from threadshift.conf.installation import Installation
-from threadshift.conf.reading import Mistake
+from threadshift.conf.reading import ConfigurationError
 from threadshift.conf.values import Address
 from threadshift.engine import previous_process
 from threadshift.engine.engine import RequestEngine
@@ -289,7 +289,7 @@
         """Reads the file again; takes over what may change while running, and says what may not."""
         try:
             new = installation.read(self.told.file)
-        except Mistake as problem:
+        except ConfigurationError as problem:
             self.note("reload-refused", level="error", problem=str(problem))
             return
         taken, kept = installation.changed(self.told, new)
--- a/threadshift/gateway/rollout_service.py
+++ b/threadshift/gateway/rollout_service.py
@@ -18,7 +18,7 @@
 
 from threadshift.conf import installation, patch
 from threadshift.conf.peering import Peering
-from threadshift.conf.reading import Mistake, load
+from threadshift.conf.reading import ConfigurationError, load
 from threadshift.engine.engine import FinalKind, PendingRequest
 from threadshift.errors import ThreadshiftError
 from threadshift.gateway.batch_service import Front
@@ -131,12 +131,12 @@
             self.can[it.id] = self.prepared(ids)[1]
         except (ThreadshiftError, OSError) as problem:
             self.can[it.id] = str(problem)[:300] or type(problem).__name__
-        except Mistake as problem:
+        except ConfigurationError as problem:
             self.can[it.id] = str(problem)[:300]
         self.front.note("rollout-checked", rollout=it.id, can=not self.can[it.id], problem=self.can[it.id])
 
     def prepared(self, ids: tuple[str, ...]) -> tuple[Wanted, str]:
-        """What to run for these rollouts, and what is wrong with that. Raises Mistake, OSError, BadChange."""
+        """What to run for these rollouts, and what is wrong with that. Raises ConfigurationError, OSError, BadChange."""
         version, tree = "+".join(ids), ""
         changes: list[patch.Change] = []
         for what in self.rollouts.changes(ids):
@@ -162,7 +162,7 @@
             return                  # the record has moved on; or it failed here, and that is told with each report
         try:
             it, problem = self.prepared(ids)
-        except (ThreadshiftError, Mistake, OSError) as trouble:
+        except (ThreadshiftError, ConfigurationError, OSError) as trouble:
             it, problem = Wanted(), str(trouble)
         if problem:
             self.front.note("version-not-taken", level="error", version="+".join(ids), problem=problem,
--- a/threadshift/node/front.py
+++ b/threadshift/node/front.py
@@ -15,7 +15,7 @@
 from gevent.pool import Group
 
 from threadshift.choice import Dispatcher
-from threadshift.conf.settings import Malformed
+from threadshift.conf.settings import InvalidInput
 from threadshift.coordinator.events import ListUpdate
 from threadshift.coordinator.stream import CoordinatorStream
 from threadshift.engine import previous_process
@@ -176,7 +176,7 @@
         An invalid file changes nothing."""
         try:
             config = front_end_config.read_config(self.environment)
-        except Malformed as problem:
+        except InvalidInput as problem:
             self.note("reload-refused", level="error", problem=str(problem))
             return
         self.config = self.config._replace(coordinator=config.coordinator)
--- a/threadshift/node/front_end_config.py
+++ b/threadshift/node/front_end_config.py
@@ -1,6 +1,6 @@
 """The configuration that the platform gives a front end: addresses, resource limits and settings.
 
-Invalid input raises `Malformed`, whose message is one line that names what is wrong and where. Free of I/O, except
+Invalid input raises `InvalidInput`, whose message is one line that names what is wrong and where. Free of I/O, except
 that read_config() reads the file."""
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from threadshift.conf import values
-from threadshift.conf.settings import Fields, Malformed, deployment, flat
+from threadshift.conf.settings import Fields, InvalidInput, deployment, flat
 from threadshift.conf.values import Address
 from threadshift.fastcgi.requests import MAX_BODY
 from threadshift.frames import pool
@@ -54,41 +54,41 @@
 
 
 def read_config(environment: Mapping[str, str]) -> FrontEndConfig:
-    """Reads the configuration that the environment names. Raises Malformed."""
+    """Reads the configuration that the environment names. Raises InvalidInput."""
     path = environment.get("NODE_CONFIG", "")
     if not path:
-        raise Malformed("NODE_CONFIG is not set: it names the file with the configuration")
+        raise InvalidInput("NODE_CONFIG is not set: it names the file with the configuration")
     try:
         if os.stat(path).st_size > MAX_FILE:
-            raise Malformed(f"NODE_CONFIG: {path} is over {MAX_FILE} bytes")
+            raise InvalidInput(f"NODE_CONFIG: {path} is over {MAX_FILE} bytes")
         with open(path, encoding="utf-8") as file:
             content = json.load(file)
     except OSError as problem:
-        raise Malformed(f"NODE_CONFIG: {path}: {problem.strerror}") from None
+        raise InvalidInput(f"NODE_CONFIG: {path}: {problem.strerror}") from None
     except (ValueError, RecursionError) as problem:
-        raise Malformed(f"{path}: not JSON: {str(problem)[:200]}") from None
+        raise InvalidInput(f"{path}: not JSON: {str(problem)[:200]}") from None
     return parse_config(content, environment, path)
 
 
 def parse_config(content: Any, environment: Mapping[str, str], path: str) -> FrontEndConfig:
-    """Checks the decoded content of a configuration file; the path is for messages. Raises Malformed."""
+    """Checks the decoded content of a configuration file; the path is for messages. Raises InvalidInput."""
     if not isinstance(content, dict):
-        raise Malformed(f"{path}: the configuration is not a JSON object")
+        raise InvalidInput(f"{path}: the configuration is not a JSON object")
     for key, variable in (("name", "NODE_NAME"), ("listen", "NODE_LISTEN")):
         if key not in content and variable in environment:
             content[key] = environment[variable]
     known = content.pop("known", None) or {}
     updates = known.get("updates") if isinstance(known, dict) else None
     if known and not isinstance(updates, list):
-        raise Malformed(f"{path}: known: updates is not a list")
+        raise InvalidInput(f"{path}: known: updates is not a list")
     settings = content.pop("settings", None)
     if not isinstance(settings, dict):
-        raise Malformed(f"{path}: settings is missing or not an object")
+        raise InvalidInput(f"{path}: settings is missing or not an object")
     try:
         top = Fields("the configuration", flat(content), path)
         fields = Fields("settings", flat(settings), path)
     except ValueError as problem:
-        raise Malformed(f"{path}: {problem}") from None
+        raise InvalidInput(f"{path}: {problem}") from None
     deployed = deployment(fields)
     if not deployed.types:
         raise fields.wrong("has no lanes")
--- a/threadshift/node/start.py
+++ b/threadshift/node/start.py
@@ -13,11 +13,11 @@
     """Serves until a shutdown is requested; returns the exit status."""
     # Signals are blocked until their handlers are installed: by default they end the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-    from threadshift.conf.settings import Malformed
+    from threadshift.conf.settings import InvalidInput
     from threadshift.node import front_end_config
     try:
         config = front_end_config.read_config(environment)
-    except Malformed as problem:
+    except InvalidInput as problem:
         print(f"threadshift: {problem}", file=sys.stderr)
         return 2
     import gevent
--- a/threadshift/trials/commands.py
+++ b/threadshift/trials/commands.py
@@ -10,7 +10,7 @@
 
 import click
 
-from threadshift.conf.reading import Mistake
+from threadshift.conf.reading import ConfigurationError
 
 if TYPE_CHECKING:
     from threadshift.trials.hunt import Found
@@ -29,7 +29,7 @@
     from threadshift.trials.keep import Unusable
     try:
         yield
-    except (Mistake, Unusable) as problem:
+    except (ConfigurationError, Unusable) as problem:
         raise SystemExit(f"threadshift: {problem}") from None
     except ModuleNotFoundError as missing:
         raise SystemExit(f"threadshift: this wants {missing.name}: pip install 'threadshift[trials]'") from None
--- a/threadshift/trials/scenario.py
+++ b/threadshift/trials/scenario.py
@@ -33,7 +33,7 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from threadshift.conf.reading import Directive, Mistake, load, nearest, parse
+from threadshift.conf.reading import Directive, ConfigurationError, load, nearest, parse
 from threadshift.days.day import KINDS, read_text, text_of
 from threadshift.trials.policies import POLICIES
 
@@ -147,7 +147,7 @@
 
 
 def understand(lines: list[Directive], file: str) -> Scenario:
-    """A whole scenario; every point of it is read as a day once. Raises Mistake with the line."""
+    """A whole scenario; every point of it is read as a day once. Raises ConfigurationError with the line."""
     day = [line for line in lines if line.name not in OWN]
     sweeps = [line for line in lines if line.name == "sweep"]
     seeds = [line for line in lines if line.name == "seeds"]
@@ -162,7 +162,7 @@
     for each in it.factors:
         runs *= len(each.values)
     if runs > MOST_RUNS:
-        raise Mistake(file, 0, f"{runs} runs, more than {MOST_RUNS}")
+        raise ConfigurationError(file, 0, f"{runs} runs, more than {MOST_RUNS}")
     # Each value once, with the first of all others: a mistake in one shows before hours of runs.
     first = tuple(each.values[0] for each in it.factors)
     for n, (each, line) in enumerate(zip(it.factors, sweeps, strict=True)):
@@ -171,7 +171,7 @@
                 read_text(it.job(it.seeds[0], (*first[:n], value, *first[n + 1:])).text, file)
             except KeyError as missing:
                 raise line.wrong(f"the day has no {missing}") from None
-            except Mistake as problem:
+            except ConfigurationError as problem:
                 assert line.block is not None
                 raise line.block[number].wrong(f"gives no day: {problem}") from None
     if not sweeps:
