--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -34,7 +34,7 @@
 from threadshift.bgp.path import Path as Route
 from threadshift.bgp.rib import Heard
 from threadshift.conf.values import Address
-from threadshift.days import day as days_of
+from threadshift.days import fault_scenario
 from threadshift.invoke.client import Client
 from threadshift.standins.common import Record
 from threadshift.standins.feed import RosterFeed
@@ -317,7 +317,8 @@
         seen = records.read(Path(folder) / "records")
         start = next(each["start"] for each in seen if each.event == "day")
         since = start + 5 * 10**9
-        types = {each.name: each for each in days_of.read(f"{folder}/records/day.conf").told.deployment.types}
+        types = {each.name: each
+                 for each in fault_scenario.read(f"{folder}/records/day.conf").config.deployment.types}
         asked = lost = late = 0
         for tries, done in records.chains(seen):
             if not since <= tries[0].t < since + WINDOW * 10**9:
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 from threadshift.audit.rules import breaches
-from threadshift.days.day import read_text
+from threadshift.days.fault_scenario import read_text
 from threadshift.emulator.run import Emulation
 from threadshift.trials.causes import CAUSES, jain, losses
 from threadshift.trials.figures import interval
@@ -104,8 +104,8 @@
         it = Emulation(day, seed, POLICIES[policy])
         it.run()
     seen = it.seen()
-    found = losses(seen, day.told.deployment)
-    told = breaches(seen, day.told.deployment, day.fleet.cores)
+    found = losses(seen, day.config.deployment)
+    told = breaches(seen, day.config.deployment, day.fleet.cores)
     per = [got / asked for asked, got in found.served.values() if asked > 3]
     return {"policy": policy, "day": name, "fronts": fronts, "uneven": uneven, "seed": seed, "asked": found.asked,
             "lost": dict(found.by_cause), "sends": found.sends, "learnt": found.learnt, "again": found.again,
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -61,7 +61,7 @@
 
 
 def main():
-    from threadshift.conf.installation import read_text
+    from threadshift.conf.gateway_config import read_text
     bounds = read_text("listen 127.0.0.1:1\nroster file x\ntype a {\ntarget-latency 1s\naction-timeout 1s\n"
                        "effect repeatable\n}\n").bounds._replace(pipeline=10**6)
     relay = Relay([address(each) for each in sys.argv[2:]])
--- a/benchmarks/validate.py
+++ b/benchmarks/validate.py
@@ -14,7 +14,7 @@
 
 from threadshift.audit import records
 from threadshift.audit.report import judge
-from threadshift.days.day import read_text
+from threadshift.days.fault_scenario import read_text
 from threadshift.emulator.run import Emulation
 from threadshift.trials.runs import latencies
 
--- a/tests/live.py
+++ b/tests/live.py
@@ -5,7 +5,7 @@
 from gevent import socket
 from gevent.event import Event
 
-from threadshift.conf.installation import read_text
+from threadshift.conf.gateway_config import read_text
 from threadshift.conf.values import Address, address
 from threadshift.gateway.front_end import FrontEnd
 from threadshift.invoke.client import Client
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -3,10 +3,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from threadshift.conf import installation, reading, values
-from threadshift.conf.installation import read_text
+from threadshift.conf import gateway_config, reading, values
+from threadshift.conf.gateway_config import read_text
 from threadshift.conf.reading import ConfigurationError
-from threadshift.days import day as days
+from threadshift.days import fault_scenario
 from threadshift.interface import MS, SECOND, Effect
 
 TYPE = "type check {\n    target-latency 600ms\n    action-timeout 2s\n    effect repeatable\n}\n"
@@ -64,7 +64,7 @@
     @settings(max_examples=400, deadline=None, derandomize=True)
     @given(st.lists(st.sampled_from([*GOOD.split(), "{", "}", "\n", '"', "#", "é", "9" * 30, "-1", ""]), max_size=40))
     def test_any_words_are_read_or_refused(self, words):
-        for reader in (read_text, days.read_text):
+        for reader in (read_text, fault_scenario.read_text):
             try:
                 reader(" ".join(words).replace(" \n ", "\n"))
             except ConfigurationError as problem:
@@ -100,9 +100,9 @@
     def test_a_reload_takes_over_what_may_change_and_says_the_rest(self):
         old = read_text(GOOD)
         new = read_text(GOOD.replace("8080", "8081") + "bounds {\n    body 2K\n    pipeline 3\n}\n")
-        taken, kept = installation.changed(old, new)
+        taken, kept = gateway_config.compare_for_reload(old, new)
         self.assertEqual((taken, kept), (["bounds body"], ["bounds pipeline", "listen"]))
-        it = installation.reloaded(old, new)
+        it = gateway_config.apply_reload(old, new)
         self.assertEqual((it.bounds.body, it.bounds.pipeline, it.listen), (2048, 16, old.listen))
 
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -2,10 +2,10 @@
 from pathlib import Path
 
 from threadshift.conf.reading import ConfigurationError
-from threadshift.days.day import KINDS, Day, read, read_text
-from threadshift.days.orders import Order, names, orders
+from threadshift.days.fault_scenario import FAULT_KINDS, FaultScenario, read, read_text
+from threadshift.days.orders import FaultOrder, draw_orders, worker_zones
 from threadshift.days.play import with_front_ends
-from threadshift.days.traffic import follower, tries
+from threadshift.days.traffic import client_calls, next_in_chain
 from threadshift.interface import MS, SECOND
 
 DAY = """
@@ -31,7 +31,7 @@
 CONDUCTED = ("!kill", "!renew", "!stop", "!go-on", "!drain", "!reload", "!say")
 
 
-def day(*troubles, seed=1, **changes) -> Day:
+def day(*troubles, seed=1, **changes) -> FaultScenario:
     text = DAY + "".join(f"trouble {trouble}\n" for trouble in troubles)
     for old, new in changes.items():
         text = text.replace(old, new)
@@ -41,13 +41,13 @@
 class Reading(unittest.TestCase):
     def test_popularity_drifts_and_deferred_calls_have_chains(self):
         plain, moved = day(), day(**{"rate 100": "rate 100\n    drift 5s\n    deferred 50%\n    chain 2"})
-        first, then = list(tries(plain, 1)), list(tries(moved, 1))
+        first, then = list(client_calls(plain, 1)), list(client_calls(moved, 1))
         for one, other in zip(first, then, strict=True):
             rank = int(one.function.rsplit("-", 1)[1]) - one.at // (5 * SECOND)
             self.assertEqual(other.function, f"check-{rank % 30:03d}")
             self.assertEqual(other.chain, 2 * other.deferred)
-        link = follower(next(each for each in then if each.chain))
-        self.assertEqual((link.chain, link.mark[-1], follower(link).chain), (1, "c", 0))
+        link = next_in_chain(next(each for each in then if each.chain))
+        self.assertEqual((link.chain, link.mark[-1], next_in_chain(link).chain), (1, "c", 0))
 
     def test_mistakes_name_their_line(self):
         cases = (("trouble", "a.day:20:", "no kind of trouble"),
@@ -67,10 +67,10 @@
     def test_the_days_that_come_along_are_good(self):
         for path in sorted((Path(__file__).parent.parent / "threadshift/days").glob("*.day")):
             it = read(str(path))
-            self.assertTrue(it.traffic and it.troubles, path)
+            self.assertTrue(it.traffic and it.faults, path)
 
     def test_what_a_trouble_does_not_tell_is_drawn_from_the_seed(self):
-        first, again, other = (day("crash", "zone_cut", seed=seed).troubles for seed in (1, 1, 2))
+        first, again, other = (day("crash", "zone_cut", seed=seed).faults for seed in (1, 1, 2))
         self.assertEqual(first, again)
         self.assertNotEqual(first, other)
         for trouble in (*first, *other):
@@ -84,14 +84,14 @@
 
 class Traffic(unittest.TestCase):
     def test_the_same_seed_gives_the_same_tries_at_about_the_rate(self):
-        one, again, other = (list(tries(day(), seed)) for seed in (5, 5, 6))
+        one, again, other = (list(client_calls(day(), seed)) for seed in (5, 5, 6))
         self.assertEqual(one, again)
         self.assertNotEqual(one, other)
         self.assertTrue(1700 < len(one) < 2300, len(one))
         self.assertEqual({each.front for each in one}, {0, 1, 2})
 
     def test_what_clients_troubles_do(self):
-        plain = list(tries(day(), 5))
+        plain = list(client_calls(day(), 5))
         later = 10 * SECOND
         # trouble, what is measured over the tries of its time, least and most against a day without
         cases = (("burst at 10s for 5s times 3", len, 2.4, 3.6),
@@ -102,7 +102,7 @@
                   lambda some: 1 + sum("hot" in one.function for one in some), 100, 900),
                  ("shift at 10s for 5s share 90% front 2", lambda some: sum(one.front == 2 for one in some), 2, 4))
         for trouble, measure, least, most in cases:
-            there = [one for one in tries(day(trouble), 5) if later <= one.at < later + 5 * SECOND]
+            there = [one for one in client_calls(day(trouble), 5) if later <= one.at < later + 5 * SECOND]
             before = [one for one in plain if later <= one.at < later + 5 * SECOND]
             ratio = measure(there) / measure(before)
             self.assertTrue(least < ratio < most, (trouble, ratio))
@@ -111,12 +111,13 @@
 class Orders(unittest.TestCase):
     def test_every_kind_of_trouble_can_be_ordered(self):
         clients = {"burst", "hot_key", "heavy_tail", "scan", "give_up", "shift"}
-        for kind in KINDS:
+        for kind in FAULT_KINDS:
             it = day(f"{kind} at 4s for 6s", **{"fleet-of 6": "router {\n}\nfleet-of 6"})
-            found = orders(it, 1)
+            found = draw_orders(it, 1)
             self.assertEqual(bool(found), kind not in clients, kind)
             for order in found:
-                self.assertIn(order.who, [*names(it), "store", "roster", "workers", "front-0", "front-1", "front-2"])
+                self.assertIn(order.who,
+                              [*worker_zones(it), "store", "roster", "workers", "front-0", "front-1", "front-2"])
                 self.assertTrue(not order.words.startswith("!") or order.words.split()[0] in CONDUCTED, order)
                 self.assertGreaterEqual(order.at, 4 * SECOND)
             self.assertEqual(found, sorted(found, key=lambda order: order.at))
@@ -125,7 +126,7 @@
         for trouble in ("crash at 2s for 3s workers 2", "zone_loss at 2s for 3s zone b",
                         "deploy at 2s for 12s workers 1",
                         "preempt at 2s for 6s workers 0.5", "front_kill at 2s for 1s front 1"):
-            found = orders(day(trouble), 3)
+            found = draw_orders(day(trouble), 3)
             killed = [order.who for order in found if order.words == "!kill"]
             self.assertTrue(killed, trouble)
             for who in killed:
@@ -133,8 +134,8 @@
                 self.assertEqual(last, "!renew", trouble)
 
     def test_orders_of_a_stall(self):
-        self.assertEqual(orders(day("balancer_stall at 1s for 500ms front 2"), 1),
-                         [Order(SECOND, "front-2", "!stop"), Order(1500 * MS, "front-2", "!go-on")])
+        self.assertEqual(draw_orders(day("balancer_stall at 1s for 500ms front 2"), 1),
+                         [FaultOrder(SECOND, "front-2", "!stop"), FaultOrder(1500 * MS, "front-2", "!go-on")])
 
 
 if __name__ == "__main__":
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -6,7 +6,7 @@
 from threadshift.audit.records import read
 from threadshift.audit.rules import breaches
 from threadshift.choice import Dispatcher
-from threadshift.days.day import KINDS, read_text
+from threadshift.days.fault_scenario import FAULT_KINDS, read_text
 from threadshift.emulator.clock import Clock, Spans
 from threadshift.emulator.front import ModelFront
 from threadshift.emulator.router import PREFIX
@@ -85,12 +85,12 @@
         seen = read(Path(folder))
     done = sum(each.event == "answer" and each["final"] == "completed" for each in seen)
     asked = sum(each.event == "try" for each in seen)
-    return breaches(seen, it.day.told.deployment, it.day.fleet.cores), done / asked
+    return breaches(seen, it.day.config.deployment, it.day.fleet.cores), done / asked
 
 
 class Days(unittest.TestCase):
     def test_no_rule_breaks_under_any_one_trouble(self):
-        for kind in sorted(KINDS):
+        for kind in sorted(FAULT_KINDS):
             found, served = verdict(*emulated(f"{kind} at 3s for 4s"))
             self.assertEqual([str(each) for each in found], [], kind)
             self.assertGreater(served, 0.5, kind)
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -13,7 +13,7 @@
 from tests.test_emulator import DAY
 from threadshift.choice import Dispatcher
 from threadshift.conf.values import Address
-from threadshift.days.day import read_text
+from threadshift.days.fault_scenario import read_text
 from threadshift.emulator.run import Emulation
 from threadshift.interface import SECOND
 from threadshift.invoke.client import Client
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -11,7 +11,7 @@
 from threadshift.audit.records import Unreadable, line_of, read, whole
 from threadshift.audit.report import judge
 from threadshift.audit.rules import breaches
-from threadshift.days.day import KINDS, read_text
+from threadshift.days.fault_scenario import FAULT_KINDS, read_text
 from threadshift.engine.engine import PendingWorkerQuery
 from threadshift.emulator.front import ModelFront
 from threadshift.emulator.run import Emulation
@@ -73,7 +73,7 @@
     text = DEDUPLICATED_DAY if seed % 3 == 0 else DAY
     if seed % 5 == 0:
         text = text.replace("fleet {", "fleet {\n    loads-on-miss no")
-    return text + "".join(f"trouble {kind}\n" for kind in chance.sample(sorted(KINDS), chance.randint(3, 5)))
+    return text + "".join(f"trouble {kind}\n" for kind in chance.sample(sorted(FAULT_KINDS), chance.randint(3, 5)))
 
 
 def send_again(it, front, effect, where):
@@ -98,7 +98,7 @@
             day = read_text((folder / "day.conf").read_text())
             seen = read(folder)
             whole(seen)
-            rules = {each.rule for each in breaches(seen, day.told.deployment, day.fleet.cores)}
+            rules = {each.rule for each in breaches(seen, day.config.deployment, day.fleet.cores)}
             wanted = {int(folder.name[7])} if folder.name.startswith("broken-") else set()
             self.assertEqual(rules, wanted, folder.name)
 
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -2,7 +2,7 @@
 
 from tests.test_emulator import DAY
 from threadshift.choice import Dispatcher
-from threadshift.days.day import read_text
+from threadshift.days.fault_scenario import read_text
 from threadshift.trials.hunt import breaks, draw, drawn, emulate, shrink
 
 
@@ -11,7 +11,7 @@
         for seed in range(200):
             text = draw(seed)
             self.assertEqual(text, draw(seed))
-            self.assertTrue(read_text(text, seed=seed).troubles)
+            self.assertTrue(read_text(text, seed=seed).faults)
 
     def test_some_days_and_no_rule_broken(self):
         for seed in (2, 4, 6, 8):
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -12,10 +12,10 @@
 from threadshift.audit.report import audit
 from threadshift.conf.reading import ConfigurationError
 from threadshift.conf.values import Address
-from threadshift.days.day import read_text
-from threadshift.days.orders import orders
-from threadshift.days.play import Conductor
-from threadshift.days.traffic import tries
+from threadshift.days.fault_scenario import read_text
+from threadshift.days.orders import draw_orders
+from threadshift.days.play import ScenarioRunner
+from threadshift.days.traffic import client_calls
 from threadshift.interface import MS, SECOND, Deployment, Effect, NamespaceType
 from threadshift.invoke.client import Client
 from threadshift.trials.causes import CAUSES, jain, losses
@@ -101,16 +101,16 @@
 class Days(unittest.TestCase):
     def test_uneven_traffic_and_a_herd(self):
         day = read_text(DAY)
-        counts = Counter(each.front for each in tries(day, 1))
+        counts = Counter(each.front for each in client_calls(day, 1))
         mean = sum(counts.values()) / 40
         self.assertGreater(counts[0], 4 * mean)
         self.assertLess(counts[39], mean)
-        kills = [each for each in orders(day, 1) if each.words == "!kill"]
-        backs = [each for each in orders(day, 1) if each.words == "!renew"]
+        kills = [each for each in draw_orders(day, 1) if each.words == "!kill"]
+        backs = [each for each in draw_orders(day, 1) if each.words == "!renew"]
         self.assertEqual((len(kills), {each.at for each in kills}), (28, {2 * SECOND}))
         self.assertEqual(({each.who for each in kills}, {each.at for each in backs}),
                          ({each.who for each in backs}, {3 * SECOND}))
-        even = Counter(each.front for each in tries(read_text(DAY.replace("uneven 2", "")), 1))
+        even = Counter(each.front for each in client_calls(read_text(DAY.replace("uneven 2", "")), 1))
         self.assertLess(max(even.values()), 2 * mean)
         with self.assertRaisesRegex(ConfigurationError, "uneven 0.5"):
             read_text(DAY.replace("uneven 2", "uneven 0.5"))
@@ -201,7 +201,7 @@
     def test_rules_and_shares_hold_while_most_front_ends_die_at_once(self):
         with tempfile.TemporaryDirectory() as folder:
             day = read_text(PROCESSES, seed=3)
-            Conductor(day, PROCESSES, 3, Path(folder)).play()
+            ScenarioRunner(day, PROCESSES, 3, Path(folder)).play()
             verdict = audit(Path(folder))
             told = read(Path(folder))
         self.assertEqual(verdict.breaches, [])
@@ -209,7 +209,7 @@
         self.assertEqual(len(killed), 8)
         self.assertEqual(len(by(told, "stopped")), 2)
         self.assertFalse(by(told, "fell-over"))
-        found = losses(told, day.told.deployment)
+        found = losses(told, day.config.deployment)
         # Nobody is left out for good: who stayed up, or came back, serves; a copy is not brought by each of them.
         shares = [got / asked for asked, got in found.served.values() if asked >= 5]
         self.assertGreater(jain(shares), 0.8, found.served)
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -63,7 +63,7 @@
         self.assertEqual(len(jobs), 8)
         day = read_text(jobs[3].text)
         self.assertEqual((day.front_ends, day.fleet.workers, day.traffic[0].rate), (9, 30, 50))
-        self.assertEqual([each.kind for each in day.troubles], ["crash", "hang"])
+        self.assertEqual([each.kind for each in day.faults], ["crash", "hang"])
         memory = [read_text(each.text).fleet.memory for each in jobs]
         self.assertEqual(len(set(memory[:4])), 1)               # drawn by the seed alone
         self.assertNotEqual(memory[0], memory[4])
@@ -71,7 +71,7 @@
 
     def test_drawn_troubles(self):
         it = read_text_of(SMALL + "seeds 1 to 30\ndraw trouble 1 3\n")
-        counts = {len(read_text(each.text, seed=each.seed).troubles) for each in it.jobs()}
+        counts = {len(read_text(each.text, seed=each.seed).faults) for each in it.jobs()}
         self.assertEqual(counts, {1, 2, 3})
 
     def test_constants_are_in_force_for_their_run_alone(self):
--- a/threadshift/adapter/codec.py
+++ b/threadshift/adapter/codec.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import TextIO
 
-from threadshift.conf.settings import Fields, InvalidInput
+from threadshift.conf.settings import FieldReader, InvalidInput
 from threadshift.interface import MS
 
 
@@ -28,15 +28,15 @@
 class Batch:
     """One batch: its number, its time and its event lines."""
 
-    def __init__(self, number: int, now: int, lines: list[Fields]):
+    def __init__(self, number: int, now: int, lines: list[FieldReader]):
         self.number, self.now, self.lines = number, now, lines
 
 
 def read_batches(source: TextIO) -> Iterator[Batch]:
     """Yields batches until the end of input. Raises InvalidInput, also where the input ends inside a batch."""
     line_number = 0
-    header: Fields | None = None
-    lines: list[Fields] = []
+    header: FieldReader | None = None
+    lines: list[FieldReader] = []
     for raw in source:
         line_number += 1
         text = raw.strip()
@@ -46,14 +46,14 @@
         if header is None:
             if keyword != "SYNC":
                 raise InvalidInput(f"line {line_number}: expected SYNC, found '{keyword}'")
-            header = Fields(keyword, parse_pairs(rest, line_number), line_number)
+            header = FieldReader(keyword, parse_pairs(rest, line_number), line_number)
         elif keyword == "EOB":
             yield Batch(header.whole("frame"), header.ns("clock"), lines)
             header, lines = None, []
         elif keyword == "SYNC":
             raise InvalidInput(f"line {line_number}: SYNC inside a batch")
         else:
-            lines.append(Fields(keyword, parse_pairs(rest, line_number), line_number))
+            lines.append(FieldReader(keyword, parse_pairs(rest, line_number), line_number))
     if header is not None:
         raise InvalidInput(f"line {line_number}: input ends inside a batch")
 
--- a/threadshift/adapter/host.py
+++ b/threadshift/adapter/host.py
@@ -6,7 +6,7 @@
 
 from threadshift.adapter.codec import Batch, format_line, format_ms
 from threadshift.choice import Dispatcher
-from threadshift.conf.settings import Fields, InvalidInput, deployment, report
+from threadshift.conf.settings import FieldReader, InvalidInput, parse_deployment, parse_load_report
 from threadshift.interface import MS, Action, Copy, Outcome, Step, WorkerListing, WorkerState
 
 # The protocol's numbers of outcomes, worker states and copies.
@@ -20,14 +20,14 @@
 LINE_BREAKS_TO_SPACES = str.maketrans("\r\n", "  ")
 
 
-def parse_listing(row: Fields) -> WorkerListing:
+def parse_listing(row: FieldReader) -> WorkerListing:
     """A worker's listing from a ROW line."""
     return WorkerListing(row.text("worker"), row.read("mode", lambda text: STATES[int(text)]),
                          row.text("rackZone", ""), row.whole("cluster", 0), row.ns("onlineSince", 0),
                          row.number("powerHint", 1.0))
 
 
-def parse_outcome(event: Fields) -> Outcome:
+def parse_outcome(event: FieldReader) -> Outcome:
     """The outcome that an event carries as a number."""
     return event.read("outcome", lambda text: OUTCOMES[int(text)])
 
@@ -35,16 +35,16 @@
 class DispatcherInstance:
     """One front end: its dispatcher, its activations and the reminder that it has set with the simulator."""
 
-    def __init__(self, number: int, start: Fields, now: int):
+    def __init__(self, number: int, start: FieldReader, now: int):
         self.number = number
-        self.dispatcher = Dispatcher(start.whole("entropy"), deployment(start), now)
+        self.dispatcher = Dispatcher(start.whole("entropy"), parse_deployment(start), now)
         self.activations: dict[str, object] = {}    # without an answer, or with open sends
         self.reminder_handle = 0
         self.reminder: int | None = None            # when the reminder is due
 
-    def handle_event(self, event: Fields, now: int, tables: dict[int, list[WorkerListing]]) -> list[Step]:
+    def handle_event(self, event: FieldReader, now: int, tables: dict[int, list[WorkerListing]]) -> list[Step]:
         """Calls the dispatcher for one event. Unknown events are ignored."""
-        keyword = event.word
+        keyword = event.keyword
         if keyword == "REQUEST":
             return self.handle_request(event, now)
         if keyword == "VERDICT":
@@ -63,7 +63,7 @@
                 event.whole("instances", 0))
         if keyword == "STATUS_BACK":
             return self.dispatcher.on_report(
-                now, event.text("worker"), parse_outcome(event), report(event.text("usage", ""), ","))
+                now, event.text("worker"), parse_outcome(event), parse_load_report(event.text("usage", ""), ","))
         if keyword == "HEADERS":
             activation = self.activations.get(event.text("id"))
             return activation.on_answer_started(now, event.whole("go")) if activation else []
@@ -77,7 +77,7 @@
             return self.dispatcher.update_workers(now, tables[number], full=scope != 0)
         return []
 
-    def handle_request(self, event: Fields, now: int) -> list[Step]:
+    def handle_request(self, event: FieldReader, now: int) -> list[Step]:
         """Admits a request."""
         name = event.text("id")
         activation = self.dispatcher.admit(
@@ -87,7 +87,7 @@
         self.activations[name] = activation
         return self.drop_if_finished(activation, activation.start(now))
 
-    def handle_send_end(self, event: Fields, now: int) -> list[Step]:
+    def handle_send_end(self, event: FieldReader, now: int) -> list[Step]:
         """Reports the end of a send."""
         activation = self.activations.get(event.text("id"))
         if activation is None:
@@ -95,7 +95,7 @@
         return self.drop_if_finished(activation, activation.on_send_ended(
             now, event.whole("go"), parse_outcome(event), event.ns("waitTime", 0),
             copy=COPIES.get(event.whole("info", 0) % 8, Copy.UNKNOWN), final=event.flag("final", False),
-            report=report(event.text("usage", ""), ",")))
+            report=parse_load_report(event.text("usage", ""), ",")))
 
     def drop_if_finished(self, activation, steps: list[Step]) -> list[Step]:
         """Forgets the activation once nothing more can come for it. Returns `steps` unchanged."""
@@ -147,22 +147,23 @@
         rows: list[WorkerListing] = []
         missing_rows = 0
         for event in batch.lines:
-            if missing_rows or event.word == "ROW":
-                if event.word != "ROW" or not missing_rows:
-                    raise InvalidInput(f"line {event.line}: {event.word} where {missing_rows} more ROW were announced")
+            if missing_rows or event.keyword == "ROW":
+                if event.keyword != "ROW" or not missing_rows:
+                    raise InvalidInput(
+                        f"line {event.line}: {event.keyword} where {missing_rows} more ROW were announced")
                 rows.append(parse_listing(event))
                 missing_rows -= 1
                 continue
-            if event.word == "TABLE":
+            if event.keyword == "TABLE":
                 rows = []
                 missing_rows = event.whole("lines")
                 self.tables[event.whole("list")] = rows
                 continue
             number = event.whole("i")
             try:
-                if event.word == "START":
+                if event.keyword == "START":
                     touched[number] = self.instances[number] = DispatcherInstance(number, event, batch.now)
-                elif event.word == "KILL":
+                elif event.keyword == "KILL":
                     self.instances.pop(number, None)
                     touched.pop(number, None)
                 elif number in self.instances:
--- a/threadshift/audit/report.py
+++ b/threadshift/audit/report.py
@@ -8,8 +8,8 @@
 
 from threadshift.audit.records import Seen, by, chains, read, whole
 from threadshift.audit.rules import Breach, breaches
-from threadshift.days import day as days
-from threadshift.days.day import Day
+from threadshift.days import fault_scenario
+from threadshift.days.fault_scenario import FaultScenario
 from threadshift.interface import Deployment
 
 
@@ -65,10 +65,10 @@
     return asked, in_time
 
 
-def judge(day: Day, seen: list[Seen]) -> Verdict:
+def judge(day: FaultScenario, seen: list[Seen]) -> Verdict:
     """What a day came to, by its records. Raises Unreadable where they do not suffice."""
     whole(seen)
-    it = day.told.deployment
+    it = day.config.deployment
     verdict = Verdict(
         tries=len(by(seen, "try")), firsts=len({each["first"] for each in by(seen, "try")}),
         finals=Counter(each["final"] for each in by(seen, "answer")), quits=len(by(seen, "quit")),
@@ -81,4 +81,4 @@
 
 def audit(folder: Path) -> Verdict:
     """Reads and checks one folder. Raises records.Unreadable or reading.ConfigurationError."""
-    return judge(days.read(str(folder / "day.conf")), read(folder))
+    return judge(fault_scenario.read(str(folder / "day.conf")), read(folder))
--- a/threadshift/conf/__init__.py
+++ b/threadshift/conf/__init__.py
@@ -1,1 +1,1 @@
-"""The line-based configuration: reading, checking, and what a reload may change."""
+"""Configuration: parsing the line-based format, checking it, and what a reload may change."""
--- a/threadshift/conf/announcing.py
+++ b/threadshift/conf/announcing.py
@@ -1,4 +1,4 @@
-"""The `bgp` block of a configuration: what is announced, to whom, and how each standing looks."""
+"""The `bgp` block of a configuration: which addresses are announced, to which routers, and with which attributes."""
 from __future__ import annotations
 
 import ipaddress
@@ -6,16 +6,17 @@
 from typing import NamedTuple
 
 from threadshift.conf import values
-from threadshift.conf.reading import Block, Directive, Word, nearest
+from threadshift.conf.reading import ONE_OR_MORE, BlockSpec, Directive, DirectiveSpec, nearest
 from threadshift.conf.values import Address
 from threadshift.interface import SECOND
 
-LEAST_HOLD, MOST_HOLD = 3, 240     # s; RFC 4271: 3 at least; longer than minutes keeps a dead front end's routes
+MIN_HOLD = 3               # s; the least that RFC 4271 allows
+MAX_HOLD = 240             # s; a longer one would keep a dead front end's routes for minutes
 STANDINGS = ("full", "lesser", "poor", "last")
 
 
-class Peer(NamedTuple):
-    """A router that is spoken to."""
+class BgpPeer(NamedTuple):
+    """A router with which a BGP session is held."""
 
     name: str
     address: Address
@@ -25,15 +26,15 @@
     ttl_security: bool
 
 
-class Announced(NamedTuple):
-    """A service address."""
+class AnnouncedAddress(NamedTuple):
+    """A service address that is announced."""
 
     prefix: ipaddress.IPv4Network | ipaddress.IPv6Network
-    types: tuple[str, ...]     # empty: all
+    types: tuple[str, ...]     # namespace types that are served there, empty: all
 
 
-class Look(NamedTuple):
-    """How a standing looks in a route."""
+class RouteAttributes(NamedTuple):
+    """The attributes of a route that is announced with one standing."""
 
     med: int
     prepend: int
@@ -41,7 +42,9 @@
     communities: tuple[int, ...]
 
 
-class Announcing(NamedTuple):
+class BgpConfig(NamedTuple):
+    """A whole `bgp` block."""
+
     asn: int
     router: int
     hold: int                  # s
@@ -50,12 +53,13 @@
     reflects: bool             # routers reflect other front ends' routes to us
     fade: int                  # ns, the most that a drain waits for traffic to fade
     converge: int              # ns, from a withdrawal to the last connection that may still come
-    peers: tuple[Peer, ...]
-    addresses: tuple[Announced, ...]
-    looks: dict[str, Look]
+    peers: tuple[BgpPeer, ...]
+    addresses: tuple[AnnouncedAddress, ...]
+    route_attributes: dict[str, RouteAttributes]      # by standing
 
 
 def as_number(text: str) -> int:
+    """The number of an autonomous system."""
     number = values.count(text) if len(text) < 10 else int(text) if text.isdigit() else 0
     if not 0 < number < 2**32:
         raise ValueError("an AS number from 1 to 4294967295 is wanted")
@@ -63,6 +67,7 @@
 
 
 def router_id(text: str) -> int:
+    """A BGP identifier, written as an IPv4 address."""
     number = int(ipaddress.IPv4Address(text))
     if not number:
         raise ValueError("a router id is not 0.0.0.0")
@@ -70,87 +75,104 @@
 
 
 def hold_time(text: str) -> int:
+    """A BGP hold time in seconds."""
     seconds, rest = divmod(values.duration(text), SECOND)
-    if rest or not LEAST_HOLD <= seconds <= MOST_HOLD:
-        raise ValueError(f"whole seconds from {LEAST_HOLD}s to {MOST_HOLD}s are wanted")
+    if rest or not MIN_HOLD <= seconds <= MAX_HOLD:
+        raise ValueError(f"whole seconds from {MIN_HOLD}s to {MAX_HOLD}s are wanted")
     return seconds
 
 
 def community(text: str) -> int:
-    high, mark, low = text.partition(":")
-    if not mark or not high.isdigit() or not low.isdigit() or int(high) > 65535 or int(low) > 65535:
+    """A BGP community such as 65001:100, as its 32-bit number."""
+    high, colon, low = text.partition(":")
+    if not colon or not high.isdigit() or not low.isdigit() or int(high) > 65535 or int(low) > 65535:
         raise ValueError("a community such as 65001:100 is wanted")
     return int(high) << 16 | int(low)
 
 
-def whole(text: str) -> int:
+def whole_number(text: str) -> int:
+    """A whole number of 32 bits; 0 is allowed."""
     if not text.isdigit() or int(text) >= 2**32:
         raise ValueError("a whole number below 4294967296 is wanted")
     return int(text)
 
 
-BGP = Block({
-    "local-as": Word(as_number, wanted=True), "router-id": Word(router_id, wanted=True),
-    "hold-time": Word(hold_time, 9),
-    "next-hop": Word(lambda words: tuple(map(ipaddress.ip_address, words)), wanted=True, words=-1),
-    "listen": Word(values.address), "reflects": Word(values.flag, False),
-    "fade": Word(values.duration, 5 * SECOND), "converge": Word(values.duration, 2 * SECOND),
+BGP = BlockSpec({
+    "local-as": DirectiveSpec(as_number, required=True),
+    "router-id": DirectiveSpec(router_id, required=True),
+    "hold-time": DirectiveSpec(hold_time, 9),
+    "next-hop": DirectiveSpec(lambda words: tuple(map(ipaddress.ip_address, words)), required=True,
+                              word_count=ONE_OR_MORE),
+    "listen": DirectiveSpec(values.address),
+    "reflects": DirectiveSpec(values.flag, False),
+    "fade": DirectiveSpec(values.duration, 5 * SECOND),
+    "converge": DirectiveSpec(values.duration, 2 * SECOND),
 }, nested=frozenset({"peer", "address", "standing"}))
-PEER = Block({"address": Word(values.address, wanted=True), "as": Word(as_number, wanted=True),
-              "passive": Word(values.flag, False),
-              "source": Word(lambda text: str(ipaddress.ip_address(text)), ""),
-              "ttl-security": Word(values.flag, False)})
-ADDRESS = Block({"types": Word(tuple, (), words=-1)})
-LOOK = Block({"med": Word(whole, wanted=True), "prepend": Word(whole, 0), "local-pref": Word(whole, wanted=True),
-              "communities": Word(lambda words: tuple(map(community, words)), (), words=-1)})
-
-
-def announcing(line: Directive, types: Sequence[str]) -> Announcing:
-    """A `bgp` block. Raises ConfigurationError."""
+PEER = BlockSpec({
+    "address": DirectiveSpec(values.address, required=True),
+    "as": DirectiveSpec(as_number, required=True),
+    "passive": DirectiveSpec(values.flag, False),
+    "source": DirectiveSpec(lambda text: str(ipaddress.ip_address(text)), ""),
+    "ttl-security": DirectiveSpec(values.flag, False),
+})
+ADDRESS = BlockSpec({"types": DirectiveSpec(tuple, (), word_count=ONE_OR_MORE)})
+STANDING = BlockSpec({
+    "med": DirectiveSpec(whole_number, required=True),
+    "prepend": DirectiveSpec(whole_number, 0),
+    "local-pref": DirectiveSpec(whole_number, required=True),
+    "communities": DirectiveSpec(lambda words: tuple(map(community, words)), (), word_count=ONE_OR_MORE),
+})
+
+
+def parse_bgp(line: Directive, types: Sequence[str]) -> BgpConfig:
+    """Reads a `bgp` block; `types` are the known namespace types. Raises ConfigurationError."""
     lines = line.block or []
     found = BGP.read(lines, line, line.file)
-    addresses = tuple(address(each, types) for each in lines if each.name == "address")
-    peers = tuple(peer(each) for each in lines if each.name == "peer")
+    addresses = tuple(parse_address(each, types) for each in lines if each.name == "address")
+    peers = tuple(parse_peer(each) for each in lines if each.name == "peer")
     if not addresses or not peers:
-        raise line.wrong(f"'bgp' needs {'an address' if not addresses else 'a peer'} block at least")
+        raise line.error(f"'bgp' needs {'an address' if not addresses else 'a peer'} block at least")
     for kind, names in (("address", [str(each.prefix) for each in addresses]),
                         ("peer", [each.name for each in peers])):
         twice = next((name for name in names if names.count(name) > 1), None)
         if twice:
-            raise line.wrong(f"'{kind} {twice}' stands twice")
+            raise line.error(f"'{kind} {twice}' stands twice")
     versions = {each.version for each in found["next-hop"]}
     lacking = next((each for each in addresses if each.prefix.version not in versions), None)
     if lacking:
-        raise line.wrong(f"'address {lacking.prefix}' has no next-hop of its own kind, IPv{lacking.prefix.version}")
-    looks = dict(look(each) for each in lines if each.name == "standing")
-    return Announcing(found["local-as"], found["router-id"], found["hold-time"], found["next-hop"], found["listen"],
-                      found["reflects"], found["fade"], found["converge"], peers, addresses, looks)
+        raise line.error(f"'address {lacking.prefix}' has no next-hop of its own kind, IPv{lacking.prefix.version}")
+    route_attributes = dict(parse_standing(each) for each in lines if each.name == "standing")
+    return BgpConfig(found["local-as"], found["router-id"], found["hold-time"], found["next-hop"], found["listen"],
+                     found["reflects"], found["fade"], found["converge"], peers, addresses, route_attributes)
 
 
-def peer(line: Directive) -> Peer:
+def parse_peer(line: Directive) -> BgpPeer:
+    """Reads one `peer` block."""
     found = PEER.read(line.block or (), line, line.file)
     if len(line.words) != 1:
-        raise line.wrong("'peer' takes one name before its block")
+        raise line.error("'peer' takes one name before its block")
     if found["address"].path:
-        raise line.wrong(f"peer {line.words[0]}: BGP is spoken over TCP, not over a Unix socket")
-    return Peer(line.words[0], found["address"], found["as"], found["passive"], found["source"],
-                found["ttl-security"])
+        raise line.error(f"peer {line.words[0]}: BGP is spoken over TCP, not over a Unix socket")
+    return BgpPeer(line.words[0], found["address"], found["as"], found["passive"], found["source"],
+                   found["ttl-security"])
 
 
-def address(line: Directive, types: Sequence[str]) -> Announced:
+def parse_address(line: Directive, types: Sequence[str]) -> AnnouncedAddress:
+    """Reads one `address` block; `types` are the known namespace types."""
     found = ADDRESS.read(line.block or (), line, line.file)
     try:
         prefix = ipaddress.ip_network(line.words[0] if len(line.words) == 1 else "")
     except ValueError as problem:
-        raise line.wrong(f"'address' takes one prefix such as 192.0.2.1/32 before its block: {problem}") from None
+        raise line.error(f"'address' takes one prefix such as 192.0.2.1/32 before its block: {problem}") from None
     for name in found["types"]:
         if name not in types:
-            raise line.wrong(f"address {prefix}: no type '{name}'{nearest(name, types)}")
-    return Announced(prefix, found["types"])
+            raise line.error(f"address {prefix}: no type '{name}'{nearest(name, types)}")
+    return AnnouncedAddress(prefix, found["types"])
 
 
-def look(line: Directive) -> tuple[str, Look]:
+def parse_standing(line: Directive) -> tuple[str, RouteAttributes]:
+    """Reads one `standing` block: its name and its route attributes."""
     if len(line.words) != 1 or line.words[0] not in STANDINGS:
-        raise line.wrong(f"'standing' takes one of {', '.join(STANDINGS)} before its block")
-    return line.words[0], Look(**{name.replace("-", "_"): value
-                                  for name, value in LOOK.read(line.block or (), line, line.file).items()})
+        raise line.error(f"'standing' takes one of {', '.join(STANDINGS)} before its block")
+    return line.words[0], RouteAttributes(**{
+        name.replace("-", "_"): value for name, value in STANDING.read(line.block or (), line, line.file).items()})
--- a/threadshift/conf/peering.py
+++ b/threadshift/conf/peering.py
@@ -1,4 +1,4 @@
-"""The `peers` block of a configuration: who the front ends of an installation are, and which of them are voters."""
+"""The `peers` block of a configuration: the front ends of an installation, and which of them are voters."""
 from __future__ import annotations
 
 from pathlib import Path
@@ -6,16 +6,16 @@
 
 from threadshift.batches.cancels import WINDOW
 from threadshift.conf import values
-from threadshift.conf.reading import Block, Directive, Word, nearest
+from threadshift.conf.reading import BlockSpec, Directive, DirectiveSpec, nearest
 from threadshift.conf.values import Address
 from threadshift.consensus.member import Timing, Voters, checked
 from threadshift.interface import MS, SECOND
 
-# shorter, a busy process loses it; longer, a minute without a holder
-LEAST_LEASE, MOST_LEASE = 300 * MS, 60 * SECOND
-BEATS = 7                  # of a holder within a lease: some may be lost
-MOST_MEMBERS = 200
-FACTS = ("hall", "machine")
+MIN_LEASE = 300 * MS       # with a shorter one, a busy process loses its lease
+MAX_LEASE = 60 * SECOND    # with a longer one, no front end may hold the lease for a minute
+HEARTBEATS_PER_LEASE = 7   # so that some may be lost
+MAX_FRONT_ENDS = 200
+LOCATION_KEYS = ("hall", "machine")
 
 
 class Peer(NamedTuple):
@@ -28,11 +28,11 @@
     machine: str = ""
 
 
-class Peering(NamedTuple):
-    """All of them, as every configuration file of the installation has to say."""
+class PeersConfig(NamedTuple):
+    """All front ends of the installation, listed alike in each of its configuration files."""
 
     peers: tuple[Peer, ...]
-    folder: Path               # what must last of this front end lies here
+    folder: Path               # holds the state of this front end that must survive a restart
     timing: Timing
     undo: int                  # ns, in which a cancelled batch may be restored
 
@@ -44,55 +44,59 @@
         return next((each for each in self.peers if each.name == name), None)
 
 
-PEERS = Block({
-    "folder": Word(Path, wanted=True),
-    "lease": Word(values.duration, Timing().lease),
-    "undo": Word(values.duration, WINDOW),
+PEERS = BlockSpec({
+    "folder": DirectiveSpec(Path, required=True),
+    "lease": DirectiveSpec(values.duration, Timing().lease),
+    "undo": DirectiveSpec(values.duration, WINDOW),
 })
 
 
-def peering(block: Directive, names: list[str]) -> Peering:
-    """Reads it; `names` are the front ends of this file, each of which must be named in it. Raises ConfigurationError."""
+def parse_peers(block: Directive, names: list[str]) -> PeersConfig:
+    """Reads a `peers` block. `names` are the front ends of this file, which it must list.
+
+    Raises ConfigurationError."""
     lines = block.block or []
     members = [line for line in lines if line.name in ("voter", "follower")]
     for line in lines:
         if line not in members and line.name not in PEERS.known:
             close = nearest(line.name, [*PEERS.known, "voter", "follower"])
-            raise line.wrong(f"unknown directive '{line.name}'{close}")
+            raise line.error(f"unknown directive '{line.name}'{close}")
     found = PEERS.read([line for line in lines if line not in members], block, block.file)
     peers: dict[str, Peer] = {}
     for line in members:
-        it = member(line)
-        if it.name in peers:
-            raise line.wrong(f"'{it.name}' stands twice")
-        if it.address in (each.address for each in peers.values()):
-            raise line.wrong(f"{it.address} stands twice: each listens for its peers at an address of its own")
-        peers[it.name] = it
-    if not LEAST_LEASE <= found["lease"] <= MOST_LEASE:
-        raise block.wrong(f"'lease': from {LEAST_LEASE // MS}ms to {MOST_LEASE // SECOND}s")
-    if len(peers) > MOST_MEMBERS:
-        raise block.wrong(f"{len(peers)} front ends; at most {MOST_MEMBERS} hold a record in common")
+        peer = parse_member(line)
+        if peer.name in peers:
+            raise line.error(f"'{peer.name}' stands twice")
+        if peer.address in (each.address for each in peers.values()):
+            raise line.error(f"{peer.address} stands twice: each listens for its peers at an address of its own")
+        peers[peer.name] = peer
+    if not MIN_LEASE <= found["lease"] <= MAX_LEASE:
+        raise block.error(f"'lease': from {MIN_LEASE // MS}ms to {MAX_LEASE // SECOND}s")
+    if len(peers) > MAX_FRONT_ENDS:
+        raise block.error(f"{len(peers)} front ends; at most {MAX_FRONT_ENDS} share a replicated record")
     try:
         checked([each.name for each in peers.values() if each.voter])
     except Voters as problem:
-        raise block.wrong(f"{problem}; {problem.help}") from None
+        raise block.error(f"{problem}; {problem.help}") from None
     for name in names:
         if name not in peers:
-            raise block.wrong(f"'{name}' is a front end of this file and is not named here{nearest(name, peers)}")
+            raise block.error(f"'{name}' is a front end of this file and is not named here{nearest(name, peers)}")
     lease = found["lease"]
-    return Peering(tuple(peers.values()), found["folder"], Timing(lease // BEATS, lease), found["undo"])
+    return PeersConfig(tuple(peers.values()), found["folder"], Timing(lease // HEARTBEATS_PER_LEASE, lease),
+                       found["undo"])
 
 
-def member(line: Directive) -> Peer:
-    """'voter front-0 127.0.0.1:7001 hall east machine m1'."""
+def parse_member(line: Directive) -> Peer:
+    """Reads one front end: 'voter front-0 127.0.0.1:7001 hall east machine m1'."""
     if len(line.words) < 2 or len(line.words) % 2:
-        raise line.wrong(f"'{line.name}' takes a name and an address, then {' and '.join(FACTS)} with a word each")
-    facts = dict(zip(line.words[2::2], line.words[3::2], strict=True))
-    for fact in facts:
-        if fact not in FACTS:
-            raise line.wrong(f"'{fact}' is not told of a front end{nearest(fact, FACTS)}")
+        raise line.error(
+            f"'{line.name}' takes a name and an address, then {' and '.join(LOCATION_KEYS)} with a word each")
+    location = dict(zip(line.words[2::2], line.words[3::2], strict=True))
+    for key in location:
+        if key not in LOCATION_KEYS:
+            raise line.error(f"'{key}' is not known of a front end{nearest(key, LOCATION_KEYS)}")
     try:
         return Peer(values.name(line.words[0]), values.address(line.words[1]), line.name == "voter",
-                    **{fact: values.name(word) for fact, word in facts.items()})
+                    **{key: values.name(word) for key, word in location.items()})
     except ValueError as problem:
-        raise line.wrong(f"'{line.name} {' '.join(line.words)}': {problem}") from None
+        raise line.error(f"'{line.name} {' '.join(line.words)}': {problem}") from None
--- a/threadshift/conf/reading.py
+++ b/threadshift/conf/reading.py
@@ -1,12 +1,12 @@
-"""Reads the line-based form: one directive a line, blocks in braces, '#' begins a comment.
+"""Parses the line-based configuration format: one directive a line, blocks in braces, '#' begins a comment.
 
     listen 127.0.0.1:8080
     type qty-check {
         target-latency 600ms
     }
 
-Words are parted by white space; a word with spaces or '#' stands in double quotes. Every mistake is a `ConfigurationError`
-that names file, line and word, so that `threadshift check` and a reload say the same.
+Words are separated by white space; a word that contains spaces or '#' is enclosed in double quotes. Every fault is
+reported as a `ConfigurationError` that names file, line and word, the same in `threadshift check` and in a reload.
 """
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 
 from threadshift.errors import ThreadshiftError
 
-LONGEST_FILE = 1 << 20     # bytes; a thousand times a usual file, and still read at once
-DEEPEST = 4                # blocks in blocks; the form needs two
+MAX_FILE_SIZE = 1 << 20    # bytes; a thousand times a usual file, and still read at once
+MAX_DEPTH = 4              # levels of directives; the format needs two levels of blocks
+ONE_OR_MORE = -1           # as DirectiveSpec.word_count: at least one word, passed to the parser as a list
 
 WORD = re.compile(r'"([^"]*)"|([^\s"#]+)|(#.*)|(")')
 
 
 class ConfigurationError(ThreadshiftError):
-    """What is wrong, where; `str()` is the one line to show."""
+    """A fault in a configuration file; `str()` is one line that says where it is and what is wrong."""
 
     help = "mend the file at the line named, and try it with 'threadshift check'"
 
@@ -37,7 +38,7 @@
 
 @dataclass(slots=True)
 class Directive:
-    """One line: its first word, the words after it, and the lines of its block, None where it has none."""
+    """One line: its first word as the name, the words after it, and the lines of its block, None without a block."""
 
     file: str
     line: int
@@ -45,7 +46,8 @@
     words: list[str]
     block: list[Directive] | None = None
 
-    def wrong(self, text: str) -> ConfigurationError:
+    def error(self, text: str) -> ConfigurationError:
+        """An error at this line."""
         return ConfigurationError(self.file, self.line, text)
 
 
@@ -62,10 +64,10 @@
 
 
 def parse(text: str, file: str) -> list[Directive]:
-    """The directives of a file's text, nested as they stand."""
+    """The directives of a file's text, nested as in the file."""
     top: list[Directive] = []
     open_blocks: list[Directive] = []
-    inside = [top]              # the lists of lines that are open, the innermost last
+    open_lists = [top]          # where the lines of each open block are collected, the innermost last
     for number, raw in enumerate(text.splitlines(), 1):
         words = split(raw, file, number)
         if not words:
@@ -74,7 +76,7 @@
             if not open_blocks:
                 raise ConfigurationError(file, number, "'}' closes no block")
             open_blocks.pop()
-            inside.pop()
+            open_lists.pop()
             continue
         opens = words[-1] == "{"
         stray = next((word for word in words[:-1 if opens else None] if word in "{}"), None)
@@ -83,13 +85,13 @@
         if opens and len(words) == 1:
             raise ConfigurationError(file, number, "a block needs a name before '{'")
         block: list[Directive] = []
-        it = Directive(file, number, words[0], words[1:-1] if opens else words[1:], block if opens else None)
-        inside[-1].append(it)
+        directive = Directive(file, number, words[0], words[1:-1] if opens else words[1:], block if opens else None)
+        open_lists[-1].append(directive)
         if opens:
-            if len(open_blocks) + 1 >= DEEPEST:
-                raise ConfigurationError(file, number, f"blocks stand more than {DEEPEST - 1} deep")
-            open_blocks.append(it)
-            inside.append(block)
+            if len(open_blocks) + 1 >= MAX_DEPTH:
+                raise ConfigurationError(file, number, f"blocks are nested more than {MAX_DEPTH - 1} deep")
+            open_blocks.append(directive)
+            open_lists.append(block)
     if open_blocks:
         raise ConfigurationError(file, open_blocks[-1].line, f"the block of '{open_blocks[-1].name}' is not closed")
     return top
@@ -98,13 +100,13 @@
 def load(path: str) -> list[Directive]:
     """The directives of a file on disk.
 
-    Raises ConfigurationError where it cannot be read, is too long or is no UTF-8 text."""
+    Raises ConfigurationError where the file cannot be read, is too long or is not UTF-8 text."""
     try:
         data = Path(path).read_bytes()
     except OSError as problem:
         raise ConfigurationError(path, 0, f"cannot be read: {problem.strerror}") from None
-    if len(data) > LONGEST_FILE:
-        raise ConfigurationError(path, 0, f"has {len(data)} bytes, more than {LONGEST_FILE}")
+    if len(data) > MAX_FILE_SIZE:
+        raise ConfigurationError(path, 0, f"has {len(data)} bytes, more than {MAX_FILE_SIZE}")
     try:
         return parse(data.decode(), path)
     except UnicodeDecodeError as problem:
@@ -112,57 +114,61 @@
 
 
 @dataclass(slots=True)
-class Word:
-    """One directive that a block knows: how its words are read, and what holds where it is absent."""
+class DirectiveSpec:
+    """One directive that a block may hold: how its words are parsed, and its value where it is absent."""
 
-    read: Callable[..., Any]
+    parse: Callable[..., Any]
     default: Any = None
-    wanted: bool = False        # absent is a mistake
-    words: int = 1              # how many it takes; -1: one or more, handed over as a list
-    reload: bool = False        # may change while running
+    required: bool = False      # the block must hold this directive
+    word_count: int = 1         # number of words after the name, or ONE_OR_MORE
+    reloadable: bool = False    # may change while a front end runs
 
 
 @dataclass(slots=True)
-class Block:
-    """The directives of one block, read by name; what it does not know is a mistake with the nearest known."""
+class BlockSpec:
+    """The directives that one kind of block may hold. An unknown one is an error that names the nearest known one."""
 
-    known: dict[str, Word]
-    nested: frozenset[str] = field(default_factory=frozenset)
+    known: dict[str, DirectiveSpec]
+    nested: frozenset[str] = field(default_factory=frozenset)   # names of blocks inside, which the caller reads
 
     def read(self, lines: Iterable[Directive], owner: Directive | None, file: str) -> dict[str, Any]:
+        """The values of all known directives by name. `owner` is the block's own line, None for the whole file."""
         found: dict[str, Any] = {}
         for line in lines:
             if line.name in self.nested:
                 if line.block is None:
-                    raise line.wrong(f"'{line.name}' needs a block in braces")
+                    raise line.error(f"'{line.name}' needs a block in braces")
                 continue
-            word = self.known.get(line.name)
-            if word is None:
-                raise line.wrong(f"unknown directive '{line.name}'{nearest(line.name, [*self.known, *self.nested])}")
+            spec = self.known.get(line.name)
+            if spec is None:
+                raise line.error(f"unknown directive '{line.name}'{nearest(line.name, [*self.known, *self.nested])}")
             if line.block is not None:
-                raise line.wrong(f"'{line.name}' takes no block")
+                raise line.error(f"'{line.name}' takes no block")
             if line.name in found:
-                raise line.wrong(f"'{line.name}' stands twice")
-            found[line.name] = self.value(line, word)
-        for name, word in self.known.items():
+                raise line.error(f"'{line.name}' stands twice")
+            found[line.name] = self.value(line, spec)
+        for name, spec in self.known.items():
             if name not in found:
-                if word.wanted:
+                if spec.required:
                     place = f"{owner.name} {' '.join(owner.words)}".strip() if owner else "the file"
                     raise ConfigurationError(file, owner.line if owner else 0, f"{place} lacks '{name}'")
-                found[name] = word.default
+                found[name] = spec.default
         return found
 
     @staticmethod
-    def value(line: Directive, word: Word) -> Any:
-        if word.words >= 0 and len(line.words) != word.words or not line.words and word.words:
-            many = "at least one word" if word.words < 0 else f"{word.words} word{'s' * (word.words != 1)}"
-            raise line.wrong(f"'{line.name}' takes {many}, found {len(line.words)}")
+    def value(line: Directive, spec: DirectiveSpec) -> Any:
+        """The parsed words of one directive."""
+        if spec.word_count >= 0 and len(line.words) != spec.word_count or not line.words and spec.word_count:
+            many = ("at least one word" if spec.word_count < 0
+                    else f"{spec.word_count} word{'s' * (spec.word_count != 1)}")
+            raise line.error(f"'{line.name}' takes {many}, found {len(line.words)}")
         try:
-            return word.read(line.words) if word.words < 0 else word.read(*line.words)
+            return spec.parse(line.words) if spec.word_count < 0 else spec.parse(*line.words)
         except ValueError as problem:
-            raise line.wrong(f"'{line.name} {' '.join(line.words)}': {problem}") from None
+            raise line.error(f"'{line.name} {' '.join(line.words)}': {problem}") from None
 
 
 def nearest(name: str, known: Iterable[str]) -> str:
+    """The end of an error message that suggests the known name closest to this one; empty where none is close."""
     close = difflib.get_close_matches(name, list(known), 1)
     return f"; the nearest known is '{close[0]}'" if close else ""
--- a/threadshift/conf/settings.py
+++ b/threadshift/conf/settings.py
@@ -1,7 +1,8 @@
-"""The settings that a front end of a platform is told at its start, by dotted names, in the project's terms.
+"""Reads the settings that a platform hands over to a front end at its start, under the platform's dotted names.
 
-The bench's wire gives them as path=value pairs, a real front end finds them as nested JSON: `flat()` makes pairs of
-that. One reader serves both, so that both decide by the same figures. Times are told in milliseconds.
+The simulator's protocol gives them as path=value pairs, and a real front end finds them as nested JSON, which
+`flatten()` turns into such pairs. One reader serves both, so that both decide by the same values. Times are in
+milliseconds.
 """
 from __future__ import annotations
 
@@ -14,9 +15,9 @@
 
 EFFECTS = {"safe": Effect.REPEATABLE, "keyed": Effect.DEDUPLICATED, "unsafe": Effect.ONCE_ONLY}
 FLAGS = {"0": False, "1": True, "false": False, "true": True}
-DEEPEST = 8                # objects in objects; the settings need three
-# A load value goes by its long name on the bench's wire, and may go by its short one on sockets.
-LONG = {"queue": "backlog", "inflight": "outstanding", "util": "utilization"}
+MAX_DEPTH = 8              # objects in objects; the settings need three
+# A load value has its long name in the simulator's protocol, and may have its short one on sockets.
+LONG_NAMES = {"queue": "backlog", "inflight": "outstanding", "util": "utilization"}
 
 
 class InvalidInput(ThreadshiftError):
@@ -26,11 +27,12 @@
 
 
 def to_ns(text: str) -> int:
+    """Milliseconds as whole nanoseconds."""
     return round(float(text) * MS)
 
 
 def integer(text: str) -> int:
-    """A whole number, also as '64.0': JSON knows one kind of number."""
+    """A whole number, also written as '64.0', because JSON has one kind of number."""
     value = float(text)
     if not value.is_integer():
         raise ValueError(text)
@@ -38,32 +40,35 @@
 
 
 def finite(text: str) -> float:
+    """A number that is neither infinite nor NaN."""
     value = float(text)
     if not math.isfinite(value):
         raise ValueError(text)
     return value
 
 
-class Fields:
-    """Named parts, read by type; what is absent or malformed is reported with its place, a line or a file."""
+class FieldReader:
+    """Named fields, read by type. An absent or malformed one is reported with its place, a line number or a file."""
 
-    def __init__(self, word: str, values: dict[str, str], place: int | str):
-        self.word, self.values, self.line = word, values, place
+    def __init__(self, keyword: str, values: dict[str, str], place: int | str):
+        self.keyword, self.values, self.line = keyword, values, place
 
-    def wrong(self, text: str) -> InvalidInput:
+    def error(self, text: str) -> InvalidInput:
+        """An error at the place of these fields."""
         place = f"line {self.line}" if isinstance(self.line, int) else self.line
-        return InvalidInput(f"{place}: {self.word} {text}")
+        return InvalidInput(f"{place}: {self.keyword} {text}")
 
     def read(self, name: str, convert: Callable, default: Any = None) -> Any:
+        """The converted value of a field, or the default where it is absent; without a default it is required."""
         text = self.values.get(name)
         if text is None:
             if default is None:
-                raise self.wrong(f"lacks {name}")
+                raise self.error(f"lacks {name}")
             return default
         try:
             return convert(text)
         except (ValueError, KeyError, OverflowError):
-            raise self.wrong(f"has {name}={text[:80]}, which does not parse") from None
+            raise self.error(f"has {name}={text[:80]}, which does not parse") from None
 
     def text(self, name: str, default: str | None = None) -> str:
         return self.read(name, str, default)
@@ -81,80 +86,82 @@
         return self.read(name, FLAGS.__getitem__, default)
 
 
-def flat(told: Any, at: str = "", deep: int = 0) -> dict[str, str]:
+def flatten(value: Any, path: str = "", depth: int = 0) -> dict[str, str]:
     """Nested JSON as path=value pairs. Raises ValueError where it is nested too deep."""
-    if deep > DEEPEST:
-        raise ValueError(f"'{at[:80]}' is nested too deep")
-    if told is None:
-        return {}       # absent
-    if isinstance(told, dict):
-        parts: Iterable[tuple[str, Any]] = told.items()
-    elif isinstance(told, list) and any(isinstance(each, dict | list) for each in told):
-        parts = [("count", len(told)), *((str(n), each) for n, each in enumerate(told))]
-    elif isinstance(told, list):
-        return {at: ",".join(str(each).replace(",", "_") for each in told)}
+    if depth > MAX_DEPTH:
+        raise ValueError(f"'{path[:80]}' is nested too deep")
+    if value is None:
+        return {}       # as if absent
+    if isinstance(value, dict):
+        parts: Iterable[tuple[str, Any]] = value.items()
+    elif isinstance(value, list) and any(isinstance(each, dict | list) for each in value):
+        parts = [("count", len(value)), *((str(n), each) for n, each in enumerate(value))]
+    elif isinstance(value, list):
+        return {path: ",".join(str(each).replace(",", "_") for each in value)}
     else:
-        return {at: str(told).lower() if isinstance(told, bool) else str(told)}
+        return {path: str(value).lower() if isinstance(value, bool) else str(value)}
     found: dict[str, str] = {}
-    for name, value in parts:
-        found |= flat(value, f"{at}.{name}" if at else name, deep + 1)
+    for name, part in parts:
+        found |= flatten(part, f"{path}.{name}" if path else name, depth + 1)
     return found
 
 
-def deployment(told: Fields) -> Deployment:
+def parse_deployment(settings: FieldReader) -> Deployment:
     """The settings as a Deployment. Raises InvalidInput."""
-    def some(name: str, read: Callable[..., int] = told.ns, *default: int) -> int:
+    def positive(name: str, read: Callable[..., int] = settings.ns, *default: int) -> int:
         if (value := read(name, *default)) <= 0:
-            raise told.wrong(f"has {name}={told.values[name]}, where more than nothing is wanted")
+            raise settings.error(f"has {name}={settings.values[name]}, where more than nothing is wanted")
         return value
 
-    def lane(n: int) -> NamespaceType:
-        at = f"lanes.{n}."
+    def namespace_type(n: int) -> NamespaceType:
+        path = f"lanes.{n}."
         return NamespaceType(
-            told.text(at + "name"), some(at + "aim"), some(at + "giveUp"),
-            told.number(at + "worth"), told.number(at + "lateValue", 0.0),
-            told.read(at + "effect", EFFECTS.__getitem__), told.text(at + "group", "all"),
-            told.ns(at + "memorySpan", 0))
+            settings.text(path + "name"), positive(path + "aim"), positive(path + "giveUp"),
+            settings.number(path + "worth"), settings.number(path + "lateValue", 0.0),
+            settings.read(path + "effect", EFFECTS.__getitem__), settings.text(path + "group", "all"),
+            settings.ns(path + "memorySpan", 0))
 
-    def org(n: int) -> Tenant:
-        at = f"orgs.{n}."
-        return Tenant(told.text(at + "name"), told.number(at + "share", 0.0),
-                      told.number(at + "quotaPerS", 0.0))
+    def tenant(n: int) -> Tenant:
+        path = f"orgs.{n}."
+        return Tenant(settings.text(path + "name"), settings.number(path + "share", 0.0),
+                      settings.number(path + "quotaPerS", 0.0))
 
     return Deployment(
-        types=tuple(lane(n) for n in range(told.whole("lanes.count"))),
-        tenants=tuple(org(n) for n in range(told.whole("orgs.count", 0))),
-        front_ends=some("peersTotal", told.whole, 1),
-        zone=told.text("zone", ""),
-        cross_zone_fee=told.number("fees.crossZone", 0.0),
-        tick=told.ns("tick", MS),
-        max_sends=told.whole("limits.maxAttempts", 1),
-        may_cancel=told.flag("limits.cancel", False),
-        may_duplicate=told.flag("limits.mayDuplicate", False),
-        may_probe=told.flag("limits.probes", False),
-        may_order_loads=told.flag("familyInfo.placementCalls", False),
-        max_retry_after=told.ns("limits.maxRetryAfter", 0) if told.flag("limits.retryAfter", False) else 0,
-        loads_on_miss=told.text("familyInfo.notLoaded", "load") == "load",
-        idle_keep_alive=told.ns("familyInfo.staysLoaded", 0),
-        load_window=told.ns("familyInfo.loadWindow", 0),
-        load_free=told.number("familyInfo.loadFree", 0.0),
-        load_ratio=told.number("familyInfo.loadRatio", 0.0),
-        drain_grace=told.ns("rules.drainGrace", 0),
-        cold_share=told.number("rules.coldShare", 1.0),
-        cold_time=told.ns("rules.cold", 0),
-        fall_multiple=told.number("rules.fallMultiple", 1.0),
-        fall_time=told.ns("rules.overloadFor", 0) or SECOND,
+        types=tuple(namespace_type(n) for n in range(settings.whole("lanes.count"))),
+        tenants=tuple(tenant(n) for n in range(settings.whole("orgs.count", 0))),
+        front_ends=positive("peersTotal", settings.whole, 1),
+        zone=settings.text("zone", ""),
+        cross_zone_fee=settings.number("fees.crossZone", 0.0),
+        tick=settings.ns("tick", MS),
+        max_sends=settings.whole("limits.maxAttempts", 1),
+        may_cancel=settings.flag("limits.cancel", False),
+        may_duplicate=settings.flag("limits.mayDuplicate", False),
+        may_probe=settings.flag("limits.probes", False),
+        may_order_loads=settings.flag("familyInfo.placementCalls", False),
+        max_retry_after=settings.ns("limits.maxRetryAfter", 0) if settings.flag("limits.retryAfter", False) else 0,
+        loads_on_miss=settings.text("familyInfo.notLoaded", "load") == "load",
+        idle_keep_alive=settings.ns("familyInfo.staysLoaded", 0),
+        load_window=settings.ns("familyInfo.loadWindow", 0),
+        load_free=settings.number("familyInfo.loadFree", 0.0),
+        load_ratio=settings.number("familyInfo.loadRatio", 0.0),
+        drain_grace=settings.ns("rules.drainGrace", 0),
+        cold_share=settings.number("rules.coldShare", 1.0),
+        cold_time=settings.ns("rules.cold", 0),
+        fall_multiple=settings.number("rules.fallMultiple", 1.0),
+        fall_time=settings.ns("rules.overloadFor", 0) or SECOND,
     )
 
 
-def report(text: str, mark: str) -> Report | None:
-    """The load report in 'name:value' parts between marks; values that it does not tell as numbers are None."""
-    told: dict[str, float] = {}
-    for part in text.split(mark):
+def parse_load_report(text: str, separator: str) -> Report | None:
+    """The load report in a text of 'name:value' parts; a value that is absent or not a number is None.
+
+    Returns None where no part has a number."""
+    found: dict[str, float] = {}
+    for part in text.split(separator):
         name, _, value = part.partition(":")
         try:
-            told[LONG.get(name, name)] = float(value)
+            found[LONG_NAMES.get(name, name)] = float(value)
         except ValueError:
             continue
-    return Report(told.get("backlog"), told.get("outstanding"), told.get("utilization"),
-                  told.get("x1"), told.get("x0")) if told else None
+    return Report(found.get("backlog"), found.get("outstanding"), found.get("utilization"),
+                  found.get("x1"), found.get("x0")) if found else None
--- a/threadshift/days/__init__.py
+++ b/threadshift/days/__init__.py
@@ -1,1 +1,1 @@
-"""Days: what a fleet, its clients and its troubles are like for a while, as text; and playing them for real."""
+"""Fault scenarios: a fleet, its clients and what goes wrong, as text, and running them with real processes."""
--- a/threadshift/days/play.py
+++ b/threadshift/days/play.py
@@ -1,6 +1,7 @@
-"""Plays a day with real processes on loopback: gateway front ends, workers, store, roster feed and clients.
+"""Runs a fault scenario with real processes on loopback: front ends, workers, pack store, roster feed and clients.
 
-What each stand-in saw at its sockets, and what the conductor did to processes, is left in one folder for the audit.
+Each stand-in records what it sees at its sockets, and the runner records what it does to processes. All records are
+left in one folder for the audit.
 """
 from __future__ import annotations
 
@@ -12,60 +13,63 @@
 import gevent
 
 from threadshift.conf.values import Address
-from threadshift.days.day import Day
-from threadshift.days.orders import Order, names, orders
+from threadshift.days.fault_scenario import FaultScenario
+from threadshift.days.orders import FaultOrder, draw_orders, worker_zones
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.client import Client, NoAnswer
 from threadshift.standins.common import Record
 from threadshift.standins.rig import Rig, free_ports
 
-READY_LIMIT = 30           # s until every front end must have a link to every worker
-AFTER = 3                  # s over the longest action timeout in which clients must have ended
+READY_TIMEOUT = 30         # s until every front end must have a link to every worker
+CLIENTS_END_TIMEOUT = 3    # s beyond the time that all calls may take, until the clients must have ended
 MB = 1 << 20
-SERVICE = "192.0.2.1/32"     # the address that a day's front ends announce; from the range for examples
-FIRST_AS = 65001
+SERVICE = "192.0.2.1/32"   # the address that front ends announce; from the range for examples (RFC 5737)
+FIRST_AS = 65001           # of front end 0; each further one has the next number
 
 
-class Conductor:
-    """One day, once. Its folder holds day.conf and the records."""
+class ScenarioRunner:
+    """Runs one scenario once. Its folder holds the scenario's text (day.conf) and the records."""
 
-    def __init__(self, day: Day, text: str, seed: int, folder: Path):
-        self.day, self.seed, self.folder = day, seed, folder
+    def __init__(self, scenario: FaultScenario, text: str, seed: int, folder: Path):
+        self.scenario, self.seed, self.folder = scenario, seed, folder
         folder.mkdir(parents=True, exist_ok=True)
         (folder / "day.conf").write_text(text)
         self.record = Record(str(folder / "conductor.jsonl"))
         self.rig = Rig(folder)
-        self.zones = names(day)
+        self.zones = worker_zones(scenario)
         self.admin: dict[str, Address] = {}      # of front ends that announce
 
     def play(self) -> None:
+        """Starts everything, gives the orders of the faults at their times, and waits for the clients to end."""
         with self.rig:
             ports = self.start()
             start = time.monotonic_ns() + SECOND // 2
-            self.record.note("day", seed=self.seed, start=start, grace=self.day.told.deployment.drain_grace)
-            if day_router := self.day.router:
+            self.record.note("day", seed=self.seed, start=start, grace=self.scenario.config.deployment.drain_grace)
+            if router := self.scenario.router:
                 ports = [self.rig.at["service"].port]
-                self.record.note("router", converge=day_router.converge, steer=day_router.steer)
+                self.record.note("router", converge=router.converge, steer=router.steer)
             clients = self.rig.start(
                 "clients", "standin", "clients", str(self.folder / "day.conf"), f"--seed={self.seed}",
                 f"--start={start}", f"--record={self.folder / 'clients.jsonl'}",
                 *(f"--front=127.0.0.1:{port}" for port in ports))
-            for order in orders(self.day, self.seed):
+            for order in draw_orders(self.scenario, self.seed):
                 gevent.sleep(max(0, start + order.at - time.monotonic_ns()) / SECOND)
                 self.carry_out(order)
-            longest = max(each.action_timeout for each in self.day.told.deployment.types)
-            retries = sum(each.retry_after << each.retries for each in self.day.traffic)
-            end = start + self.day.length + 3 * longest + retries + AFTER * SECOND
+            longest = max(each.action_timeout for each in self.scenario.config.deployment.types)
+            retries = sum(each.retry_after << each.retries for each in self.scenario.traffic)
+            end = start + self.scenario.length + 3 * longest + retries + CLIENTS_END_TIMEOUT * SECOND
             clients.process.wait(max(1, (end - time.monotonic_ns()) / SECOND))
             self.record.note("over")
 
     # Starting.
 
     def start(self) -> list[int]:
-        """Everything up, every front end linked to every worker and the fleet warm; the front ends' ports."""
-        day, rig = self.day, self.rig
-        rig.standin("store", "store", capacity=day.store.capacity, load_ms=day.store.load_time / MS,
-                    memory_mb=day.store.pack / MB)
+        """Starts all processes and waits until front ends are linked to all workers and the workers are warm.
+
+        Returns the front ends' ports."""
+        scenario, rig = self.scenario, self.rig
+        rig.standin("store", "store", capacity=scenario.store.capacity, load_ms=scenario.store.load_time / MS,
+                    memory_mb=scenario.store.pack / MB)
         rig.standin("roster", "roster")
         rig.listening("store")
         rig.listening("roster")
@@ -73,44 +77,47 @@
             self.start_worker(name)
         for name in self.zones:
             self.list_worker(name)
-        warm = time.monotonic() + day.told.deployment.cold_time / SECOND
-        # Behind a router all have the same port, each at an address of its own, as next hops do.
-        ports = free_ports(day.front_ends) if day.router is None else free_ports(1) * day.front_ends
-        hosts = [self.host(n) for n in range(day.front_ends)]
-        if day.router is not None:
+        warm_at = time.monotonic() + scenario.config.deployment.cold_time / SECOND
+        # Behind a router all front ends have the same port, each at an address of its own, which is its next hop.
+        ports = free_ports(scenario.front_ends) if scenario.router is None else free_ports(1) * scenario.front_ends
+        hosts = [self.host(n) for n in range(scenario.front_ends)]
+        if scenario.router is not None:
             self.start_router(ports[0], hosts)
         for n, port in enumerate(ports):
-            zone = day.fleet.zones[n % len(day.fleet.zones)]
+            zone = scenario.fleet.zones[n % len(scenario.fleet.zones)]
             (self.folder / f"front-{n}.conf").write_text(
                 f"listen {hosts[n]}:{port}\nname front-{n}\nzone {zone}\nroster feed {rig.at['roster']}\n"
-                f"log json info\n{with_front_ends(day)}\n{self.announcing(n)}\n")
+                f"log json info\n{with_front_ends(scenario)}\n{self.announcing(n)}\n")
             self.start_front(n)
         for n, (host, port) in enumerate(zip(hosts, ports, strict=True)):
             self.wait_for(n, Address(host, port))
-        gevent.sleep(max(0, warm - time.monotonic()))
+        gevent.sleep(max(0, warm_at - time.monotonic()))
         return ports
 
     def host(self, n: int) -> str:
-        return f"127.0.1.{n + 1}" if self.day.router is not None else "127.0.0.1"
+        """The address of a front end."""
+        return f"127.0.1.{n + 1}" if self.scenario.router is not None else "127.0.0.1"
 
     def start_router(self, port: int, hosts: list[str]) -> None:
-        it = self.day.router
-        assert it is not None
+        settings = self.scenario.router
+        assert settings is not None
         peers = [f"--peer=front-{n}={host}={FIRST_AS + n}" for n, host in enumerate(hosts)]
         at = Address("127.0.0.1", free_ports(1)[0])
         self.rig.at["service"] = at
         self.rig.start("router", "standin", "router", "--listen=127.0.0.1:0", f"--service={SERVICE}={at}={port}",
-                       f"--converge={it.converge // MS}ms", f"--hold={it.hold}", f"--steer={it.steer}",
+                       f"--converge={settings.converge // MS}ms", f"--hold={settings.hold}",
+                       f"--steer={settings.steer}",
                        f"--record={self.folder / 'router.jsonl'}", *peers)
         self.rig.listening("router")
 
     def announcing(self, n: int) -> str:
-        it = self.day.router
-        if it is None:
+        """The directives by which a front end announces the service; empty without a router."""
+        settings = self.scenario.router
+        if settings is None:
             return ""
         at = self.admin.setdefault(f"front-{n}", Address(self.host(n), free_ports(1)[0]))
         return (f"admin {at}\nbgp {{\nlocal-as {FIRST_AS + n}\nrouter-id 10.0.0.{n + 1}\nnext-hop {self.host(n)}\n"
-                f"hold-time {it.hold}s\nreflects yes\naddress {SERVICE} {{\n}}\npeer router {{\n"
+                f"hold-time {settings.hold}s\nreflects yes\naddress {SERVICE} {{\n}}\npeer router {{\n"
                 f"address {self.rig.at['router']}\nas 65000\nsource {self.host(n)}\n}}\n}}")
 
     def start_front(self, n: int) -> None:
@@ -118,31 +125,36 @@
         self.record.note("front-up", front=n)
 
     def start_worker(self, name: str) -> None:
-        day, told = self.day, self.day.told.deployment
+        scenario, deployment = self.scenario, self.scenario.config.deployment
         self.rig.standin(
-            name, "worker", name=name, store=self.rig.at["store"], zone=self.zones[name], cores=day.fleet.cores,
-            memory_mb=day.fleet.memory / MB, keep=f"{told.idle_keep_alive // MS}ms", cold_share=told.cold_share,
-            cold_time=f"{told.cold_time // MS}ms", fall_multiple=told.fall_multiple,
-            fall_time=f"{told.fall_time // MS}ms", report_every=f"{day.fleet.report_every // MS}ms")
+            name, "worker", name=name, store=self.rig.at["store"], zone=self.zones[name],
+            cores=scenario.fleet.cores,
+            memory_mb=scenario.fleet.memory / MB, keep=f"{deployment.idle_keep_alive // MS}ms",
+            cold_share=deployment.cold_share,
+            cold_time=f"{deployment.cold_time // MS}ms", fall_multiple=deployment.fall_multiple,
+            fall_time=f"{deployment.fall_time // MS}ms", report_every=f"{scenario.fleet.report_every // MS}ms")
         self.record.note("worker-up", worker=name)
 
     def list_worker(self, name: str) -> None:
+        """Has the roster feed list a worker once it listens."""
         at = self.rig.listening(name)
         self.rig.processes["roster"].order(
             f"worker {name} {at} zone {self.zones[name]} started {time.time_ns()}")
 
     def wait_for(self, n: int, at: Address) -> None:
-        if self.rig.linked(f"front-{n}", at, self.day.fleet.workers, READY_LIMIT):
+        """Waits until a front end is linked to all workers. Raises RuntimeError where that takes too long."""
+        if self.rig.linked(f"front-{n}", at, self.scenario.fleet.workers, READY_TIMEOUT):
             return
         raise RuntimeError(f"the front end at {at} did not link to its workers in time")
 
     # Orders.
 
-    def carry_out(self, order: Order) -> None:
+    def carry_out(self, order: FaultOrder) -> None:
+        """Gives one order to its process, or performs it here where its words begin with '!'."""
         self.record.note("order", who=order.who, words=order.words)
         if order.words.startswith("!"):
-            act, *more = order.words[1:].split()
-            getattr(self, act.replace("-", "_"))(order.who, *more)
+            action, *arguments = order.words[1:].split()
+            getattr(self, action.replace("-", "_"))(order.who, *arguments)
         elif order.who == "workers":
             for name in self.zones:
                 self.rig.processes[name].order(order.words)
@@ -155,7 +167,7 @@
         self.record.note("killed", who=who)
 
     def renew(self, who: str) -> None:
-        """Starts a process anew, cold; one that still runs is killed first."""
+        """Starts a process again, cold; one that still runs is killed first."""
         if self.rig.processes[who].alive:
             self.kill(who)
         if who.startswith("front"):
@@ -165,7 +177,7 @@
             gevent.spawn(self.list_worker, who)
 
     def drain(self, who: str) -> None:
-        """Told to end in order, as an operator would."""
+        """Asks a process to drain and end (SIGTERM), as an operator does."""
         self.record.note("drains", who=who)
         self.rig.processes[who].signal(signal.SIGTERM)
 
@@ -182,23 +194,23 @@
         self.rig.processes[who].signal(signal.SIGHUP)
 
     def say(self, who: str, word: str) -> None:
-        """An operator's word on its announcements."""
+        """Sends a front end an operator's order on its announcements."""
         self.record.note("says", who=who, word=word)
-        with suppress(NoAnswer):                # it may be dead just then
+        with suppress(NoAnswer):                # it may have been killed
             Client(self.admin[who]).request("POST", f"/v1/bgp/{word}", {}, b"")
 
 
-def with_front_ends(day: Day) -> str:
-    """The gateway's own blocks, told how many front ends there are in all."""
-    count = f"front-ends-in-all {day.front_ends}"
-    if "front-ends-in-all" in day.gateway:
-        return day.gateway
-    if "fleet {" in day.gateway:
-        return day.gateway.replace("fleet {", "fleet {\n" + count, 1)
-    return f"{day.gateway}\nfleet {{\n{count}\n}}"
+def with_front_ends(scenario: FaultScenario) -> str:
+    """The gateway's own blocks, with the number of all front ends added to the `fleet` block."""
+    count = f"front-ends-in-all {scenario.front_ends}"
+    if "front-ends-in-all" in scenario.gateway:
+        return scenario.gateway
+    if "fleet {" in scenario.gateway:
+        return scenario.gateway.replace("fleet {", "fleet {\n" + count, 1)
+    return f"{scenario.gateway}\nfleet {{\n{count}\n}}"
 
 
-def clear(folder: Path) -> None:
+def remove_records(folder: Path) -> None:
     """Removes the records of an earlier run, and nothing else."""
     for path in [*folder.glob("*.jsonl"), *folder.glob("*.err"), *folder.glob("front-*.conf")]:
         path.unlink()
--- a/threadshift/discovery/sources.py
+++ b/threadshift/discovery/sources.py
@@ -14,8 +14,8 @@
 from gevent import socket
 
 from threadshift.conf import values
-from threadshift.conf.installation import Bounds
-from threadshift.conf.reading import Directive, ConfigurationError, load, nearest
+from threadshift.conf.gateway_config import Bounds
+from threadshift.conf.reading import ConfigurationError, Directive, load, nearest
 from threadshift.conf.values import Address
 from threadshift.discovery.registry import MAX_WORKERS, InvalidWorkerList, WorkerEntry, parse_entry
 from threadshift.interface import MS, SECOND, WorkerState
@@ -106,9 +106,9 @@
 def parse_worker_line(line: Directive) -> WorkerEntry:
     """Reads a line such as 'worker w1 127.0.0.1:9001 zone hall-a size 1.5 state draining'."""
     if line.name != "worker":
-        raise line.wrong(f"unknown directive '{line.name}'{nearest(line.name, ['worker'])}")
+        raise line.error(f"unknown directive '{line.name}'{nearest(line.name, ['worker'])}")
     if line.block is not None or len(line.words) < 2 or len(line.words) % 2:
-        raise line.wrong("'worker' takes a name, an address, then pairs of zone, cell, size or state with values")
+        raise line.error("'worker' takes a name, an address, then pairs of zone, cell, size or state with values")
     try:
         facts = {}
         for fact, text in zip(line.words[2::2], line.words[3::2], strict=True):
@@ -117,7 +117,7 @@
             facts[fact] = FACTS[fact](text)
         return WorkerEntry(values.name(line.words[0]), values.address(line.words[1]), **facts)
     except ValueError as problem:
-        raise line.wrong(f"worker {line.words[0]}: {problem}") from None
+        raise line.error(f"worker {line.words[0]}: {problem}") from None
 
 
 class WatchedFile:
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from threadshift.choice import Dispatcher
-from threadshift.days.day import Day
+from threadshift.days.fault_scenario import FaultScenario
 from threadshift.engine import previous_process
 from threadshift.engine.engine import PendingWorkerQuery, Call, PendingRequest, RequestEngine
 from threadshift.emulator.clock import Clock
@@ -36,18 +36,18 @@
 class ModelFront:
     """One life of a front end; a restart makes a new one."""
 
-    def __init__(self, clock: Clock, day: Day, name: str, zone: str, network: Network, seed: int,
+    def __init__(self, clock: Clock, day: FaultScenario, name: str, zone: str, network: Network, seed: int,
                  answered: Callable[[PendingRequest], None], refuse: Callable[[Any], None],
                  policy: Policy = Dispatcher):
         self.clock, self.day, self.name, self.zone, self.network = clock, day, name, zone, network
         chance = random.Random(f"{seed} {name} {clock.now}")
         self.chance = chance.random
-        told = day.told.deployment._replace(front_ends=day.front_ends, zone=zone)
+        told = day.config.deployment._replace(front_ends=day.front_ends, zone=zone)
         dispatcher = policy(chance.getrandbits(63), told, clock.now)
         if hasattr(dispatcher, "see"):
             dispatcher.see(network)         # an oracle
         previous_process.count_free_orders_as_given(dispatcher, told, clock.now)
-        self.engine = RequestEngine(dispatcher, self, self, day.told.bounds.load_order)
+        self.engine = RequestEngine(dispatcher, self, self, day.config.bounds.load_order)
         self.registry = WorkerRegistry(told.drain_grace)
         self.tell, self.refuse = answered, refuse
         self.admission = Admission(min(each.target_latency for each in told.types), weights(told.tenants))
@@ -75,7 +75,7 @@
             self.engine.tick(self.clock.now)
         self.apply_listings(self.registry.tick(self.clock.now))
         # The live timer comes every tick; nothing happens here in between, so the next due one will do.
-        due = max(self.clock.now + self.day.told.deployment.tick, self.engine.due())
+        due = max(self.clock.now + self.day.config.deployment.tick, self.engine.due())
         if self.registry.empty_since is not None:
             due = min(due, self.clock.now + self.registry.grace // 2)
         self.clock.at(due, self.tick)
@@ -178,7 +178,7 @@
         """No new calls; the process ends with its last answer, or when its time for that is up."""
         if not self.closing:
             self.closing = True
-            self.clock.after(self.day.told.bounds.drain, self.end)
+            self.clock.after(self.day.config.bounds.drain, self.end)
             self.end_if_done()
 
     def end_if_done(self) -> None:
--- a/threadshift/emulator/router.py
+++ b/threadshift/emulator/router.py
@@ -13,7 +13,7 @@
 from threadshift.bgp.announcer import Announcer, ServiceAddress
 from threadshift.bgp.drain import Drain, Stage
 from threadshift.bgp.path import Path
-from threadshift.days.day import RouterOf
+from threadshift.days.fault_scenario import RouterSettings
 from threadshift.days.play import FIRST_AS, SERVICE
 from threadshift.emulator.clock import Clock
 from threadshift.emulator.front import ModelFront
@@ -36,7 +36,7 @@
         self.hop = ipaddress.ip_address(f"127.{1 + n // 65025}.{n // 255 % 255}.{n % 255 + 1}")
         self.announcer = Announcer(FIRST_AS + n, [self.hop], [ServiceAddress(PREFIX)], self.drain, front.chance,
                                    clock.now)
-        self.recent = RecentCalls({each.name: each.utility for each in front.day.told.deployment.types})
+        self.recent = RecentCalls({each.name: each.utility for each in front.day.config.deployment.types})
         self.arrivals = ConnectionRate()
         self.told: Path | None = None
         self.tick()
@@ -75,7 +75,7 @@
 class ModelRouter:
     """Chooses as the stand-in router does, and steers each new connection after its convergence delay."""
 
-    def __init__(self, clock: Clock, told: RouterOf, delay: Callable[[], int], note: Callable[..., Any]):
+    def __init__(self, clock: Clock, told: RouterSettings, delay: Callable[[], int], note: Callable[..., Any]):
         self.clock, self.it, self.delay, self.note = clock, told, delay, note
         self.routes: dict[int, Path] = {}        # front end: what it announces
         self.halls: dict[int, ModelHall] = {}    # the session that stands with each front end
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -9,9 +9,9 @@
 from threadshift.audit.records import Seen
 from threadshift.conf import values
 from threadshift.conf.values import Address
-from threadshift.days.day import Day
-from threadshift.days.orders import Order, names, orders
-from threadshift.days.traffic import ANY, Try, follower, tries
+from threadshift.days.fault_scenario import FaultScenario
+from threadshift.days.orders import FaultOrder, draw_orders, worker_zones
+from threadshift.days.traffic import ANY_FRONT_END, ClientCall, client_calls, next_in_chain
 from threadshift.engine.engine import Call, FinalKind, PendingRequest
 from threadshift.emulator.clock import Clock
 from threadshift.choice import Dispatcher
@@ -32,11 +32,11 @@
 class Emulation:
     """One day, once. `records` holds lines by source; write() leaves them as a played day does."""
 
-    def __init__(self, day: Day, seed: int, policy: Policy = Dispatcher):
+    def __init__(self, day: FaultScenario, seed: int, policy: Policy = Dispatcher):
         self.day, self.seed, self.policy = day, seed, policy
         self.clock = Clock(START)
         self.records: dict[str, list[dict[str, Any]]] = {}
-        self.zones = names(day)
+        self.zones = worker_zones(day)
         self.network = Network(self.clock, seed, self.zones)
         self.store = ModelStore(self.clock, day.store, self.noter("store"))
         self.network.fronts = self.fronts = dict[str, ModelFront]()
@@ -60,21 +60,21 @@
         conductor = self.noter("conductor")
         for name in self.zones:
             self.start_worker(name)
-        self.clock.run(self.clock.now + self.day.told.deployment.cold_time)
+        self.clock.run(self.clock.now + self.day.config.deployment.cold_time)
         for name in self.zones:
             self.entries[name] = self.entry(name)
         for n in range(self.day.front_ends):
             self.start_front(n)
         begin = self.clock.now + (SECOND // 2 if self.router is None else self.router.it.converge + SECOND)
-        conductor("day", seed=self.seed, start=begin, grace=self.day.told.deployment.drain_grace)
+        conductor("day", seed=self.seed, start=begin, grace=self.day.config.deployment.drain_grace)
         clients = self.noter("clients")
-        for each in tries(self.day, self.seed):
+        for each in client_calls(self.day, self.seed):
             self.clock.at(begin + each.at, self.ask, each, 0, clients)
-        for order in orders(self.day, self.seed):
+        for order in draw_orders(self.day, self.seed):
             self.clock.at(begin + order.at, self.carry_out, order, conductor)
         if self.router is not None:
             conductor("router", converge=self.router.it.converge, steer=self.router.it.steer)
-        longest = max(each.action_timeout for each in self.day.told.deployment.types)
+        longest = max(each.action_timeout for each in self.day.config.deployment.types)
         self.clock.run(begin + self.day.length + 4 * longest + 5 * SECOND)
         conductor("over")
 
@@ -94,7 +94,7 @@
     # Processes.
 
     def start_worker(self, name: str) -> None:
-        told, fleet = self.day.told.deployment, self.day.fleet
+        told, fleet = self.day.config.deployment, self.day.fleet
         machine = Machine(name, self.zones[name], 1.0, fleet.cores, fleet.memory / MB, fleet.loads,
                           keep=told.idle_keep_alive, cold_share=told.cold_share, cold_time=told.cold_time,
                           fall_multiple=told.fall_multiple, fall_time=told.fall_time,
@@ -129,7 +129,7 @@
                                  states={each.worker: each.state.value for each in entries})
             front.hear(OTHER, front.listed, entries, full)
 
-    def carry_out(self, order: Order, note: Callable[..., None]) -> None:
+    def carry_out(self, order: FaultOrder, note: Callable[..., None]) -> None:
         note("order", who=order.who, words=order.words)
         words = order.words.split()
         if words[0].startswith("!"):
@@ -222,10 +222,10 @@
 
     # Clients.
 
-    def ask(self, it: Try, number: int, note: Callable[..., None]) -> None:
+    def ask(self, it: ClientCall, number: int, note: Callable[..., None]) -> None:
         mark = f"{it.mark}r{number}" if number else it.mark
         n = it.front if self.router is None else self.router.steer()
-        note("try", mark=mark, first=it.mark, front=it.front if self.router is None else ANY,
+        note("try", mark=mark, first=it.mark, front=it.front if self.router is None else ANY_FRONT_END,
              type=it.type.name, effect=it.type.effect.value, left_ms=it.left // MS,
              deferred=it.deferred, work_ms=it.work / MS, tenant=it.tenant, quits=bool(it.quits_after))
         front = self.fronts.get(f"front-{n}")
@@ -236,7 +236,7 @@
         if front.hall is not None:
             front.hall.arrivals.record(self.clock.now)
         # The mark and the true work travel as the call's own mark: the models read them, the decisions do not.
-        known = self.day.told.function(it.function)
+        known = self.day.config.function(it.function)
         call = Call(it.type.name, it.function, it.left, b"", it.tenant, f"{mark} {it.work}", it.hint,
                     known[0].lanes if known else 1, known[0].load_time if known else 0, number > 0)
         self.clock.after(self.network.delay(), self.knock, front, call, (note, mark, it, number, n))
@@ -286,8 +286,8 @@
         self.again(it, number, note, answer.final is FinalKind.REJECTED
                    or answer.final is FinalKind.ABORTED and it.type.effect is Effect.REPEATABLE)
         if answer.final is FinalKind.COMPLETED and it.chain:
-            self.clock.after(0, self.ask, follower(it), 0, note)
+            self.clock.after(0, self.ask, next_in_chain(it), 0, note)
 
-    def again(self, it: Try, number: int, note: Callable[..., None], wanted: bool) -> None:
+    def again(self, it: ClientCall, number: int, note: Callable[..., None], wanted: bool) -> None:
         if wanted and number < it.traffic.retries and not it.quits_after:
             self.clock.after(it.traffic.retry_after << number, self.ask, it, number + 1, note)
--- a/threadshift/emulator/store.py
+++ b/threadshift/emulator/store.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from threadshift.days.day import Store
+from threadshift.days.fault_scenario import Store
 from threadshift.emulator.clock import Clock, Spans
 from threadshift.interface import MS
 from threadshift.standins.store import CROWDED, pack
--- a/threadshift/frames/link.py
+++ b/threadshift/frames/link.py
@@ -14,7 +14,7 @@
 import gevent
 from gevent import socket
 
-from threadshift.conf.settings import report
+from threadshift.conf.settings import parse_load_report
 from threadshift.conf.values import Address
 from threadshift.frames import pool
 from threadshift.frames.codec import (
@@ -368,7 +368,7 @@
         if frame.code not in (SEND_OUTCOMES if isinstance(receiver, tuple)
                               else LOAD_OUTCOMES if receiver.function else PROBE_ANSWERS):
             raise ProtocolError(f"code {frame.code} does not answer what was sent")
-        load = report(frame.fields["stats"], ";") if "stats" in frame.fields else None
+        load = parse_load_report(frame.fields["stats"], ";") if "stats" in frame.fields else None
         if isinstance(receiver, tuple):
             copy = COPY_BY_NAME.get(frame.fields.get("how", ""), Copy.UNKNOWN)
         elif receiver.function:
--- a/threadshift/gateway/batch_service.py
+++ b/threadshift/gateway/batch_service.py
@@ -17,7 +17,7 @@
 from threadshift.batches.queue import Counts, Queue, Waiting
 from threadshift.batches.shelf import Kept, Shelf, record
 from threadshift.choice import NEVER_RAN
-from threadshift.conf.installation import Installation
+from threadshift.conf.gateway_config import GatewayConfig
 from threadshift.engine.engine import Answer, Call, FinalKind, RequestEngine, PendingRequest
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
@@ -52,7 +52,7 @@
     """What of a front end is used here and in replicated_services.py."""
 
     name: str
-    told: Installation
+    told: GatewayConfig
     chance: Callable[[], float]
     api: Invoke
     engine: RequestEngine
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -18,8 +18,8 @@
 from gevent.pool import Group
 
 from threadshift.choice import Dispatcher
-from threadshift.conf import installation
-from threadshift.conf.installation import Installation
+from threadshift.conf import gateway_config
+from threadshift.conf.gateway_config import GatewayConfig
 from threadshift.conf.reading import ConfigurationError
 from threadshift.conf.values import Address
 from threadshift.engine import previous_process
@@ -56,7 +56,7 @@
 class FrontEnd(BaseFrontEnd):
     """Carries steps to links and answers to the engine; owns every greenlet of the process."""
 
-    def __init__(self, told: Installation, index: int, log: Log, seed: int | None = None, disk: Any = None,
+    def __init__(self, told: GatewayConfig, index: int, log: Log, seed: int | None = None, disk: Any = None,
                  version: str = "", ready: Callable[[], None] = lambda: None):
         """`version` is what of the installation's rollouts it runs; ready() is called once it serves."""
         super().__init__(WorkerRegistry(told.deployment.drain_grace), log)
@@ -288,12 +288,12 @@
     def reload(self) -> None:
         """Reads the file again; takes over what may change while running, and says what may not."""
         try:
-            new = installation.read(self.told.file)
+            new = gateway_config.read(self.told.file)
         except ConfigurationError as problem:
             self.note("reload-refused", level="error", problem=str(problem))
             return
-        taken, kept = installation.changed(self.told, new)
-        self.told = installation.reloaded(self.told, new)
+        taken, kept = gateway_config.compare_for_reload(self.told, new)
+        self.told = gateway_config.apply_reload(self.told, new)
         self.api.reload(self.told)
         bounds = self.told.bounds
         self.deferred_calls.pending.limit, self.deferred_calls.answer_bytes.limit, self.deferred_calls.keep_time = (
--- a/threadshift/gateway/replicated_services.py
+++ b/threadshift/gateway/replicated_services.py
@@ -8,7 +8,7 @@
 import gevent
 
 from threadshift.batches.cancels import Cancels
-from threadshift.conf.peering import Peering
+from threadshift.conf.peering import PeersConfig
 from threadshift.consensus.book import Machine
 from threadshift.consensus.member import Told
 from threadshift.eviction.force import Forces
@@ -27,7 +27,7 @@
 class ReplicatedServices:
     """Made with the front end, started with its listeners, ended last."""
 
-    def __init__(self, front: Front, told: Peering, version: str = "", disk: Any = None):
+    def __init__(self, front: Front, told: PeersConfig, version: str = "", disk: Any = None):
         """Raises what opening its files raises."""
         self.front, self.told_peers = front, told
         self.told_forms = 0
--- a/threadshift/gateway/rollout_service.py
+++ b/threadshift/gateway/rollout_service.py
@@ -16,8 +16,8 @@
 import gevent
 from gevent import subprocess
 
-from threadshift.conf import installation, patch
-from threadshift.conf.peering import Peering
+from threadshift.conf import gateway_config, patch
+from threadshift.conf.peering import PeersConfig
 from threadshift.conf.reading import ConfigurationError, load
 from threadshift.engine.engine import FinalKind, PendingRequest
 from threadshift.errors import ThreadshiftError
@@ -49,7 +49,7 @@
 
 
 class RolloutService:
-    def __init__(self, front: Front, told: Peering, carrier: Carrier, rollouts: Rollouts,
+    def __init__(self, front: Front, told: PeersConfig, carrier: Carrier, rollouts: Rollouts,
                  eviction_service: EvictionService, version: str, counts: Counts):
         self.front, self.told_peers, self.carrier, self.rollouts = front, told, carrier, rollouts
         self.eviction_service, self.version, self.counts = eviction_service, version, counts
@@ -136,7 +136,9 @@
         self.front.note("rollout-checked", rollout=it.id, can=not self.can[it.id], problem=self.can[it.id])
 
     def prepared(self, ids: tuple[str, ...]) -> tuple[Wanted, str]:
-        """What to run for these rollouts, and what is wrong with that. Raises ConfigurationError, OSError, BadChange."""
+        """What to run for these rollouts, and what is wrong with that.
+
+        Raises ConfigurationError, OSError, BadChange."""
         version, tree = "+".join(ids), ""
         changes: list[patch.Change] = []
         for what in self.rollouts.changes(ids):
@@ -148,7 +150,7 @@
         path = self.versions.configuration_path(version)
         text = patch.text(patch.patched(load(self.installed), changes, self.installed))
         self.versions.disk.put(path, f"# {version or 'as installed'}, made from {self.installed}\n{text}".encode())
-        installation.read_text(text, str(path))
+        gateway_config.read_text(text, str(path))
         told = subprocess.run([*program(tree), "check", str(path)], capture_output=True, timeout=CHECK,
                               env=environment(tree))
         said = told.stderr.decode(errors="replace").strip()[-300:]
--- a/threadshift/gateway/service_announcer.py
+++ b/threadshift/gateway/service_announcer.py
@@ -46,7 +46,7 @@
         self.front, self.told = front, told
         now = time.monotonic_ns()
         looks = {Standing[name.upper()]: Preference(look.med, look.prepend, look.local_pref, look.communities)
-                 for name, look in told.looks.items()}
+                 for name, look in told.route_attributes.items()}
         self.drain = Drain(told.converge, told.fade)
         self.announcer = Announcer(
             told.asn, told.next_hops, [ServiceAddress(each.prefix, frozenset(each.types)) for each in told.addresses],
--- a/threadshift/gateway/supervisor.py
+++ b/threadshift/gateway/supervisor.py
@@ -12,7 +12,7 @@
 import time
 from contextlib import suppress
 
-from threadshift.conf.installation import Installation
+from threadshift.conf.gateway_config import GatewayConfig
 from threadshift.gateway.restart_backoff import RestartBackoff
 from threadshift.interface import MS, SECOND
 from threadshift.log import Log
@@ -26,7 +26,7 @@
 class Child:
     """One front end: the process that serves, one that drains, and one that is to take over."""
 
-    def __init__(self, told: Installation, index: int, log: Log):
+    def __init__(self, told: GatewayConfig, index: int, log: Log):
         self.told, self.index, self.log, self.restarts = told, index, log, RestartBackoff()
         self.name = told.front_end(index)
         self.process: subprocess.Popen | None = None
@@ -139,7 +139,7 @@
 
 
 class Supervisor:
-    def __init__(self, told: Installation, log: Log):
+    def __init__(self, told: GatewayConfig, log: Log):
         self.told, self.log = told, log
         self.children = [Child(told, index, log) for index in range(told.front_ends)]
         self.ending = 0            # when children that have not ended are killed, 0: not ending
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -10,7 +10,7 @@
 
 import gevent
 
-from threadshift.conf.installation import Installation
+from threadshift.conf.gateway_config import GatewayConfig
 from threadshift.engine.engine import Answer, Call, FinalKind, RequestEngine, PendingRequest
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
@@ -71,7 +71,7 @@
 class Invoke:
     """Answers exchanges; the engine's port to clients."""
 
-    def __init__(self, told: Installation, name: str, base: str, deferred_calls: DeferredCallStore,
+    def __init__(self, told: GatewayConfig, name: str, base: str, deferred_calls: DeferredCallStore,
                  admission: Admission, log: Log, status: Callable[[], dict[str, Any]], weight: Mapping[str, float]):
         self.told, self.base, self.deferred_calls, self.admission = told, base, deferred_calls, admission
         self.log, self.status = log, status
@@ -91,7 +91,7 @@
         self.number = lambda: f"{name}-{boot}-{serial()}"
         self.name = name
 
-    def reload(self, told: Installation) -> None:
+    def reload(self, told: GatewayConfig) -> None:
         """Another configuration, for calls from now on."""
         self.told, self.functions = told, requests.FunctionTable(told)
         self.capacity.limit = told.bounds.activations
--- a/threadshift/invoke/http.py
+++ b/threadshift/invoke/http.py
@@ -18,7 +18,7 @@
 from gevent import socket
 from gevent.event import Event
 
-from threadshift.conf.installation import Bounds
+from threadshift.conf.gateway_config import Bounds
 from threadshift.interface import MS, SECOND
 from threadshift.invoke.requests import Problem, Response, problem_response
 
--- a/threadshift/invoke/requests.py
+++ b/threadshift/invoke/requests.py
@@ -13,7 +13,7 @@
 from typing import Any
 from urllib.parse import unquote
 
-from threadshift.conf.installation import FunctionClass, Installation
+from threadshift.conf.gateway_config import FunctionClass, GatewayConfig
 from threadshift.engine.engine import Answer, Call, FinalKind
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND, Effect, NamespaceType
@@ -131,7 +131,7 @@
 class FunctionTable:
     """Looks up functions in the configuration. Results are cached by name, as patterns are matched one by one."""
 
-    def __init__(self, config: Installation):
+    def __init__(self, config: GatewayConfig):
         self.config = config
         self.cache: dict[str, tuple[FunctionClass, NamespaceType]] = {}
 
--- a/threadshift/links/link.py
+++ b/threadshift/links/link.py
@@ -15,7 +15,7 @@
 from gevent import socket
 from gevent.event import Event
 
-from threadshift.conf.installation import Bounds
+from threadshift.conf.gateway_config import Bounds
 from threadshift.conf.values import Address
 from threadshift.interface import SECOND, Copy, Outcome, Report
 from threadshift.links.codec import VERSION, Frame, FrameDecoder, ProtocolError, encode, pack
--- a/threadshift/node/front_end_config.py
+++ b/threadshift/node/front_end_config.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from threadshift.conf import values
-from threadshift.conf.settings import Fields, InvalidInput, deployment, flat
+from threadshift.conf.settings import FieldReader, InvalidInput, flatten, parse_deployment
 from threadshift.conf.values import Address
 from threadshift.fastcgi.requests import MAX_BODY
 from threadshift.frames import pool
@@ -85,17 +85,17 @@
     if not isinstance(settings, dict):
         raise InvalidInput(f"{path}: settings is missing or not an object")
     try:
-        top = Fields("the configuration", flat(content), path)
-        fields = Fields("settings", flat(settings), path)
+        top = FieldReader("the configuration", flatten(content), path)
+        fields = FieldReader("settings", flatten(settings), path)
     except ValueError as problem:
         raise InvalidInput(f"{path}: {problem}") from None
-    deployed = deployment(fields)
+    deployed = parse_deployment(fields)
     if not deployed.types:
-        raise fields.wrong("has no lanes")
+        raise fields.error("has no lanes")
     memory, sockets = top.number("limits.memory_mb", 192.0), top.whole("limits.sockets", 1024)
     cores = top.number("limits.cores", 1.0)
     if not memory >= MIN_MEMORY_MB or sockets < MIN_SOCKETS or not cores > 0:
-        raise top.wrong(f"has limits of {cores:g} cores, {memory:g} MB and {sockets} sockets: too little to run")
+        raise top.error(f"has limits of {cores:g} cores, {memory:g} MB and {sockets} sockets: too little to run")
     size = int(memory) << 20
     return FrontEndConfig(
         top.read("name", values.name), top.read("listen", values.address),
--- a/threadshift/peers/carrier.py
+++ b/threadshift/peers/carrier.py
@@ -15,7 +15,7 @@
 from gevent.lock import BoundedSemaphore
 from gevent.queue import Empty, Full, Queue
 
-from threadshift.conf.peering import Peering
+from threadshift.conf.peering import PeersConfig
 from threadshift.consensus.book import Book, Machine
 from threadshift.consensus.keeper import Keeper
 from threadshift.consensus.member import Told
@@ -58,7 +58,7 @@
 
 
 class Carrier:
-    def __init__(self, told: Peering, name: str, machines: Mapping[str, Machine], owner: Follower,
+    def __init__(self, told: PeersConfig, name: str, machines: Mapping[str, Machine], owner: Follower,
                  chance: Callable[[], float], disk: Disk | None = None,
                  answers: Mapping[str, Callable[[str, dict[str, Any]], dict[str, Any]]] | None = None):
         """`answers` has who answers which of the peers' questions. Raises what opening the file raises."""
--- a/threadshift/peers/link.py
+++ b/threadshift/peers/link.py
@@ -15,7 +15,7 @@
 from gevent import socket
 from gevent.event import AsyncResult, Event
 
-from threadshift.conf.peering import Peer, Peering
+from threadshift.conf.peering import Peer, PeersConfig
 from threadshift.interface import MS, SECOND
 from threadshift.links.codec import VERSION, Frame, FrameDecoder, ProtocolError, encode
 from threadshift.links.outbox import Outbox
@@ -148,7 +148,7 @@
 class Door:
     """Where peers say what they have to say to us. Who is not of the configuration is refused."""
 
-    def __init__(self, told: Peering, name: str, life: int, digest: str, owner: Owner):
+    def __init__(self, told: PeersConfig, name: str, life: int, digest: str, owner: Owner):
         self.told, self.name, self.life, self.digest, self.owner = told, name, life, digest, owner
         self.peers = {each.name: each for each in told.peers if each.name != name}
         self.open: dict[str, socket.socket] = {}        # by name: the newest connection of each
--- a/threadshift/trials/hunt.py
+++ b/threadshift/trials/hunt.py
@@ -13,7 +13,7 @@
 
 from threadshift.audit.report import judge
 from threadshift.choice import Dispatcher
-from threadshift.days.day import KINDS, read_text
+from threadshift.days.fault_scenario import FAULT_KINDS, read_text
 from threadshift.emulator.front import Policy
 from threadshift.emulator.run import Emulation
 
@@ -115,7 +115,7 @@
     load = it.choice((0.1, 0.3, 0.5, 0.7, 0.9, 1.2, 2.0))
     rate = max(2, int(load * workers * cores * 1000 / work * 0.8))
     rate = min(rate, 600)
-    troubles = [it.choice(sorted(KINDS)) for _ in range(it.randint(1, MOST_TROUBLES))]
+    troubles = [it.choice(sorted(FAULT_KINDS)) for _ in range(it.randint(1, MOST_TROUBLES))]
     text = TEMPLATE.format(
         length=LENGTH, fronts=it.randint(1, 6), workers=workers, cores=cores,
         memory=it.choice((300, 600, 1200, 4000)),
--- a/threadshift/trials/runs.py
+++ b/threadshift/trials/runs.py
@@ -15,7 +15,7 @@
 
 from threadshift.audit.records import Seen, by
 from threadshift.audit.report import Verdict, judge
-from threadshift.days.day import read_text
+from threadshift.days.fault_scenario import read_text
 from threadshift.emulator.run import Emulation
 from threadshift.trials.keep import Kept, Result
 from threadshift.trials.policies import POLICIES
--- a/threadshift/trials/scenario.py
+++ b/threadshift/trials/scenario.py
@@ -33,8 +33,8 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from threadshift.conf.reading import Directive, ConfigurationError, load, nearest, parse
-from threadshift.days.day import KINDS, read_text, text_of
+from threadshift.conf.reading import ConfigurationError, Directive, load, nearest, parse
+from threadshift.days.fault_scenario import FAULT_KINDS, format_directive, read_text
 from threadshift.trials.policies import POLICIES
 
 MODULES = ("choice", "invoke.admission", "bgp.announce", "links.redial")      # whose constants may be swept
@@ -96,7 +96,7 @@
             drawn = each.least + (each.most - each.least) * chance.random()
             if each.path == ("trouble",):
                 for _ in range(round(drawn)):
-                    day.append(Directive(self.file, 0, "trouble", [chance.choice(sorted(KINDS))]))
+                    day.append(Directive(self.file, 0, "trouble", [chance.choice(sorted(FAULT_KINDS))]))
             else:
                 put(day, each.path, [f"{round(drawn) if each.whole else round(drawn, 3)}{each.unit}"])
         for factor, value in zip(self.factors, values, strict=True):
@@ -111,7 +111,7 @@
                     put(day, path, list(words))
         point = {factor.name: " ".join(" ".join(words) for words in value)
                  for factor, value in zip(self.factors, values, strict=True)}
-        return Job(point, seed, policy, tuple(constants), "\n".join(map(text_of, day)) + "\n")
+        return Job(point, seed, policy, tuple(constants), "\n".join(map(format_directive, day)) + "\n")
 
 
 def troubles(words: tuple[str, ...], file: str) -> list[Directive]:
@@ -152,12 +152,12 @@
     sweeps = [line for line in lines if line.name == "sweep"]
     seeds = [line for line in lines if line.name == "seeds"]
     if len(seeds) > 1:
-        raise seeds[1].wrong("'seeds' stands twice")
+        raise seeds[1].error("'seeds' stands twice")
     it = Scenario(file, day, tuple(map(factor, sweeps)), tuple(drawn(line) for line in lines if line.name == "draw"),
                   seeds_of(seeds[0]) if seeds else (1,))
     names = [each.name for each in it.factors]
     if len(set(names)) < len(names):
-        raise sweeps[-1].wrong("two sweeps of the same name")
+        raise sweeps[-1].error("two sweeps of the same name")
     runs = len(it.seeds)
     for each in it.factors:
         runs *= len(each.values)
@@ -170,10 +170,10 @@
             try:
                 read_text(it.job(it.seeds[0], (*first[:n], value, *first[n + 1:])).text, file)
             except KeyError as missing:
-                raise line.wrong(f"the day has no {missing}") from None
+                raise line.error(f"the day has no {missing}") from None
             except ConfigurationError as problem:
                 assert line.block is not None
-                raise line.block[number].wrong(f"gives no day: {problem}") from None
+                raise line.block[number].error(f"gives no day: {problem}") from None
     if not sweeps:
         read_text(it.job(it.seeds[0], ()).text, file)
     return it
@@ -188,7 +188,7 @@
     except ValueError:
         found = ()
     if not found or line.block is not None:
-        raise line.wrong("'seeds' takes 'FIRST to LAST' or whole numbers")
+        raise line.error("'seeds' takes 'FIRST to LAST' or whole numbers")
     return found
 
 
@@ -196,14 +196,14 @@
     name = " ".join(line.words)
     paths = tuple(tuple(part.split()) for part in name.split(","))
     if not line.block or not all(paths):
-        raise line.wrong("'sweep' takes what is swept, and a block with one value a line")
+        raise line.error("'sweep' takes what is swept, and a block with one value a line")
     values: list[tuple[tuple[str, ...], ...]] = []
     for each in line.block:
         words = (each.name, *each.words)
         if len(paths) == 1:
             values.append((words,))
         elif len(words) != len(paths):
-            raise each.wrong(f"{len(paths)} values are wanted, found {len(words)}")
+            raise each.error(f"{len(paths)} values are wanted, found {len(words)}")
         else:
             values.append(tuple((word,) for word in words))
         for path, value in zip(paths, values[-1], strict=True):
@@ -214,16 +214,16 @@
 def check(line: Directive, path: tuple[str, ...], value: tuple[str, ...]) -> None:
     """What a day's own reader would not see."""
     if path == ("policy",) and value[0] not in POLICIES:
-        raise line.wrong(f"no policy '{value[0]}'{nearest(value[0], POLICIES)}")
+        raise line.error(f"no policy '{value[0]}'{nearest(value[0], POLICIES)}")
     if path[0] == "constant":
         if len(path) != 3 or path[1] not in MODULES:
-            raise line.wrong(f"'constant' takes one of {', '.join(MODULES)} and a name")
+            raise line.error(f"'constant' takes one of {', '.join(MODULES)} and a name")
         if not isinstance(constant(path[1], path[2]), int | float):
-            raise line.wrong(f"{path[1]} has no number '{path[2]}'")
+            raise line.error(f"{path[1]} has no number '{path[2]}'")
         try:
             float(value[0])
         except ValueError:
-            raise line.wrong(f"'{value[0]}' is not a number") from None
+            raise line.error(f"'{value[0]}' is not a number") from None
 
 
 def constant(module: str, name: str) -> Any:
@@ -234,6 +234,6 @@
     *path, least, most = line.words if len(line.words) > 2 else ["", "", ""]
     ends = [NUMBER.match(least), NUMBER.match(most)]
     if not path or not all(ends) or ends[0][2] != ends[1][2]:     # type: ignore[index]
-        raise line.wrong("'draw' takes what is drawn, the least and the most, in the same unit")
+        raise line.error("'draw' takes what is drawn, the least and the most, in the same unit")
     return Drawn(tuple(path), float(ends[0][1]), float(ends[1][1]), ends[0][2],     # type: ignore[index]
                  "." not in least + most)
