--- a/threadshift/cli/__init__.py
+++ b/threadshift/cli/__init__.py
@@ -1,5 +1,5 @@
-"""The command line: threadshift COMMAND. Errors are one line, and what can be done, on standard error; non-zero
-exit."""
+"""The command line: threadshift COMMAND. An error is one line, followed by advice, on standard error, with a non-zero
+exit status."""
 from threadshift.cli import announce, common, days, serve, standins
 from threadshift.cli.base import main
 from threadshift.trials.commands import hunt, trial
--- a/threadshift/cli/common.py
+++ b/threadshift/cli/common.py
@@ -1,19 +1,19 @@
-"""What front ends do together: rollout, batch, eviction."""
+"""The command groups rollout, batch and eviction: operations that all front ends of an installation share."""
 from __future__ import annotations
 
 import json
 
 import click
 
-from threadshift.cli.base import ADDRESS, ADMIN, main, ordered
+from threadshift.cli.base import ADDRESS, ADMIN, main, request_json
 
 GATEWAY = click.option("--to", type=ADDRESS, default="127.0.0.1:8080", help="The gateway's address.")
-TENANT = click.option("--tenant", default=None, help="Whose batch it is.")
+TENANT = click.option("--tenant", default=None, help="The batch's tenant.")
 
 
-def shown(told: dict) -> None:
-    """One line a field, nested ones indented."""
-    for name, value in told.items():
+def show(answer: dict) -> None:
+    """Prints one line a field, nested ones indented."""
+    for name, value in answer.items():
         if isinstance(value, dict):
             click.echo(f"{name}")
             for key, each in value.items():
@@ -22,8 +22,8 @@
             click.echo(f"{name:18}{', '.join(map(str, value)) if isinstance(value, list) else value}")
 
 
-def numbers(parameters: tuple[str, ...]) -> dict[str, int]:
-    """NAME=NUMBER, each."""
+def parse_parameters(parameters: tuple[str, ...]) -> dict[str, int]:
+    """Reads the NAME=NUMBER parameters of a policy."""
     try:
         return {name: int(value) for name, value in (each.split("=") for each in parameters)}
     except ValueError as problem:
@@ -32,20 +32,21 @@
 
 @main.group()
 def rollout() -> None:
-    """Changes in stages: of settings, of the program, of the eviction policy."""
+    """Staged changes of settings, of the program, or of the eviction policy."""
 
 
 @rollout.command("start")
 @ADMIN
 @click.option("--set", "settings", multiple=True, help="'BLOCK: DIRECTIVE WORDS', such as 'bounds: drain 20s'.")
-@click.option("--tree", type=click.Path(), default=None, help="Another program's folder, the same on each machine.")
-@click.option("--policy", default=None, help="An eviction policy, put in force at the end: NAME@VERSION.")
-@click.option("--parameter", "parameters", multiple=True, help="NAME=NUMBER of the policy.")
-@click.option("--hold", type=float, default=60, help="Seconds for which each stage has to stand.")
+@click.option("--tree", type=click.Path(), default=None,
+              help="The folder of another version of the program, the same on each machine.")
+@click.option("--policy", default=None, help="An eviction policy that is put in force at the end: NAME@VERSION.")
+@click.option("--parameter", "parameters", multiple=True, help="A parameter of the policy: NAME=NUMBER.")
+@click.option("--hold", type=float, default=60, help="Seconds for which each stage must hold before the next.")
 @click.option("--stages", default="0,0.2,0.5,1", help="Shares of the front ends; 0 is one of them.")
 @click.option("--who", default="an operator")
 def rollout_start(to, settings, tree, policy, parameters, hold, stages, who) -> None:
-    """Begins a rollout; one at a time."""
+    """Starts a rollout; only one may be under way."""
     changes = []
     for each in settings:
         block, colon, rest = each.partition(":")
@@ -57,40 +58,43 @@
         shares = [float(each) for each in stages.split(",")]
     except ValueError as problem:
         raise SystemExit(f"threadshift: --stages: {problem}") from None
-    figures = numbers(parameters)
-    told = {"settings": changes, "tree": tree, "hold-s": hold, "stages": shares, "who": who,
-            "eviction": {"policy": policy, "parameters": figures} if policy else None}
-    shown(ordered(to, "POST", "/v1/rollouts", json.dumps(told)))
+    values = parse_parameters(parameters)
+    order = {"settings": changes, "tree": tree, "hold-s": hold, "stages": shares, "who": who,
+             "eviction": {"policy": policy, "parameters": values} if policy else None}
+    show(request_json(to, "POST", "/v1/rollouts", json.dumps(order)))
 
 
 @rollout.command("show")
 @ADMIN
 @click.argument("rollout_id", default="")
 def rollout_show(to, rollout_id) -> None:
-    """The rollout under way, or the last one."""
-    shown(ordered(to, "GET", f"/v1/rollouts/{rollout_id}".rstrip("/")))
+    """Shows the rollout under way, or the last one."""
+    show(request_json(to, "GET", f"/v1/rollouts/{rollout_id}".rstrip("/")))
 
 
-def rollout_word(word: str, text: str) -> None:
-    @rollout.command(word, help=text)
+def add_rollout_command(order: str, text: str) -> None:
+    """Adds the sub-command that sends this order."""
+    @rollout.command(order, help=text)
     @ADMIN
-    @click.option("--why", default="", help="Kept with the entry.")
-    def say(to, why) -> None:
-        shown(ordered(to, "POST", f"/v1/rollouts/{word}", json.dumps({"why": why})))
+    @click.option("--why", default="", help="The reason, recorded with the order.")
+    def send_order(to, why) -> None:
+        show(request_json(to, "POST", f"/v1/rollouts/{order}", json.dumps({"why": why})))
 
 
-for each_word, each_text in (("pause", "Holds it where it stands."), ("resume", "Lets it go on."),
-                             ("abort", "Takes it back from all front ends.")):
-    rollout_word(each_word, each_text)
+for each_order, each_text in (("pause", "Pauses the rollout at its present stage."),
+                              ("resume", "Continues the rollout."),
+                              ("abort", "Rolls the change back on all front ends.")):
+    add_rollout_command(each_order, each_text)
 
 
 @main.group()
 def batch() -> None:
-    """Batches of deferred calls: how one stands, cancel, restore."""
+    """Batches of deferred calls: their state, cancel, restore."""
 
 
-def asked(to, method: str, path: str, tenant: str | None) -> None:
-    shown(ordered(to, method, path, headers={"Tenant": tenant}))
+def request_batch(to, method: str, path: str, tenant: str | None) -> None:
+    """Sends a request for one tenant and prints the answer."""
+    show(request_json(to, method, path, headers={"Tenant": tenant}))
 
 
 @batch.command("show")
@@ -98,8 +102,8 @@
 @GATEWAY
 @TENANT
 def batch_show(name, to, tenant) -> None:
-    """How batch NAME stands at all front ends."""
-    asked(to, "GET", f"/v1/batches/{name}", tenant)
+    """Shows the state of batch NAME at all front ends."""
+    request_batch(to, "GET", f"/v1/batches/{name}", tenant)
 
 
 @batch.command("cancel")
@@ -107,8 +111,8 @@
 @GATEWAY
 @TENANT
 def batch_cancel(name, to, tenant) -> None:
-    """Cancels batch NAME; tells by which id it may be restored, and until when."""
-    asked(to, "POST", f"/v1/batches/{name}/cancel", tenant)
+    """Cancels batch NAME; prints the id by which it may be restored, and until when."""
+    request_batch(to, "POST", f"/v1/batches/{name}/cancel", tenant)
 
 
 @batch.command("restore")
@@ -116,20 +120,20 @@
 @GATEWAY
 @TENANT
 def batch_restore(cancel, to, tenant) -> None:
-    """Brings back exactly what CANCEL stopped."""
-    asked(to, "POST", f"/v1/cancels/{cancel}/restore", tenant)
+    """Restores exactly the calls that CANCEL stopped."""
+    request_batch(to, "POST", f"/v1/cancels/{cancel}/restore", tenant)
 
 
 @main.group()
 def eviction() -> None:
-    """Which policy decides what goes first when memory is short, on all nodes."""
+    """The policy that decides on all nodes which copies are evicted first when memory is short."""
 
 
 @eviction.command("show")
 @ADMIN
 def eviction_show(to) -> None:
-    """The policy in force, and who is behind."""
-    shown(ordered(to, "GET", "/v1/eviction"))
+    """Shows the policy in force, and the front ends that do not follow it yet."""
+    show(request_json(to, "GET", "/v1/eviction"))
 
 
 @eviction.command("set")
@@ -137,8 +141,8 @@
 @ADMIN
 @click.option("--parameter", "parameters", multiple=True, help="NAME=NUMBER")
 @click.option("--why", default="")
-@click.option("--silent-too", is_flag=True, help="Though some front ends are not heard.")
+@click.option("--silent-too", is_flag=True, help="Even if some front ends do not answer.")
 def eviction_set(policy, to, parameters, why, silent_too) -> None:
     """Puts POLICY, NAME@VERSION, in force for all nodes."""
-    told = {"policy": policy, "parameters": numbers(parameters), "why": why, "silent-too": silent_too}
-    shown(ordered(to, "POST", "/v1/eviction", json.dumps(told)))
+    order = {"policy": policy, "parameters": parse_parameters(parameters), "why": why, "silent-too": silent_too}
+    show(request_json(to, "POST", "/v1/eviction", json.dumps(order)))
--- a/threadshift/cli/days.py
+++ b/threadshift/cli/days.py
@@ -1,4 +1,4 @@
-"""Days: play, emulate, bad-day, audit."""
+"""The commands play, emulate, bad-day and audit: run fault scenarios (`.day` files) and check their records."""
 from __future__ import annotations
 
 import sys
@@ -6,96 +6,98 @@
 
 import click
 
-from threadshift.cli.base import ended, main
+from threadshift.cli.base import exit_with, main
 from threadshift.conf.reading import ConfigurationError
 
 
-def played(path: str, seed: int, folder: str | None, keep: bool) -> None:
-    """Plays a day, audits it, prints the verdict; exits 1 where a rule broke."""
+def run_scenario(path: str, seed: int, folder: str | None, show_faults: bool) -> None:
+    """Runs a scenario, audits its records and prints the verdict; exits with 1 where a rule was broken."""
     import tempfile
     from pathlib import Path
 
     from threadshift.audit.report import audit as audited
-    from threadshift.days import day as days
-    from threadshift.days.play import Conductor, clear
+    from threadshift.days import fault_scenario
+    from threadshift.days.play import ScenarioRunner, remove_records
     try:
         text = Path(path).read_text()
-        it = days.read_text(text, path, seed)
+        scenario = fault_scenario.read_text(text, path, seed)
     except OSError as problem:
         raise SystemExit(f"threadshift: {path}: {problem.strerror}") from None
     except ConfigurationError as problem:
-        raise ended(problem) from None
+        raise exit_with(problem) from None
     with tempfile.TemporaryDirectory(prefix="threadshift-day-") as scratch:
         place = Path(folder) if folder else Path(scratch)
         if folder:
-            clear(place)
+            remove_records(place)
         try:
-            Conductor(it, text, seed, place).play()
+            ScenarioRunner(scenario, text, seed, place).play()
         except RuntimeError as problem:
             raise SystemExit(f"threadshift: {problem}") from None
         verdict = audited(place)
-    for trouble in it.troubles if keep else ():
-        click.echo(f"{trouble.kind} at {trouble.at / 1e9:.1f} s for {trouble.length / 1e9:.1f} s")
+    for fault in scenario.faults if show_faults else ():
+        click.echo(f"{fault.kind} at {fault.at / 1e9:.1f} s for {fault.length / 1e9:.1f} s")
     for breach in verdict.breaches:
         click.echo(str(breach))
     click.echo(f"seed {seed} {verdict.line}")
     sys.exit(1 if verdict.breaches else 0)
 
 
-SEED = click.option("--seed", type=int, default=1, help="Draws clients, victims, and times that the day leaves open.")
-KEEP = click.option("--record", "folder", type=click.Path(), default=None, help="Folder to leave the records in.")
+SEED = click.option("--seed", type=int, default=1,
+                    help="Draws clients, what faults affect, and times that the day leaves open.")
+RECORD = click.option("--record", "folder", type=click.Path(), default=None,
+                      help="The folder in which the records are left.")
 
 
 @main.command()
 @click.argument("day", type=click.Path())
 @SEED
-@KEEP
+@RECORD
 def play(day: str, seed: int, folder: str | None) -> None:
     """Plays a DAY file with real processes on loopback and audits it."""
-    played(day, seed, folder, keep=True)
+    run_scenario(day, seed, folder, show_faults=True)
 
 
 @main.command()
 @click.argument("day", type=click.Path())
 @SEED
-@KEEP
+@RECORD
 def emulate(day: str, seed: int, folder: str | None) -> None:
     """Emulates a DAY file on a virtual clock, with the real engine and decisions, and audits it."""
     from pathlib import Path
 
     from threadshift.audit.report import judge
-    from threadshift.days import day as days
-    from threadshift.days.play import clear
+    from threadshift.days import fault_scenario
+    from threadshift.days.play import remove_records
     from threadshift.emulator.run import Emulation
     try:
         text = Path(day).read_text()
-        it = Emulation(days.read_text(text, day, seed), seed)
+        emulation = Emulation(fault_scenario.read_text(text, day, seed), seed)
     except OSError as problem:
         raise SystemExit(f"threadshift: {day}: {problem.strerror}") from None
     except ConfigurationError as problem:
-        raise ended(problem) from None
+        raise exit_with(problem) from None
     began = time.monotonic()
-    it.run()
+    emulation.run()
     took = time.monotonic() - began
     if folder:
-        clear(Path(folder))
-        it.write(Path(folder), text)
-    verdict = judge(it.day, it.seen())
+        remove_records(Path(folder))
+        emulation.write(Path(folder), text)
+    verdict = judge(emulation.day, emulation.seen())
     for breach in verdict.breaches:
         click.echo(str(breach))
-    click.echo(f"seed {seed} {verdict.line} (simulated, {it.clock.played} events in {took:.1f} s)")
+    click.echo(f"seed {seed} {verdict.line} (simulated, {emulation.clock.played} events in {took:.1f} s)")
     sys.exit(1 if verdict.breaches else 0)
 
 
 @main.command("bad-day")
 @click.option("--short", is_flag=True, help="The short one, under 50 s.")
 @SEED
-@KEEP
+@RECORD
 def bad_day(short: bool, seed: int, folder: str | None) -> None:
     """The scripted bad day: a winter renomination window with much going wrong; exit 0 only with zero breaches."""
     from pathlib import Path
     name = "winter-window-short.day" if short else "winter-window.day"
-    played(str(Path(__file__).parent.parent / "days" / name), seed, folder, keep=True)
+    run_scenario(str(Path(__file__).parent.parent / "days" / name), seed, folder, show_faults=True)
 
 
 @main.command()
@@ -109,7 +111,7 @@
     try:
         verdict = audited(Path(folder))
     except (Unreadable, ConfigurationError) as problem:
-        raise ended(problem) from None
+        raise exit_with(problem) from None
     for breach in verdict.breaches:
         click.echo(str(breach))
     click.echo(verdict.line)
--- a/threadshift/cli/serve.py
+++ b/threadshift/cli/serve.py
@@ -1,4 +1,4 @@
-"""Serving: check, run, front-end, node, call, status, demo."""
+"""The commands that check a configuration, run a gateway, and call and inspect it."""
 from __future__ import annotations
 
 import json
@@ -9,36 +9,40 @@
 
 import click
 
-from threadshift.cli.base import ADDRESS, TIME, main, told
+from threadshift.cli.base import ADDRESS, TIME, main, read_config
+
+DEFERRED_TIMEOUT = 60      # s for which `call --deferred` waits for the answer
 
 
 @main.command()
 @click.argument("file", type=click.Path())
 def check(file: str) -> None:
-    """Reads FILE and says what is wrong with it, if anything."""
-    it = told(file)
-    click.echo(f"{file}: good; {len(it.deployment.types)} types, {len(it.functions)} classes of functions, "
-               f"{it.front_ends} front end{'s' * (it.front_ends > 1)} on {', '.join(map(str, it.listen))}")
+    """Checks the configuration FILE and reports what is wrong with it."""
+    config = read_config(file)
+    click.echo(f"{file}: good; {len(config.deployment.types)} types, "
+               f"{len(config.functions)} classes of functions, "
+               f"{config.front_ends} front end{'s' * (config.front_ends > 1)} "
+               f"on {', '.join(map(str, config.listen))}")
 
 
 @main.command()
 @click.argument("file", type=click.Path())
 def run(file: str) -> None:
-    """Runs the gateway by FILE, in the foreground, until SIGTERM."""
+    """Runs the gateway of the configuration FILE in the foreground until SIGTERM."""
     from threadshift.gateway.supervisor import Supervisor
     from threadshift.log import Log
-    it = told(file)
+    config = read_config(file)
     Supervisor.hold_signals()
-    log = Log(it.log_form, it.log_level, it.bounds.log_lines, front_end="supervisor")
+    log = Log(config.log_form, config.log_level, config.bounds.log_lines, front_end="supervisor")
     try:
-        sys.exit(Supervisor(it, log).run())
+        sys.exit(Supervisor(config, log).run())
     finally:
         log.close()
 
 
 @main.command()
 def node() -> None:
-    """Runs one front end on the platform, by NODE_CONFIG in the environment."""
+    """Runs one front end on the platform, with the configuration that NODE_CONFIG in the environment names."""
     from threadshift.node.start import main as start
     sys.exit(start(os.environ))
 
@@ -47,11 +51,11 @@
 @click.argument("file", type=click.Path())
 @click.option("--index", type=int, default=0)
 @click.option("--seed", type=int, default=None)
-@click.option("--disk-orders", type=click.Path(), default=None, help="A file of faults that the disk has by order.")
-@click.option("--version", default="", help="Which rollouts' changes this is.")
-@click.option("--ready-fd", type=int, default=-1, help="Where to say that it serves.")
+@click.option("--disk-orders", type=click.Path(), default=None, help="A file of orders for faults of the disk.")
+@click.option("--version", default="", help="The rollouts whose changes this configuration holds.")
+@click.option("--ready-fd", type=int, default=-1, help="The file descriptor on which to report that it serves.")
 def front_end(file: str, index: int, seed: int | None, disk_orders: str | None, version: str, ready_fd: int) -> None:
-    """One front end process; `run` starts them."""
+    """Runs one front end process; `run` starts them."""
     signal.pthread_sigmask(signal.SIG_SETMASK, [])
     import gevent
     from gevent.fileobject import FileObject
@@ -59,8 +63,8 @@
     from threadshift import garbage_collection
     from threadshift.gateway.front_end import FrontEnd
     from threadshift.log import Log
-    it = told(file)
-    log = Log(it.log_form, it.log_level, it.bounds.log_lines, front_end=it.front_end(index))
+    config = read_config(file)
+    log = Log(config.log_form, config.log_level, config.bounds.log_lines, front_end=config.front_end(index))
     disk = None
     if disk_orders is not None:
         from pathlib import Path
@@ -73,10 +77,11 @@
             os.write(ready_fd, b"r")
             os.close(ready_fd)
 
-    front = FrontEnd(it, index, log, seed, disk, version, ready)
+    front = FrontEnd(config, index, log, seed, disk, version, ready)
     garbage_collection.freeze_startup_objects()
 
-    def parent_gone() -> None:
+    def end_with_parent() -> None:
+        # The supervisor holds the other end of standard input, which closes when it dies.
         while FileObject(sys.stdin.buffer, "rb").read(1):
             pass
         front.end()
@@ -84,14 +89,14 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, front.end)
     gevent.signal_handler(signal.SIGHUP, front.reload)
-    watch = gevent.spawn(parent_gone)
+    parent_watch = gevent.spawn(end_with_parent)
     try:
         front.run()
     except OSError as problem:
         log.note("cannot-start", level="error", problem=str(problem))
         raise SystemExit(f"threadshift: cannot listen: {problem}") from None
     finally:
-        watch.kill()
+        parent_watch.kill()
         log.close()
 
 
@@ -102,7 +107,7 @@
 @click.option("--left", type=TIME, default=None, help="Time left, such as 800ms.")
 @click.option("--tenant", default=None)
 @click.option("--mark", default=None, help="Idempotency key.")
-@click.option("--deferred", is_flag=True, help="Ask for a deferred call, then wait for its answer.")
+@click.option("--deferred", is_flag=True, help="Makes a deferred call, then waits for its answer.")
 def call(function: str, body: str | None, to, left, tenant, mark, deferred: bool) -> None:
     """Calls FUNCTION with BODY, or with standard input; prints the answer."""
     from threadshift.invoke.client import Client, NoAnswer
@@ -112,7 +117,7 @@
     client = Client(to)
     try:
         answer = client.request("POST", f"/v1/functions/{function}/calls", headers, data)
-        until = time.monotonic() + 60
+        until = time.monotonic() + DEFERRED_TIMEOUT
         while answer.status == 202 and time.monotonic() < until:
             answer = client.request("GET", f"/v1/calls/{answer.headers['activation']}", {"Prefer": "wait=10"})
     except NoAnswer as problem:
@@ -124,46 +129,48 @@
 
 @main.command()
 @click.option("--to", type=ADDRESS, default="127.0.0.1:8080", help="The gateway's address.")
-@click.option("--json", "plain", is_flag=True, help="The whole of it, as JSON.")
+@click.option("--json", "plain", is_flag=True, help="Prints the whole status as JSON.")
 def status(to, plain: bool) -> None:
-    """Shows what a front end knows of itself and its workers."""
+    """Shows the state of a front end and its workers."""
     from threadshift.invoke.client import Client, NoAnswer
     try:
-        told = json.loads(Client(to).request("GET", "/v1/status").body)
+        state = json.loads(Client(to).request("GET", "/v1/status").body)
     except NoAnswer as problem:
         raise SystemExit(f"threadshift: {to}: {problem}") from None
     if plain:
-        click.echo(json.dumps(told, indent=2))
+        click.echo(json.dumps(state, indent=2))
         return
-    click.echo(f"{told['front-end']}  up {told['up-s']:.0f} s  owed {told['owed']}  connections {told['connections']}"
-               f"  lag {told['lag-ms']} ms  roster {told['roster']['age-s']} s ago")
-    for name, count in told["counts"].items():
+    click.echo(f"{state['front-end']}  up {state['up-s']:.0f} s  owed {state['owed']}"
+               f"  connections {state['connections']}"
+               f"  lag {state['lag-ms']} ms  roster {state['roster']['age-s']} s ago")
+    for name, count in state["counts"].items():
         click.echo(f"  {name:24}{count}")
-    for name, one in told["workers"].items():
-        click.echo(f"  {name:16}{one['state']:10}{'linked' if one['link'] else 'no link':9}"
-                   f"in flight {one['in-flight']:<4} copies {one['copies-believed']:<4} pace {one['pace']:<6}"
-                   f" suspended {one['suspended-ms']} ms")
+    for name, worker in state["workers"].items():
+        click.echo(f"  {name:16}{worker['state']:10}{'linked' if worker['link'] else 'no link':9}"
+                   f"in flight {worker['in-flight']:<4} copies {worker['copies-believed']:<4} "
+                   f"pace {worker['pace']:<6}"
+                   f" suspended {worker['suspended-ms']} ms")
 
 
 @main.command()
-@click.option("--port", type=int, default=8080, help="Where the gateway listens.")
+@click.option("--port", type=int, default=8080, help="The port on which the gateway listens.")
 @click.option("--workers", type=click.IntRange(1, 32), default=3)
 @click.option("--front-ends", type=click.IntRange(1, 8), default=1)
-@click.option("--seconds", type=float, default=None, help="End by itself after so long.")
+@click.option("--seconds", type=float, default=None, help="Ends by itself after this time.")
 def demo(port: int, workers: int, front_ends: int, seconds: float | None) -> None:
-    """Starts a gateway, workers, a pack store and a roster feed on loopback, all at once, until Ctrl-C."""
+    """Runs a gateway, workers, a pack store and a roster feed on loopback until Ctrl-C."""
     import tempfile
     from pathlib import Path
 
     from threadshift.gateway.demo import Demo
     with tempfile.TemporaryDirectory(prefix="threadshift-demo-") as scratch:
         try:
-            with Demo(Path(scratch), port, workers, front_ends) as it:
+            with Demo(Path(scratch), port, workers, front_ends) as demonstration:
                 click.echo(f"threadshift listens at http://127.0.0.1:{port} with {workers} workers; try:\n"
                            f"  curl -d 'hello there' http://127.0.0.1:{port}/v1/functions/text-upper/calls\n"
                            f"  threadshift call my-sum '3 4 5' --to 127.0.0.1:{port}\n"
                            f"  threadshift status --to 127.0.0.1:{port}")
-                it.wait(seconds)
+                demonstration.wait(seconds)
         except KeyboardInterrupt:
             pass
         except RuntimeError as problem:
--- a/threadshift/cli/standins.py
+++ b/threadshift/cli/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins, each a process that takes orders for faults."""
+"""The command group standin: stand-ins for the processes around a gateway, which take orders for faults."""
 from __future__ import annotations
 
 import signal
@@ -6,18 +6,18 @@
 
 import click
 
-from threadshift.cli.base import ADDRESS, TIME, ended, main
+from threadshift.cli.base import ADDRESS, TIME, exit_with, main
 from threadshift.conf import values
 from threadshift.conf.reading import ConfigurationError
 
 
 @main.group()
 def standin() -> None:
-    """Stand-ins of our own for what stands around a gateway; each takes orders for faults on standard input."""
+    """Stand-ins for the processes around a gateway; each takes orders for faults on standard input."""
 
 
-def attend(server) -> None:
-    """Runs a stand-in until its standard input ends or it is told to stop."""
+def serve_until_ended(server) -> None:
+    """Runs a stand-in until its standard input ends or a signal stops it."""
     import gevent
 
     from threadshift.standins.common import follow_orders
@@ -30,7 +30,8 @@
     server.stop()
 
 
-RECORD = click.option("--record", type=click.Path(), default=None, help="Where to record what crosses the sockets.")
+RECORD = click.option("--record", type=click.Path(), default=None,
+                      help="The file in which to record what crosses the sockets.")
 LISTEN = click.option("--listen", type=ADDRESS, required=True)
 
 
@@ -49,96 +50,96 @@
 @click.option("--fall-multiple", type=float, default=1e9)
 @click.option("--fall-time", type=TIME, default="1s")
 @click.option("--report-every", type=TIME, default="200ms")
-@click.option("--miss", is_flag=True, help="Answer 'miss' instead of loading while the call waits.")
+@click.option("--miss", is_flag=True, help="Answers 'miss' instead of loading while the call waits.")
 def worker(listen, record, name, store, zone, size, cores, memory_mb, keep, cold_share, cold_time, fall_multiple,
            fall_time, report_every, miss) -> None:
-    """A worker."""
+    """Runs a worker."""
     from threadshift.standins.common import Record
     from threadshift.standins.worker import Machine, Worker
     machine = Machine(name, zone, size, cores, memory_mb, keep=keep, cold_share=cold_share, cold_time=cold_time,
                       fall_multiple=fall_multiple, fall_time=fall_time, report_every=report_every,
                       loads_on_miss=not miss)
-    attend(Worker(listen, machine, store, Record(record, worker=name)))
+    serve_until_ended(Worker(listen, machine, store, Record(record, worker=name)))
 
 
 @standin.command()
 @LISTEN
 @RECORD
-@click.option("--capacity", type=float, default=8, help="Fetches at a time before it slows down.")
+@click.option("--capacity", type=float, default=8, help="The number of fetches at a time above which it slows down.")
 @click.option("--work-ms", type=float, default=40)
 @click.option("--memory-mb", type=float, default=200)
 @click.option("--load-ms", type=float, default=400)
 def store(listen, record, capacity, work_ms, memory_mb, load_ms) -> None:
-    """A pack store; figures are those of a mean function."""
+    """Runs a pack store; times and sizes are those of a mean function."""
     from threadshift.standins.common import Record
     from threadshift.standins.store import PackStore
-    attend(PackStore(listen, capacity, work_ms, memory_mb, load_ms, Record(record)))
+    serve_until_ended(PackStore(listen, capacity, work_ms, memory_mb, load_ms, Record(record)))
 
 
 @standin.command()
 @LISTEN
 @RECORD
 def roster(listen, record) -> None:
-    """A roster feed."""
+    """Runs a roster feed."""
     from threadshift.standins.common import Record
     from threadshift.standins.feed import RosterFeed
-    attend(RosterFeed(listen, Record(record)))
+    serve_until_ended(RosterFeed(listen, Record(record)))
 
 
 @standin.command()
 @RECORD
-@click.option("--route", "routes", multiple=True, required=True, help="NAME=WHERE IT LISTENS=WHERE IT LEADS.")
+@click.option("--route", "routes", multiple=True, required=True, help="NAME=LISTEN ADDRESS=TARGET ADDRESS.")
 def relay(record, routes) -> None:
-    """Relays between processes, whose links can be cut, held up or torn."""
+    """Runs relays between processes, whose connections can be cut, delayed or broken."""
     from threadshift.standins.common import Record
     from threadshift.standins.relay import Relays
     try:
-        told = [(name, values.address(at), values.address(to))
-                for name, at, to in (each.split("=") for each in routes)]
+        parsed_routes = [(name, values.address(at), values.address(to))
+                         for name, at, to in (each.split("=") for each in routes)]
     except ValueError as problem:
         raise SystemExit(f"threadshift: --route: {problem}") from None
-    attend(Relays(told, Record(record)))
+    serve_until_ended(Relays(parsed_routes, Record(record)))
 
 
 @standin.command()
 @click.argument("day", type=click.Path())
 @RECORD
 @click.option("--seed", type=int, default=0)
-@click.option("--start", type=int, default=0, help="Monotonic ns at which the day begins; 0: now.")
+@click.option("--start", type=int, default=0, help="Monotonic ns at which the scenario begins; 0: now.")
 @click.option("--front", "fronts", type=ADDRESS, multiple=True, required=True)
 def clients(day, record, seed, start, fronts) -> None:
-    """The clients of a day file."""
-    from threadshift.days import day as days
+    """Runs the clients of a `.day` file."""
+    from threadshift.days import fault_scenario
     from threadshift.days.clients import Clients
     from threadshift.standins.common import Record
     try:
-        it = days.read(day, seed)
+        scenario = fault_scenario.read(day, seed)
     except ConfigurationError as problem:
-        raise ended(problem) from None
-    wanted = it.front_ends if it.router is None else 1
-    if len(fronts) != wanted:
-        raise SystemExit(f"threadshift: {day} wants {wanted} addresses to call, {len(fronts)} are named")
-    Clients(it, seed, list(fronts), Record(record)).run(start or time.monotonic_ns())
+        raise exit_with(problem) from None
+    address_count = scenario.front_ends if scenario.router is None else 1
+    if len(fronts) != address_count:
+        raise SystemExit(f"threadshift: {day} needs {address_count} addresses to call, {len(fronts)} are given")
+    Clients(scenario, seed, list(fronts), Record(record)).run(start or time.monotonic_ns())
 
 
 @standin.command()
 @LISTEN
 @RECORD
 @click.option("--as", "asn", type=int, default=65000)
-@click.option("--peer", "peers", multiple=True, required=True, help="NAME=ADDRESS=AS of a front end's speaker.")
+@click.option("--peer", "peers", multiple=True, required=True, help="NAME=ADDRESS=AS of a front end's BGP speaker.")
 @click.option("--service", "services", multiple=True, required=True,
-              help="PREFIX=WHERE CLIENTS CONNECT=PORT OF FRONT ENDS.")
+              help="PREFIX=ADDRESS FOR CLIENTS=PORT OF FRONT ENDS.")
 @click.option("--converge", type=TIME, default="200ms")
 @click.option("--hold", type=int, default=9)
 @click.option("--steer", type=click.Choice(["routes", "alive", "static"]), default="routes")
 def router(listen, record, asn, peers, services, converge, hold, steer) -> None:
-    """A router that steers connections by what front ends announce."""
+    """Runs a router that steers connections by what front ends announce."""
     from threadshift.standins.common import Record
     from threadshift.standins.router import Router
     try:
-        spoken = [(name, host, int(number)) for name, host, number in (each.split("=") for each in peers)]
-        served = [(prefix, values.address(at), int(port))
-                  for prefix, at, port in (each.split("=") for each in services)]
+        parsed_peers = [(name, host, int(number)) for name, host, number in (each.split("=") for each in peers)]
+        parsed_services = [(prefix, values.address(at), int(port))
+                           for prefix, at, port in (each.split("=") for each in services)]
     except ValueError as problem:
         raise SystemExit(f"threadshift: --peer or --service: {problem}") from None
-    attend(Router(asn, listen, spoken, served, converge, hold, Record(record), steer))
+    serve_until_ended(Router(asn, listen, parsed_peers, parsed_services, converge, hold, Record(record), steer))
