--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -13,17 +13,18 @@
 GOOD = f"listen 127.0.0.1:8080\nroster feed 127.0.0.1:7001\n{TYPE}functions * {{\n    type check\n}}\n"
 
 
-def told(text):
-    with_file = None
+def error_message(text):
+    """What reading this configuration reports, None where it is valid."""
+    message = None
     try:
         read_text(text, "a.conf")
     except ConfigurationError as problem:
-        with_file = str(problem)
-    return with_file
+        message = str(problem)
+    return message
 
 
-class Mistakes(unittest.TestCase):
-    def test_each_kind_names_file_line_and_word(self):
+class Errors(unittest.TestCase):
+    def test_each_kind_of_error_names_file_line_and_word(self):
         cases = (
             ("listne 127.0.0.1:80\n", "a.conf:1:", "'listne'; the nearest known is 'listen'"),
             (GOOD + "front-ends\n", "a.conf:11:", "'front-ends' takes 1 word, found 0"),
@@ -54,9 +55,9 @@
             (GOOD + "tenant a {\n share 70%\n rate 1\n}\ntenant b {\n share 40%\n rate 1\n}\n", "a.conf:15:", "100%"),
             ("", "a.conf:0:", "lacks 'listen'"),
         )
-        self.assertIsNone(told(GOOD))
+        self.assertIsNone(error_message(GOOD))
         for text, place, words in cases:
-            problem = told(text)
+            problem = error_message(text)
             self.assertIsNotNone(problem, text)
             self.assertTrue(problem.startswith(place), problem)
             self.assertIn(words, problem)
@@ -91,13 +92,13 @@
         for text in ("127.0.0.1:80", "[::1]:80", "unix:/x.sock"):
             self.assertEqual(str(values.address(text)), text)
 
-    def test_what_is_read_becomes_a_deployment(self):
+    def test_directives_become_a_deployment(self):
         it = read_text(GOOD + "fleet {\n    load-window 5s\n    load-free 6\n    load-ratio 20%\n}\n")
         self.assertEqual((it.deployment.load_window, it.deployment.load_free, it.deployment.load_ratio),
                          (5 * SECOND, 6.0, 0.2))
         self.assertEqual((it.deployment.types[0].effect, it.function("any")[0].type), (Effect.REPEATABLE, "check"))
 
-    def test_a_reload_takes_over_what_may_change_and_says_the_rest(self):
+    def test_a_reload_takes_over_what_may_change_and_lists_the_rest(self):
         old = read_text(GOOD)
         new = read_text(GOOD.replace("8080", "8081") + "bounds {\n    body 2K\n    pipeline 3\n}\n")
         taken, kept = gateway_config.compare_for_reload(old, new)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -8,7 +8,7 @@
 from threadshift.days.traffic import client_calls, next_in_chain
 from threadshift.interface import MS, SECOND
 
-DAY = """
+SCENARIO = """
 length 20s
 front-ends 3
 fleet-of 6 {
@@ -28,11 +28,11 @@
     functions 30
 }
 """
-CONDUCTED = ("!kill", "!renew", "!stop", "!go-on", "!drain", "!reload", "!say")
+RUNNER_ACTIONS = ("!kill", "!renew", "!stop", "!go-on", "!drain", "!reload", "!say")
 
 
-def day(*troubles, seed=1, **changes) -> FaultScenario:
-    text = DAY + "".join(f"trouble {trouble}\n" for trouble in troubles)
+def scenario(*faults, seed=1, **changes) -> FaultScenario:
+    text = SCENARIO + "".join(f"trouble {fault}\n" for fault in faults)
     for old, new in changes.items():
         text = text.replace(old, new)
     return read_text(text, "a.day", seed)
@@ -40,7 +40,7 @@
 
 class Reading(unittest.TestCase):
     def test_popularity_drifts_and_deferred_calls_have_chains(self):
-        plain, moved = day(), day(**{"rate 100": "rate 100\n    drift 5s\n    deferred 50%\n    chain 2"})
+        plain, moved = scenario(), scenario(**{"rate 100": "rate 100\n    drift 5s\n    deferred 50%\n    chain 2"})
         first, then = list(client_calls(plain, 1)), list(client_calls(moved, 1))
         for one, other in zip(first, then, strict=True):
             rank = int(one.function.rsplit("-", 1)[1]) - one.at // (5 * SECOND)
@@ -49,7 +49,7 @@
         link = next_in_chain(next(each for each in then if each.chain))
         self.assertEqual((link.chain, link.mark[-1], next_in_chain(link).chain), (1, "c", 0))
 
-    def test_mistakes_name_their_line(self):
+    def test_errors_name_their_line(self):
         cases = (("trouble", "a.day:20:", "no kind of trouble"),
                  ("trouble crahs", "a.day:20:", "nearest known is 'crash'"),
                  ("trouble crash at", "a.day:20:", "pairs"), ("trouble crash at soon", "a.day:20:", "a time such as"),
@@ -60,40 +60,40 @@
                  ("traffic more {\n type nothing\n rate 1\n}", "a.day:20:", "no type 'nothing'"))
         for line, place, words in cases:
             with self.assertRaises(ConfigurationError) as caught:
-                read_text(DAY + line + "\n", "a.day")
+                read_text(SCENARIO + line + "\n", "a.day")
             self.assertTrue(str(caught.exception).startswith(place), str(caught.exception))
             self.assertIn(words, str(caught.exception))
 
-    def test_the_days_that_come_along_are_good(self):
+    def test_the_packaged_scenarios_are_valid(self):
         for path in sorted((Path(__file__).parent.parent / "threadshift/days").glob("*.day")):
             it = read(str(path))
             self.assertTrue(it.traffic and it.faults, path)
 
-    def test_what_a_trouble_does_not_tell_is_drawn_from_the_seed(self):
-        first, again, other = (day("crash", "zone_cut", seed=seed).faults for seed in (1, 1, 2))
+    def test_what_a_fault_leaves_open_is_drawn_from_the_seed(self):
+        first, again, other = (scenario("crash", "zone_cut", seed=seed).faults for seed in (1, 1, 2))
         self.assertEqual(first, again)
         self.assertNotEqual(first, other)
-        for trouble in (*first, *other):
-            self.assertTrue(0 < trouble.at < trouble.at + trouble.length <= 20 * SECOND)
+        for fault in (*first, *other):
+            self.assertTrue(0 < fault.at < fault.at + fault.length <= 20 * SECOND)
 
-    def test_front_ends_are_told_how_many_they_are(self):
-        self.assertIn("fleet {\nfront-ends-in-all 3\n}", with_front_ends(day()))
+    def test_the_number_of_all_front_ends_is_added_to_their_configuration(self):
+        self.assertIn("fleet {\nfront-ends-in-all 3\n}", with_front_ends(scenario()))
         self.assertIn("fleet {\nfront-ends-in-all 3\nidle-keep 1s", with_front_ends(
-            read_text(DAY + "fleet {\n idle-keep 1s\n}\n")))
+            read_text(SCENARIO + "fleet {\n idle-keep 1s\n}\n")))
 
 
 class Traffic(unittest.TestCase):
-    def test_the_same_seed_gives_the_same_tries_at_about_the_rate(self):
-        one, again, other = (list(client_calls(day(), seed)) for seed in (5, 5, 6))
+    def test_the_same_seed_gives_the_same_calls_at_about_the_rate(self):
+        one, again, other = (list(client_calls(scenario(), seed)) for seed in (5, 5, 6))
         self.assertEqual(one, again)
         self.assertNotEqual(one, other)
         self.assertTrue(1700 < len(one) < 2300, len(one))
         self.assertEqual({each.front for each in one}, {0, 1, 2})
 
-    def test_what_clients_troubles_do(self):
-        plain = list(client_calls(day(), 5))
+    def test_faults_of_clients_change_their_calls(self):
+        plain = list(client_calls(scenario(), 5))
         later = 10 * SECOND
-        # trouble, what is measured over the tries of its time, least and most against a day without
+        # A fault, what is measured over the calls of its time, and the least and most ratio to a scenario without it.
         cases = (("burst at 10s for 5s times 3", len, 2.4, 3.6),
                  ("heavy_tail at 10s for 5s share 50% times 10", lambda some: sum(one.work for one in some), 3, 8),
                  ("give_up at 10s for 5s share 100% times 4", lambda some: sum(one.left for one in some), 0.2, 0.3),
@@ -101,40 +101,40 @@
                  ("hot_key at 10s for 5s share 60%",
                   lambda some: 1 + sum("hot" in one.function for one in some), 100, 900),
                  ("shift at 10s for 5s share 90% front 2", lambda some: sum(one.front == 2 for one in some), 2, 4))
-        for trouble, measure, least, most in cases:
-            there = [one for one in client_calls(day(trouble), 5) if later <= one.at < later + 5 * SECOND]
-            before = [one for one in plain if later <= one.at < later + 5 * SECOND]
-            ratio = measure(there) / measure(before)
-            self.assertTrue(least < ratio < most, (trouble, ratio))
+        for fault, measure, least, most in cases:
+            during = [one for one in client_calls(scenario(fault), 5) if later <= one.at < later + 5 * SECOND]
+            without = [one for one in plain if later <= one.at < later + 5 * SECOND]
+            ratio = measure(during) / measure(without)
+            self.assertTrue(least < ratio < most, (fault, ratio))
 
 
 class Orders(unittest.TestCase):
-    def test_every_kind_of_trouble_can_be_ordered(self):
+    def test_each_kind_of_fault_has_orders_unless_it_is_one_of_clients(self):
         clients = {"burst", "hot_key", "heavy_tail", "scan", "give_up", "shift"}
         for kind in FAULT_KINDS:
-            it = day(f"{kind} at 4s for 6s", **{"fleet-of 6": "router {\n}\nfleet-of 6"})
+            it = scenario(f"{kind} at 4s for 6s", **{"fleet-of 6": "router {\n}\nfleet-of 6"})
             found = draw_orders(it, 1)
             self.assertEqual(bool(found), kind not in clients, kind)
             for order in found:
                 self.assertIn(order.who,
                               [*worker_zones(it), "store", "roster", "workers", "front-0", "front-1", "front-2"])
-                self.assertTrue(not order.words.startswith("!") or order.words.split()[0] in CONDUCTED, order)
+                self.assertTrue(not order.words.startswith("!") or order.words.split()[0] in RUNNER_ACTIONS, order)
                 self.assertGreaterEqual(order.at, 4 * SECOND)
             self.assertEqual(found, sorted(found, key=lambda order: order.at))
 
-    def test_what_is_killed_comes_back(self):
-        for trouble in ("crash at 2s for 3s workers 2", "zone_loss at 2s for 3s zone b",
+    def test_what_is_killed_is_started_again(self):
+        for fault in ("crash at 2s for 3s workers 2", "zone_loss at 2s for 3s zone b",
                         "deploy at 2s for 12s workers 1",
                         "preempt at 2s for 6s workers 0.5", "front_kill at 2s for 1s front 1"):
-            found = draw_orders(day(trouble), 3)
+            found = draw_orders(scenario(fault), 3)
             killed = [order.who for order in found if order.words == "!kill"]
-            self.assertTrue(killed, trouble)
+            self.assertTrue(killed, fault)
             for who in killed:
                 last = [order.words for order in found if order.who == who and order.words.startswith("!")][-1]
-                self.assertEqual(last, "!renew", trouble)
+                self.assertEqual(last, "!renew", fault)
 
     def test_orders_of_a_stall(self):
-        self.assertEqual(draw_orders(day("balancer_stall at 1s for 500ms front 2"), 1),
+        self.assertEqual(draw_orders(scenario("balancer_stall at 1s for 500ms front 2"), 1),
                          [FaultOrder(SECOND, "front-2", "!stop"), FaultOrder(1500 * MS, "front-2", "!go-on")])
 
 
--- a/threadshift/cli/days.py
+++ b/threadshift/cli/days.py
@@ -53,7 +53,7 @@
 @SEED
 @RECORD
 def play(day: str, seed: int, folder: str | None) -> None:
-    """Plays a DAY file with real processes on loopback and audits it."""
+    """Runs a DAY file with real processes on loopback and audits the records."""
     run_scenario(day, seed, folder, show_faults=True)
 
 
@@ -62,7 +62,7 @@
 @SEED
 @RECORD
 def emulate(day: str, seed: int, folder: str | None) -> None:
-    """Emulates a DAY file on a virtual clock, with the real engine and decisions, and audits it."""
+    """Emulates a DAY file on a virtual clock, with the real engine and decisions, and audits the records."""
     from pathlib import Path
 
     from threadshift.audit.report import judge
@@ -90,11 +90,11 @@
 
 
 @main.command("bad-day")
-@click.option("--short", is_flag=True, help="The short one, under 50 s.")
+@click.option("--short", is_flag=True, help="Runs the short version, under 50 s.")
 @SEED
 @RECORD
 def bad_day(short: bool, seed: int, folder: str | None) -> None:
-    """The scripted bad day: a winter renomination window with much going wrong; exit 0 only with zero breaches."""
+    """Runs the packaged scenario: a winter renomination window with many faults; exit 0 only with zero breaches."""
     from pathlib import Path
     name = "winter-window-short.day" if short else "winter-window.day"
     run_scenario(str(Path(__file__).parent.parent / "days" / name), seed, folder, show_faults=True)
@@ -103,7 +103,7 @@
 @main.command()
 @click.argument("folder", type=click.Path())
 def audit(folder: str) -> None:
-    """Checks the five rules from what was recorded in FOLDER."""
+    """Checks the five rules against the records in FOLDER."""
     from pathlib import Path
 
     from threadshift.audit.records import Unreadable
--- a/threadshift/conf/gateway_config.py
+++ b/threadshift/conf/gateway_config.py
@@ -302,20 +302,20 @@
 def compare_for_reload(old: GatewayConfig, new: GatewayConfig) -> tuple[list[str], list[str]]:
     """What differs, in the file's words: what a reload takes over, and what needs a restart."""
     taken: list[str] = []
-    kept: list[str] = []
+    needs_restart: list[str] = []
     for name, spec in BOUNDS.known.items():
         field = name.replace("-", "_")
         if getattr(old.bounds, field) != getattr(new.bounds, field):
-            (taken if spec.reloadable else kept).append(f"bounds {name}")
+            (taken if spec.reloadable else needs_restart).append(f"bounds {name}")
     if old.functions != new.functions:
         taken.append("functions")
     for field in ("listen", "front_ends", "own_ports", "admin", "announcing", "peering", "name", "roster_kind",
                   "roster_at", "log_form", "log_level"):
         if getattr(old, field) != getattr(new, field):
-            kept.append(field.replace("_", "-"))
+            needs_restart.append(field.replace("_", "-"))
     if old.deployment != new.deployment:
-        kept.append("type, tenant, zone or fleet")
-    return taken, kept
+        needs_restart.append("type, tenant, zone or fleet")
+    return taken, needs_restart
 
 
 def apply_reload(old: GatewayConfig, new: GatewayConfig) -> GatewayConfig:
--- a/threadshift/days/clients.py
+++ b/threadshift/days/clients.py
@@ -41,7 +41,7 @@
         stall_check.kill()
 
     def record_stalls(self) -> None:
-        """Records each time in which this process did not run, so that the audit can leave it out."""
+        """Records each time in which this process did not run, so that the audit can allow for it."""
         before = time.monotonic_ns()
         while True:
             gevent.sleep(STALL_CHECK_INTERVAL)
--- a/threadshift/days/play.py
+++ b/threadshift/days/play.py
@@ -87,7 +87,7 @@
             zone = scenario.fleet.zones[n % len(scenario.fleet.zones)]
             (self.folder / f"front-{n}.conf").write_text(
                 f"listen {hosts[n]}:{port}\nname front-{n}\nzone {zone}\nroster feed {rig.at['roster']}\n"
-                f"log json info\n{with_front_ends(scenario)}\n{self.announcing(n)}\n")
+                f"log json info\n{with_front_ends(scenario)}\n{self.bgp_directives(n)}\n")
             self.start_front(n)
         for n, (host, port) in enumerate(zip(hosts, ports, strict=True)):
             self.wait_for(n, Address(host, port))
@@ -99,6 +99,7 @@
         return f"127.0.1.{n + 1}" if self.scenario.router is not None else "127.0.0.1"
 
     def start_router(self, port: int, hosts: list[str]) -> None:
+        """Starts the router, with a BGP session to each front end; clients connect to its service address."""
         settings = self.scenario.router
         assert settings is not None
         peers = [f"--peer=front-{n}={host}={FIRST_AS + n}" for n, host in enumerate(hosts)]
@@ -110,7 +111,7 @@
                        f"--record={self.folder / 'router.jsonl'}", *peers)
         self.rig.listening("router")
 
-    def announcing(self, n: int) -> str:
+    def bgp_directives(self, n: int) -> str:
         """The directives by which a front end announces the service; empty without a router."""
         settings = self.scenario.router
         if settings is None:
@@ -162,6 +163,7 @@
             self.rig.processes[order.who].order(order.words)
 
     def kill(self, who: str) -> None:
+        """Kills a process (SIGKILL)."""
         self.record.note("killing", who=who)
         self.rig.kill(who)
         self.record.note("killed", who=who)
@@ -182,14 +184,17 @@
         self.rig.processes[who].signal(signal.SIGTERM)
 
     def stop(self, who: str) -> None:
+        """Stops a process (SIGSTOP) until go_on."""
         self.record.note("stopped", who=who)
         self.rig.processes[who].signal(signal.SIGSTOP)
 
     def go_on(self, who: str) -> None:
+        """Continues a stopped process (SIGCONT)."""
         self.rig.processes[who].signal(signal.SIGCONT)
         self.record.note("goes-on", who=who)
 
     def reload(self, who: str) -> None:
+        """Has a front end reload its configuration (SIGHUP)."""
         self.record.note("reloads", who=who)
         self.rig.processes[who].signal(signal.SIGHUP)
 
