--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -3,7 +3,7 @@
 
 from tests.test_emulator import DAY
 from threadshift.choice import Dispatcher
-from threadshift.days.day import read_text
+from threadshift.days.fault_scenario import read_text
 from threadshift.trials.hunt import breaks, draw_scenario, emulate, emulate_drawn, shrink
 
 
@@ -12,7 +12,7 @@
         for seed in range(200):
             text = draw_scenario(seed)
             self.assertEqual(text, draw_scenario(seed))
-            self.assertTrue(read_text(text, seed=seed).troubles)
+            self.assertTrue(read_text(text, seed=seed).faults)
 
     def test_drawn_scenarios_break_no_rule(self):
         for seed in (2, 4, 6, 8):
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -10,12 +10,12 @@
 from tests.test_audit import COMPLETED, REPEATABLE, SENT, T0, events
 from threadshift.audit.records import read, select_events
 from threadshift.audit.report import audit
-from threadshift.conf.reading import Mistake
+from threadshift.conf.reading import ConfigurationError
 from threadshift.conf.values import Address
-from threadshift.days.day import read_text
-from threadshift.days.orders import orders
-from threadshift.days.play import Conductor
-from threadshift.days.traffic import tries
+from threadshift.days.fault_scenario import read_text
+from threadshift.days.orders import draw_orders
+from threadshift.days.play import ScenarioRunner
+from threadshift.days.traffic import client_calls
 from threadshift.interface import MS, SECOND, Deployment, Effect, NamespaceType
 from threadshift.invoke.client import Client
 from threadshift.trials.causes import CAUSES, jain, losses
@@ -102,18 +102,18 @@
 class Directives(unittest.TestCase):
     def test_uneven_traffic_and_simultaneous_restarts(self):
         day = read_text(DAY)
-        counts = Counter(each.front for each in tries(day, 1))
+        counts = Counter(each.front for each in client_calls(day, 1))
         mean = sum(counts.values()) / 40
         self.assertGreater(counts[0], 4 * mean)
         self.assertLess(counts[39], mean)
-        kills = [each for each in orders(day, 1) if each.words == "!kill"]
-        restarts = [each for each in orders(day, 1) if each.words == "!renew"]
+        kills = [each for each in draw_orders(day, 1) if each.words == "!kill"]
+        restarts = [each for each in draw_orders(day, 1) if each.words == "!renew"]
         self.assertEqual((len(kills), {each.at for each in kills}), (28, {2 * SECOND}))
         self.assertEqual(({each.who for each in kills}, {each.at for each in restarts}),
                          ({each.who for each in restarts}, {3 * SECOND}))
-        even = Counter(each.front for each in tries(read_text(DAY.replace("uneven 2", "")), 1))
+        even = Counter(each.front for each in client_calls(read_text(DAY.replace("uneven 2", "")), 1))
         self.assertLess(max(even.values()), 2 * mean)
-        with self.assertRaisesRegex(Mistake, "uneven 0.5"):
+        with self.assertRaisesRegex(ConfigurationError, "uneven 0.5"):
             read_text(DAY.replace("uneven 2", "uneven 0.5"))
 
 
@@ -204,7 +204,7 @@
     def test_rules_and_shares_hold_while_most_front_ends_die_at_once(self):
         with tempfile.TemporaryDirectory() as folder:
             day = read_text(PROCESSES, seed=3)
-            Conductor(day, PROCESSES, 3, Path(folder)).play()
+            ScenarioRunner(day, PROCESSES, 3, Path(folder)).play()
             verdict = audit(Path(folder))
             events = read(Path(folder))
         self.assertEqual(verdict.breaches, [])
@@ -212,7 +212,7 @@
         self.assertEqual(len(killed), 8)
         self.assertEqual(len(select_events(events, "stopped")), 2)
         self.assertFalse(select_events(events, "fell-over"))
-        found = losses(events, day.told.deployment)
+        found = losses(events, day.config.deployment)
         # Every front end that stayed up or came back serves its share, and not each of them loads its own copy.
         shares = [served / asked for asked, served in found.served.values() if asked >= 5]
         self.assertGreater(jain(shares), 0.8, found.served)
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -17,7 +17,7 @@
 
 from tests.test_emulator import DAY, Emulation, read_text
 from threadshift.choice import Dispatcher
-from threadshift.conf.reading import Mistake
+from threadshift.conf.reading import ConfigurationError
 from threadshift.interface import SECOND, Action, Effect, WorkerState, Step
 from threadshift.trials import figures, hunt, runs
 from threadshift.trials.commands import trial
@@ -54,7 +54,7 @@
                  ("draw fleet-of 3", f"{line}: 'draw' takes"), ("draw fleet-of 3 5s", f"{line}: 'draw' takes"),
                  ("seeds 1 to 2000000", "2000000 runs"))
         for text, problem in cases:
-            with self.assertRaises(Mistake, msg=text) as caught:
+            with self.assertRaises(ConfigurationError, msg=text) as caught:
                 parse_text(SMALL + text + "\n", "a.trial")
             self.assertIn(problem, str(caught.exception))
 
@@ -67,7 +67,7 @@
         self.assertEqual(len(jobs), 8)
         day = read_text(jobs[3].text)
         self.assertEqual((day.front_ends, day.fleet.workers, day.traffic[0].rate), (9, 30, 50))
-        self.assertEqual([each.kind for each in day.troubles], ["crash", "hang"])
+        self.assertEqual([each.kind for each in day.faults], ["crash", "hang"])
         memory = [read_text(each.text).fleet.memory for each in jobs]
         self.assertEqual(len(set(memory[:4])), 1)               # drawn values depend on the seed alone
         self.assertNotEqual(memory[0], memory[4])
@@ -75,7 +75,7 @@
 
     def test_number_of_drawn_faults(self):
         scenario = parse_text(SMALL + "seeds 1 to 30\ndraw trouble 1 3\n")
-        counts = {len(read_text(each.text, seed=each.seed).troubles) for each in scenario.jobs()}
+        counts = {len(read_text(each.text, seed=each.seed).faults) for each in scenario.jobs()}
         self.assertEqual(counts, {1, 2, 3})
 
     def test_constants_are_set_only_during_their_run(self):
--- a/threadshift/audit/report.py
+++ b/threadshift/audit/report.py
@@ -8,8 +8,8 @@
 
 from threadshift.audit.records import RecordedEvent, check_completeness, group_attempts, read, select_events
 from threadshift.audit.rules import Breach, breaches
-from threadshift.days import day as days
-from threadshift.days.day import Day
+from threadshift.days import fault_scenario
+from threadshift.days.fault_scenario import FaultScenario
 from threadshift.interface import Deployment
 
 
@@ -67,10 +67,10 @@
     return requested, in_time
 
 
-def judge(day: Day, seen: list[RecordedEvent]) -> Verdict:
+def judge(day: FaultScenario, seen: list[RecordedEvent]) -> Verdict:
     """Audits the records of a day. Raises Unreadable if they are not complete enough."""
     check_completeness(seen)
-    it = day.told.deployment
+    it = day.config.deployment
     verdict = Verdict(
         tries=len(select_events(seen, "try")), firsts=len({each["first"] for each in select_events(seen, "try")}),
         finals=Counter(each["final"] for each in select_events(seen, "answer")),
@@ -83,5 +83,5 @@
 
 
 def audit(folder: Path) -> Verdict:
-    """Reads and audits one folder. Raises records.Unreadable or reading.Mistake."""
-    return judge(days.read(str(folder / "day.conf")), read(folder))
+    """Reads and audits one folder. Raises records.Unreadable or reading.ConfigurationError."""
+    return judge(fault_scenario.read(str(folder / "day.conf")), read(folder))
--- a/threadshift/emulator/front.py
+++ b/threadshift/emulator/front.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from threadshift.choice import Dispatcher
-from threadshift.days.day import Day
+from threadshift.days.fault_scenario import FaultScenario
 from threadshift.engine import previous_process
 from threadshift.engine.engine import PendingWorkerQuery, Call, PendingRequest, RequestEngine
 from threadshift.emulator.clock import Clock
@@ -37,18 +37,18 @@
 class ModelFront:
     """One front end process; a restart makes a new one."""
 
-    def __init__(self, clock: Clock, day: Day, name: str, zone: str, network: Network, seed: int,
+    def __init__(self, clock: Clock, day: FaultScenario, name: str, zone: str, network: Network, seed: int,
                  answered: Callable[[PendingRequest], None], refuse: Callable[[Any], None],
                  policy: Policy = Dispatcher):
         self.clock, self.day, self.name, self.zone, self.network = clock, day, name, zone, network
         generator = random.Random(f"{seed} {name} {clock.now}")
         self.random = generator.random
-        deployment = day.told.deployment._replace(front_ends=day.front_ends, zone=zone)
+        deployment = day.config.deployment._replace(front_ends=day.front_ends, zone=zone)
         dispatcher = policy(generator.getrandbits(63), deployment, clock.now)
         if hasattr(dispatcher, "set_network"):
             dispatcher.set_network(network)         # a policy for comparison that knows the true state of the workers
         previous_process.count_free_orders_as_given(dispatcher, deployment, clock.now)
-        self.engine = RequestEngine(dispatcher, self, self, day.told.bounds.load_order)
+        self.engine = RequestEngine(dispatcher, self, self, day.config.bounds.load_order)
         self.registry = WorkerRegistry(deployment.drain_grace)
         self.deliver_answer, self.deliver_refusal = answered, refuse
         self.admission = Admission(min(each.target_latency for each in deployment.types), weights(deployment.tenants))
@@ -76,7 +76,7 @@
             self.engine.tick(self.clock.now)
         self.apply_listings(self.registry.tick(self.clock.now))
         # The real timer runs every tick; here nothing changes in between, so the next one that is due is enough.
-        due = max(self.clock.now + self.day.told.deployment.tick, self.engine.due())
+        due = max(self.clock.now + self.day.config.deployment.tick, self.engine.due())
         if self.registry.empty_since is not None:
             due = min(due, self.clock.now + self.registry.grace // 2)
         self.clock.at(due, self.tick)
@@ -184,7 +184,7 @@
         """Refuses new calls; the process ends with its last answer, or when the drain time is over."""
         if not self.closing:
             self.closing = True
-            self.clock.after(self.day.told.bounds.drain, self.end)
+            self.clock.after(self.day.config.bounds.drain, self.end)
             self.end_if_done()
 
     def end_if_done(self) -> None:
--- a/threadshift/emulator/router.py
+++ b/threadshift/emulator/router.py
@@ -13,7 +13,7 @@
 from threadshift.bgp.announcer import Announcer, ServiceAddress
 from threadshift.bgp.drain import Drain, Stage
 from threadshift.bgp.path import Path
-from threadshift.days.day import RouterOf
+from threadshift.days.fault_scenario import RouterSettings
 from threadshift.days.play import FIRST_AS, SERVICE
 from threadshift.emulator.clock import Clock
 from threadshift.emulator.front import ModelFront
@@ -36,7 +36,7 @@
         self.hop = ipaddress.ip_address(f"127.{1 + n // 65025}.{n // 255 % 255}.{n % 255 + 1}")
         self.announcer = Announcer(FIRST_AS + n, [self.hop], [ServiceAddress(PREFIX)], self.drain, front.random,
                                    clock.now)
-        self.recent = RecentCalls({each.name: each.utility for each in front.day.told.deployment.types})
+        self.recent = RecentCalls({each.name: each.utility for each in front.day.config.deployment.types})
         self.arrivals = ConnectionRate()
         self.announced: Path | None = None
         self.tick()
@@ -74,7 +74,7 @@
 class ModelRouter:
     """Selects routes like the stand-in router, and directs new connections after the convergence delay."""
 
-    def __init__(self, clock: Clock, settings: RouterOf, delay: Callable[[], int], note: Callable[..., Any]):
+    def __init__(self, clock: Clock, settings: RouterSettings, delay: Callable[[], int], note: Callable[..., Any]):
         self.clock, self.settings, self.delay, self.note = clock, settings, delay, note
         self.routes: dict[int, Path] = {}        # front end: the path that it announces
         self.sessions: dict[int, ModelServiceAnnouncer] = {}    # front end: its established session
--- a/threadshift/emulator/run.py
+++ b/threadshift/emulator/run.py
@@ -9,9 +9,9 @@
 from threadshift.audit.records import RecordedEvent
 from threadshift.conf import values
 from threadshift.conf.values import Address
-from threadshift.days.day import Day
-from threadshift.days.orders import Order, names, orders
-from threadshift.days.traffic import ANY, Try, follower, tries
+from threadshift.days.fault_scenario import FaultScenario
+from threadshift.days.orders import FaultOrder, draw_orders, worker_zones
+from threadshift.days.traffic import ANY_FRONT_END, ClientCall, client_calls, next_in_chain
 from threadshift.engine.engine import Call, FinalKind, PendingRequest
 from threadshift.emulator.clock import Clock
 from threadshift.choice import Dispatcher
@@ -34,11 +34,11 @@
 
     `records` has the recorded events by source, which write() stores in the same files as a run of real processes."""
 
-    def __init__(self, day: Day, seed: int, policy: Policy = Dispatcher):
+    def __init__(self, day: FaultScenario, seed: int, policy: Policy = Dispatcher):
         self.day, self.seed, self.policy = day, seed, policy
         self.clock = Clock(START)
         self.records: dict[str, list[dict[str, Any]]] = {}
-        self.zones = names(day)
+        self.zones = worker_zones(day)
         self.network = Network(self.clock, seed, self.zones)
         self.store = ModelStore(self.clock, day.store, self.recorder("store"))
         self.network.fronts = self.fronts = dict[str, ModelFront]()
@@ -63,21 +63,21 @@
         conductor = self.recorder("conductor")
         for name in self.zones:
             self.start_worker(name)
-        self.clock.run(self.clock.now + self.day.told.deployment.cold_time)
+        self.clock.run(self.clock.now + self.day.config.deployment.cold_time)
         for name in self.zones:
             self.entries[name] = self.make_entry(name)
         for n in range(self.day.front_ends):
             self.start_front_end(n)
         begin = self.clock.now + (SECOND // 2 if self.router is None else self.router.settings.converge + SECOND)
-        conductor("day", seed=self.seed, start=begin, grace=self.day.told.deployment.drain_grace)
+        conductor("day", seed=self.seed, start=begin, grace=self.day.config.deployment.drain_grace)
         clients = self.recorder("clients")
-        for each in tries(self.day, self.seed):
+        for each in client_calls(self.day, self.seed):
             self.clock.at(begin + each.at, self.send_attempt, each, 0, clients)
-        for order in orders(self.day, self.seed):
+        for order in draw_orders(self.day, self.seed):
             self.clock.at(begin + order.at, self.execute_order, order, conductor)
         if self.router is not None:
             conductor("router", converge=self.router.settings.converge, steer=self.router.settings.steer)
-        max_timeout = max(each.action_timeout for each in self.day.told.deployment.types)
+        max_timeout = max(each.action_timeout for each in self.day.config.deployment.types)
         self.clock.run(begin + self.day.length + 4 * max_timeout + 5 * SECOND)
         conductor("over")
 
@@ -98,7 +98,7 @@
     # Processes.
 
     def start_worker(self, name: str) -> None:
-        deployment, fleet = self.day.told.deployment, self.day.fleet
+        deployment, fleet = self.day.config.deployment, self.day.fleet
         machine = Machine(name, self.zones[name], 1.0, fleet.cores, fleet.memory / MB, fleet.loads,
                           idle_keep_alive=deployment.idle_keep_alive, cold_share=deployment.cold_share,
                           cold_time=deployment.cold_time,
@@ -136,7 +136,7 @@
                                  states={each.worker: each.state.value for each in entries})
             front.receive(OTHER_COST, front.on_list, entries, full)
 
-    def execute_order(self, order: Order, note: Callable[..., None]) -> None:
+    def execute_order(self, order: FaultOrder, note: Callable[..., None]) -> None:
         note("order", who=order.who, words=order.words)
         words = order.words.split()
         if words[0].startswith("!"):
@@ -231,11 +231,11 @@
 
     # Clients.
 
-    def send_attempt(self, attempt: Try, number: int, note: Callable[..., None]) -> None:
+    def send_attempt(self, attempt: ClientCall, number: int, note: Callable[..., None]) -> None:
         """Sends an attempt, or its `number`th retry, to a front end."""
         mark = f"{attempt.mark}r{number}" if number else attempt.mark
         n = attempt.front if self.router is None else self.router.steer()
-        note("try", mark=mark, first=attempt.mark, front=attempt.front if self.router is None else ANY,
+        note("try", mark=mark, first=attempt.mark, front=attempt.front if self.router is None else ANY_FRONT_END,
              type=attempt.type.name, effect=attempt.type.effect.value, left_ms=attempt.left // MS,
              deferred=attempt.deferred, work_ms=attempt.work / MS, tenant=attempt.tenant,
              quits=bool(attempt.quits_after))
@@ -247,7 +247,7 @@
         if front.service_announcer is not None:
             front.service_announcer.arrivals.record(self.clock.now)
         # The call's mark carries the client's mark and the true work for simulated workers, not for the dispatcher.
-        settings = self.day.told.function(attempt.function)
+        settings = self.day.config.function(attempt.function)
         call = Call(attempt.type.name, attempt.function, attempt.left, b"", attempt.tenant, f"{mark} {attempt.work}",
                     attempt.hint, settings[0].lanes if settings else 1, settings[0].load_time if settings else 0,
                     number > 0)
@@ -299,8 +299,8 @@
         self.retry(attempt, number, note, answer.final is FinalKind.REJECTED
                    or answer.final is FinalKind.ABORTED and attempt.type.effect is Effect.REPEATABLE)
         if answer.final is FinalKind.COMPLETED and attempt.chain:
-            self.clock.after(0, self.send_attempt, follower(attempt), 0, note)
+            self.clock.after(0, self.send_attempt, next_in_chain(attempt), 0, note)
 
-    def retry(self, attempt: Try, number: int, note: Callable[..., None], is_wanted: bool) -> None:
+    def retry(self, attempt: ClientCall, number: int, note: Callable[..., None], is_wanted: bool) -> None:
         if is_wanted and number < attempt.traffic.retries and not attempt.quits_after:
             self.clock.after(attempt.traffic.retry_after << number, self.send_attempt, attempt, number + 1, note)
--- a/threadshift/gateway/batch_service.py
+++ b/threadshift/gateway/batch_service.py
@@ -19,7 +19,7 @@
 from threadshift.batches.queue import BatchCall, BatchCounts, BatchQueue
 from threadshift.batches.store import BatchStore, StoredCall, make_record
 from threadshift.choice import NEVER_RAN
-from threadshift.conf.installation import Installation
+from threadshift.conf.gateway_config import GatewayConfig
 from threadshift.engine.engine import Answer, Call, FinalKind, PendingRequest, RequestEngine
 from threadshift.errors import ThreadshiftError
 from threadshift.interface import MS, SECOND
@@ -54,7 +54,7 @@
     """The front end, as far as this module and replicated_services.py use it."""
 
     name: str
-    config: Installation
+    config: GatewayConfig
     chance: Callable[[], float]
     api: InvokeApi
     engine: RequestEngine
--- a/threadshift/gateway/front_end.py
+++ b/threadshift/gateway/front_end.py
@@ -19,9 +19,9 @@
 from gevent.pool import Group
 
 from threadshift.choice import Dispatcher
-from threadshift.conf import installation
-from threadshift.conf.installation import Installation
-from threadshift.conf.reading import Mistake
+from threadshift.conf import gateway_config
+from threadshift.conf.gateway_config import GatewayConfig
+from threadshift.conf.reading import ConfigurationError
 from threadshift.conf.values import Address
 from threadshift.discovery.registry import WorkerEntry, WorkerRegistry
 from threadshift.discovery.sources import FeedSource, WatchedFile
@@ -60,7 +60,7 @@
 class FrontEnd(BaseFrontEnd):
     """Connects the request engine with clients, workers and peers; owns every greenlet of the process."""
 
-    def __init__(self, config: Installation, index: int, log: Log, seed: int | None = None, disk: Any = None,
+    def __init__(self, config: GatewayConfig, index: int, log: Log, seed: int | None = None, disk: Any = None,
                  version: str = "", ready: Callable[[], None] = lambda: None):
         """`version` names the rollouts that it runs with; ready() is called once it serves."""
         super().__init__(WorkerRegistry(config.deployment.drain_grace), log)
@@ -298,12 +298,12 @@
     def reload(self) -> None:
         """Reads the configuration again. Applies what may change while running and logs what needs a restart."""
         try:
-            new_config = installation.read(self.config.file)
-        except Mistake as problem:
+            new_config = gateway_config.read(self.config.file)
+        except ConfigurationError as problem:
             self.note("reload-refused", level="error", problem=str(problem))
             return
-        applied, unapplied = installation.changed(self.config, new_config)
-        self.config = installation.reloaded(self.config, new_config)
+        applied, unapplied = gateway_config.compare_for_reload(self.config, new_config)
+        self.config = gateway_config.apply_reload(self.config, new_config)
         self.api.reload(self.config)
         bounds = self.config.bounds
         self.deferred_calls.pending.limit, self.deferred_calls.answer_bytes.limit, self.deferred_calls.keep_time = (
--- a/threadshift/gateway/replicated_services.py
+++ b/threadshift/gateway/replicated_services.py
@@ -10,7 +10,7 @@
 import gevent
 
 from threadshift.batches.cancels import Cancels
-from threadshift.conf.peering import Peering
+from threadshift.conf.peering import PeersConfig
 from threadshift.consensus.state_machines import StateMachine
 from threadshift.consensus.member import CommittedEntry
 from threadshift.eviction.active_policy import ActivePolicyState
@@ -29,7 +29,7 @@
 class ReplicatedServices:
     """The record, and the services for batches, eviction policies and rollouts that act on it."""
 
-    def __init__(self, front: Front, peering: Peering, version: str = "", disk: Any = None):
+    def __init__(self, front: Front, peering: PeersConfig, version: str = "", disk: Any = None):
         """Raises what opening its files raises."""
         self.front, self.peering = front, peering
         self.forms_checked_at = 0
--- a/threadshift/gateway/rollout_service.py
+++ b/threadshift/gateway/rollout_service.py
@@ -18,9 +18,9 @@
 import gevent
 from gevent import subprocess
 
-from threadshift.conf import installation, patch
-from threadshift.conf.peering import Peering
-from threadshift.conf.reading import Mistake, load
+from threadshift.conf import gateway_config, patch
+from threadshift.conf.peering import PeersConfig
+from threadshift.conf.reading import ConfigurationError, load
 from threadshift.engine.engine import FinalKind, PendingRequest
 from threadshift.errors import ThreadshiftError
 from threadshift.gateway.batch_service import Front
@@ -55,7 +55,7 @@
 class RolloutService:
     """Takes part in rollouts for one front end, and handles operators' requests on them."""
 
-    def __init__(self, front: Front, peering: Peering, consensus: ConsensusService, rollouts: Rollouts,
+    def __init__(self, front: Front, peering: PeersConfig, consensus: ConsensusService, rollouts: Rollouts,
                  eviction_service: EvictionService, version: str, call_recorder: CallRecorder):
         self.front, self.peering, self.consensus, self.rollouts = front, peering, consensus, rollouts
         self.eviction_service, self.version, self.call_recorder = eviction_service, version, call_recorder
@@ -141,7 +141,7 @@
             self.problems[rollout.id] = self.prepare(ids)[1]
         except (ThreadshiftError, OSError) as problem:
             self.problems[rollout.id] = str(problem)[:300] or type(problem).__name__
-        except Mistake as problem:
+        except ConfigurationError as problem:
             self.problems[rollout.id] = str(problem)[:300]
         self.front.note("rollout-checked", rollout=rollout.id, can=not self.problems[rollout.id],
                         problem=self.problems[rollout.id])
@@ -149,7 +149,7 @@
     def prepare(self, ids: tuple[str, ...]) -> tuple[TargetVersion, str]:
         """Returns what to run for these rollouts, and what is wrong with it; empty if nothing is.
 
-        Raises Mistake, OSError, BadChange."""
+        Raises ConfigurationError, OSError, BadChange."""
         version, tree = "+".join(ids), ""
         changes: list[patch.Change] = []
         for what in self.rollouts.changes(ids):
@@ -162,7 +162,7 @@
         text = patch.text(patch.patched(load(self.installed_file), changes, self.installed_file))
         self.versions.disk.put(
             path, f"# {version or 'as installed'}, made from {self.installed_file}\n{text}".encode())
-        installation.read_text(text, str(path))
+        gateway_config.read_text(text, str(path))
         process = subprocess.run([*program_command(tree), "check", str(path)], capture_output=True,
                                  timeout=CHECK_TIMEOUT_S, env=program_environment(tree))
         errors = process.stderr.decode(errors="replace").strip()[-300:]
@@ -178,7 +178,7 @@
             return
         try:
             target, problem = self.prepare(ids)
-        except (ThreadshiftError, Mistake, OSError) as error:
+        except (ThreadshiftError, ConfigurationError, OSError) as error:
             target, problem = TargetVersion(), str(error)
         if problem:
             self.front.note("version-not-taken", level="error", version="+".join(ids), problem=problem,
--- a/threadshift/gateway/service_announcer.py
+++ b/threadshift/gateway/service_announcer.py
@@ -46,7 +46,7 @@
         self.front, self.config = front, config
         now = time.monotonic_ns()
         preferences = {Standing[name.upper()]: Preference(each.med, each.prepend, each.local_pref, each.communities)
-                       for name, each in config.looks.items()}
+                       for name, each in config.route_attributes.items()}
         self.drain = Drain(config.converge, config.fade)
         self.announcer = Announcer(
             config.asn, config.next_hops,
--- a/threadshift/gateway/supervisor.py
+++ b/threadshift/gateway/supervisor.py
@@ -13,7 +13,7 @@
 import time
 from contextlib import suppress
 
-from threadshift.conf.installation import Installation
+from threadshift.conf.gateway_config import GatewayConfig
 from threadshift.gateway.restart_backoff import RestartBackoff
 from threadshift.interface import MS, SECOND
 from threadshift.log import Log
@@ -28,7 +28,7 @@
 class Child:
     """One front end: the process that serves, processes that drain, and one that is to take over."""
 
-    def __init__(self, config: Installation, index: int, log: Log):
+    def __init__(self, config: GatewayConfig, index: int, log: Log):
         self.config, self.index, self.log, self.restart_backoff = config, index, log, RestartBackoff()
         self.name = config.front_end(index)
         self.process: subprocess.Popen | None = None
@@ -147,7 +147,7 @@
 class Supervisor:
     """Runs one child for each front end until it is told to end."""
 
-    def __init__(self, config: Installation, log: Log):
+    def __init__(self, config: GatewayConfig, log: Log):
         self.config, self.log = config, log
         self.children = [Child(config, index, log) for index in range(config.front_ends)]
         self.kill_at = 0           # when children that have not ended are killed; 0: not ending
--- a/threadshift/invoke/api.py
+++ b/threadshift/invoke/api.py
@@ -10,7 +10,7 @@
 
 import gevent
 
-from threadshift.conf.installation import Installation
+from threadshift.conf.gateway_config import GatewayConfig
 from threadshift.engine.engine import Answer, Call, FinalKind, PendingRequest, RequestEngine
 from threadshift.interface import MS, SECOND
 from threadshift.invoke import requests
@@ -76,7 +76,7 @@
 class InvokeApi:
     """Handles the exchanges of clients; the request engine's port to clients."""
 
-    def __init__(self, config: Installation, name: str, base_url: str, deferred_calls: DeferredCallStore,
+    def __init__(self, config: GatewayConfig, name: str, base_url: str, deferred_calls: DeferredCallStore,
                  admission: Admission, log: Log, status: Callable[[], dict[str, Any]],
                  tenant_weights: Mapping[str, float]):
         self.config, self.base_url, self.deferred_calls, self.admission = config, base_url, deferred_calls, admission
@@ -97,7 +97,7 @@
         self.new_id = lambda: f"{name}-{boot}-{serial()}"
         self.name = name
 
-    def reload(self, config: Installation) -> None:
+    def reload(self, config: GatewayConfig) -> None:
         """Uses another configuration for calls from now on."""
         self.config, self.functions = config, requests.FunctionTable(config)
         self.capacity.limit = config.bounds.activations
--- a/threadshift/peers/consensus_service.py
+++ b/threadshift/peers/consensus_service.py
@@ -15,7 +15,7 @@
 from gevent.lock import BoundedSemaphore
 from gevent.queue import Empty, Full, Queue
 
-from threadshift.conf.peering import Peering
+from threadshift.conf.peering import PeersConfig
 from threadshift.consensus.durable_member import DurableMember
 from threadshift.consensus.member import CommittedEntry
 from threadshift.consensus.state_machines import StateMachine, StateMachineRegistry
@@ -61,7 +61,7 @@
 class ConsensusService:
     """The member of one front end with its journal and its connections to the peers."""
 
-    def __init__(self, peering: Peering, name: str, machines: Mapping[str, StateMachine], owner: CommitListener,
+    def __init__(self, peering: PeersConfig, name: str, machines: Mapping[str, StateMachine], owner: CommitListener,
                  chance: Callable[[], float], disk: Disk | None = None,
                  query_handlers: Mapping[str, Callable[[str, dict[str, Any]], dict[str, Any]]] | None = None):
         """`query_handlers` has a handler for each query of a peer. Raises what opening the file raises."""
--- a/threadshift/peers/link.py
+++ b/threadshift/peers/link.py
@@ -15,7 +15,7 @@
 from gevent import socket
 from gevent.event import AsyncResult, Event
 
-from threadshift.conf.peering import Peer, Peering
+from threadshift.conf.peering import Peer, PeersConfig
 from threadshift.interface import MS, SECOND
 from threadshift.links.codec import VERSION, Frame, FrameDecoder, ProtocolError, encode
 from threadshift.links.outbox import Outbox
@@ -149,7 +149,7 @@
 class PeerListener:
     """Accepts the connections of peers. Front ends outside the configuration are refused."""
 
-    def __init__(self, peering: Peering, name: str, life: int, digest: str, owner: PeerLinkOwner):
+    def __init__(self, peering: PeersConfig, name: str, life: int, digest: str, owner: PeerLinkOwner):
         self.peering, self.name, self.life, self.digest, self.owner = peering, name, life, digest, owner
         self.peers = {each.name: each for each in peering.peers if each.name != name}
         self.connections: dict[str, socket.socket] = {}     # by name: the newest connection of each peer
--- a/threadshift/trials/commands.py
+++ b/threadshift/trials/commands.py
@@ -10,7 +10,7 @@
 
 import click
 
-from threadshift.conf.reading import Mistake
+from threadshift.conf.reading import ConfigurationError
 
 if TYPE_CHECKING:
     from threadshift.trials.hunt import ScenarioOutcome
@@ -29,7 +29,7 @@
     from threadshift.trials.result_store import InvalidResultsFile
     try:
         yield
-    except (Mistake, InvalidResultsFile) as problem:
+    except (ConfigurationError, InvalidResultsFile) as problem:
         raise SystemExit(f"threadshift: {problem}") from None
     except ModuleNotFoundError as missing:
         raise SystemExit(f"threadshift: this wants {missing.name}: pip install 'threadshift[trials]'") from None
--- a/threadshift/trials/former_names.py
+++ b/threadshift/trials/former_names.py
@@ -69,6 +69,23 @@
     ("links.redial", "FIRST"): "MIN_PAUSE",
     ("links.redial", "MOST"): "MAX_PAUSE",
     ("links.redial", "STEADY"): "STABLE_AFTER",
+    ("bgp.announce", "QUICK"): "DOWN_DELAY",
+    ("bgp.announce", "SLOW"): "UP_DELAY",
+    ("bgp.announce", "CONFIRM"): "WITHDRAW_DELAY",
+    ("bgp.announce", "START"): "STARTUP_TIME",
+    ("bgp.announce", "FLAPS"): "MAX_DOUBLINGS",
+    ("bgp.announce", "FORGET"): "FLAP_MEMORY",
+    ("bgp.announce", "JITTER"): "UP_DELAY_JITTER",
+    ("bgp.announce", "FEW"): "FEW_WORKERS_SHARE",
+    ("bgp.announce", "WARM"): "COLD_BELOW",
+    ("bgp.announce", "TEPID"): "TEPID_BELOW",
+    ("bgp.announce", "OLD_ROSTER"): "MAX_ROSTER_AGE",
+    ("bgp.announce", "LAG"): "MAX_LOOP_LAG",
+    ("bgp.announce", "EASY"): "EASY_LOAD_SHARE",
+    ("bgp.announce", "SERVED"): "MIN_IN_TIME_SHARE",
+    ("bgp.announce", "CALLS"): "MIN_CALLS",
+    ("bgp.announce", "BORNE_HALF"): "CAPACITY_HALF_LIFE",
+    ("bgp.announce", "FLEET_HALF"): "FLEET_HALF_LIFE",
 }      # (module, former name): name today
 
 
--- a/threadshift/trials/runs.py
+++ b/threadshift/trials/runs.py
@@ -15,7 +15,7 @@
 
 from threadshift.audit.records import RecordedEvent, select_events
 from threadshift.audit.report import Verdict, judge
-from threadshift.days.day import read_text
+from threadshift.days.fault_scenario import read_text
 from threadshift.emulator.run import Emulation
 from threadshift.trials.former_names import current_name
 from threadshift.trials.result_store import Result, ResultStore
--- a/threadshift/trials/scenario.py
+++ b/threadshift/trials/scenario.py
@@ -33,8 +33,8 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from threadshift.conf.reading import Directive, Mistake, load, nearest, parse
-from threadshift.days.day import KINDS, read_text, text_of
+from threadshift.conf.reading import ConfigurationError, Directive, load, nearest, parse
+from threadshift.days.fault_scenario import FAULT_KINDS, format_directive, read_text
 from threadshift.trials.former_names import current_name
 from threadshift.trials.policies import POLICIES
 
@@ -101,7 +101,7 @@
             amount = each.least + (each.most - each.least) * rng.random()
             if each.path == ("trouble",):
                 for _ in range(round(amount)):
-                    day.append(Directive(self.file, 0, "trouble", [rng.choice(sorted(KINDS))]))
+                    day.append(Directive(self.file, 0, "trouble", [rng.choice(sorted(FAULT_KINDS))]))
             else:
                 set_directive(day, each.path, [f"{round(amount) if each.is_whole else round(amount, 3)}{each.unit}"])
         for factor, value in zip(self.factors, values, strict=True):
@@ -116,7 +116,7 @@
                     set_directive(day, path, list(words))
         point = {factor.name: " ".join(" ".join(words) for words in value)
                  for factor, value in zip(self.factors, values, strict=True)}
-        return Job(point, seed, policy, tuple(constants), "\n".join(map(text_of, day)) + "\n")
+        return Job(point, seed, policy, tuple(constants), "\n".join(map(format_directive, day)) + "\n")
 
 
 def fault_directives(words: tuple[str, ...], file: str) -> list[Directive]:
@@ -157,23 +157,23 @@
 
 
 def parse_trial(lines: list[Directive], file: str) -> Scenario:
-    """Builds a scenario, and parses a day with each swept value once. Raises Mistake with the line."""
+    """Builds a scenario, and parses a day with each swept value once. Raises ConfigurationError with the line."""
     day = [line for line in lines if line.name not in TRIAL_DIRECTIVES]
     sweeps = [line for line in lines if line.name == "sweep"]
     seeds = [line for line in lines if line.name == "seeds"]
     if len(seeds) > 1:
-        raise seeds[1].wrong("'seeds' stands twice")
+        raise seeds[1].error("'seeds' stands twice")
     scenario = Scenario(
         file, day, tuple(map(parse_sweep, sweeps)), tuple(parse_draw(line) for line in lines if line.name == "draw"),
         parse_seeds(seeds[0]) if seeds else (1,))
     names = [each.name for each in scenario.factors]
     if len(set(names)) < len(names):
-        raise sweeps[-1].wrong("two sweeps of the same name")
+        raise sweeps[-1].error("two sweeps of the same name")
     runs = len(scenario.seeds)
     for each in scenario.factors:
         runs *= len(each.values)
     if runs > MAX_RUNS:
-        raise Mistake(file, 0, f"{runs} runs, more than {MAX_RUNS}")
+        raise ConfigurationError(file, 0, f"{runs} runs, more than {MAX_RUNS}")
     # Tries each value once, with the first value of all other factors, to report an error before hours of runs.
     first = tuple(each.values[0] for each in scenario.factors)
     for n, (each, line) in enumerate(zip(scenario.factors, sweeps, strict=True)):
@@ -181,10 +181,10 @@
             try:
                 read_text(scenario.job(scenario.seeds[0], (*first[:n], value, *first[n + 1:])).text, file)
             except KeyError as missing:
-                raise line.wrong(f"the day has no {missing}") from None
-            except Mistake as problem:
+                raise line.error(f"the day has no {missing}") from None
+            except ConfigurationError as problem:
                 assert line.block is not None
-                raise line.block[number].wrong(f"gives no day: {problem}") from None
+                raise line.block[number].error(f"gives no day: {problem}") from None
     if not sweeps:
         read_text(scenario.job(scenario.seeds[0], ()).text, file)
     return scenario
@@ -200,7 +200,7 @@
     except ValueError:
         found = ()
     if not found or line.block is not None:
-        raise line.wrong("'seeds' takes 'FIRST to LAST' or whole numbers")
+        raise line.error("'seeds' takes 'FIRST to LAST' or whole numbers")
     return found
 
 
@@ -209,14 +209,14 @@
     name = " ".join(line.words)
     paths = tuple(tuple(part.split()) for part in name.split(","))
     if not line.block or not all(paths):
-        raise line.wrong("'sweep' takes what is swept, and a block with one value per line")
+        raise line.error("'sweep' takes what is swept, and a block with one value per line")
     values: list[tuple[tuple[str, ...], ...]] = []
     for each in line.block:
         words = (each.name, *each.words)
         if len(paths) == 1:
             values.append((words,))
         elif len(words) != len(paths):
-            raise each.wrong(f"{len(paths)} values are wanted, found {len(words)}")
+            raise each.error(f"{len(paths)} values are wanted, found {len(words)}")
         else:
             values.append(tuple((word,) for word in words))
         for path, value in zip(paths, values[-1], strict=True):
@@ -227,16 +227,16 @@
 def check_value(line: Directive, path: tuple[str, ...], value: tuple[str, ...]) -> None:
     """Checks a policy or a constant; the parser of days knows neither."""
     if path == ("policy",) and value[0] not in POLICIES:
-        raise line.wrong(f"no policy '{value[0]}'{nearest(value[0], POLICIES)}")
+        raise line.error(f"no policy '{value[0]}'{nearest(value[0], POLICIES)}")
     if path[0] == "constant":
         if len(path) != 3 or path[1] not in CONSTANT_MODULES:
-            raise line.wrong(f"'constant' takes one of {', '.join(CONSTANT_MODULES)} and a name")
+            raise line.error(f"'constant' takes one of {', '.join(CONSTANT_MODULES)} and a name")
         if not isinstance(constant_value(path[1], path[2]), int | float):
-            raise line.wrong(f"{path[1]} has no number '{path[2]}'")
+            raise line.error(f"{path[1]} has no number '{path[2]}'")
         try:
             float(value[0])
         except ValueError:
-            raise line.wrong(f"'{value[0]}' is not a number") from None
+            raise line.error(f"'{value[0]}' is not a number") from None
 
 
 def constant_value(module: str, name: str) -> Any:
@@ -249,6 +249,6 @@
     *path, least, most = line.words if len(line.words) > 2 else ["", "", ""]
     ends = [NUMBER_WITH_UNIT.match(least), NUMBER_WITH_UNIT.match(most)]
     if not path or not all(ends) or ends[0][2] != ends[1][2]:     # type: ignore[index]
-        raise line.wrong("'draw' takes what is drawn, the least and the most, in the same unit")
+        raise line.error("'draw' takes what is drawn, the least and the most, in the same unit")
     return DrawnDirective(tuple(path), float(ends[0][1]), float(ends[1][1]), ends[0][2],     # type: ignore[index]
                  "." not in least + most)
