--- a/tests/soak.py
+++ b/tests/soak.py
@@ -274,10 +274,8 @@
         """Starts a process and waits until it is ready."""
         self.write_config()
         self.terminated_at = 0
-        self.process = subprocess.Popen(
-            [sys.executable, "-m", "threadshift.node"], cwd=ROOT, stderr=self.log,
-            env=os.environ | {"NODE_CONFIG": self.path})
-        self.soak.greenlets.spawn(self.watch, self.process)
+        # In a greenlet of its own: the calling one may be killed inside Popen, and close() ends only known processes.
+        gevent.spawn(self.launch).join()
         with gevent.Timeout(READY_TIMEOUT_S, False):
             while not self.is_ready():
                 gevent.sleep(0.02)
@@ -285,6 +283,13 @@
             return
         self.soak.report("ready", f"{self.name} is not ready after {READY_TIMEOUT_S} s")
 
+    def launch(self) -> None:
+        """Starts the process and watches it."""
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "threadshift.node"], cwd=ROOT, stderr=self.log,
+            env=os.environ | {"NODE_CONFIG": self.path})
+        self.soak.greenlets.spawn(self.watch, self.process)
+
     def watch(self, process: subprocess.Popen) -> None:
         """Reports a process that ends unexpectedly."""
         code = process.wait()
